--- /dev/null
+++ b/crates/agent/tests/frame_bytes.rs
@@ -0,0 +1,42 @@
+//! Frames between agents keep their bytes, so that an agent of an earlier version understands a later one.
+//!
+//! The bytes were taken down from the code of commit 8a93f45. They hold no names: the order of fields and variants
+//! makes them.
+
+use garnetcrank_agent::wire::{Frame, Hello, MAGIC, VERSION, Welcome, decode, encode};
+use garnetcrank_agreement::ids::InstanceId;
+use garnetcrank_agreement::ledger::Member;
+use garnetcrank_agreement::pieces::Piece;
+use serde::{Deserialize, Serialize};
+
+/// Asserts what `value` is as a frame, behind its length of four bytes, and that it is read from that.
+fn assert_frame<T>(value: &T, bytes: &[u8])
+where
+    T: Serialize + for<'a> Deserialize<'a> + PartialEq + std::fmt::Debug,
+{
+    let framed = encode(value);
+    assert_eq!(framed[..4], (bytes.len() as u32).to_le_bytes());
+    assert_eq!(framed[4..], *bytes);
+    assert_eq!(decode::<T>(bytes).expect("it is read"), *value);
+}
+
+fn member() -> Member {
+    Member { id: InstanceId(9), name: "alma".to_owned(), address: "h:1".to_owned() }
+}
+
+#[test]
+fn the_first_frames_of_a_connection_keep_their_bytes() {
+    let (magic, version) = (MAGIC, VERSION);
+    let hello = Hello { magic, version, cluster: "eger".to_owned(), from: member(), to: InstanceId(300) };
+    assert_frame(&hello, b"GCAG\x01\x04eger\x09\x04alma\x03h:1\xac\x02");
+    assert_frame(&Welcome::Yes(member()), b"\x00\x09\x04alma\x03h:1");
+    assert_frame(&Welcome::No("no peer".to_owned()), b"\x01\x07no peer");
+}
+
+#[test]
+fn the_frames_behind_them_keep_their_bytes() {
+    assert_frame(&Frame::Message(vec![1, 2, 3]), b"\x00\x03\x01\x02\x03");
+    let piece = Piece { transfer: 5, at: 6, whole: 130, bytes: vec![0xfe, 0xff] };
+    assert_frame(&Frame::Piece(piece), b"\x01\x05\x06\x82\x01\x02\xfe\xff");
+    assert_frame(&Frame::Alive, b"\x02");
+}
