--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -7,11 +7,11 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use garnetcrank_agreement::gate::{Gate, Passage};
-use garnetcrank_agreement::ids::{Epoch, Subject};
-use garnetcrank_agreement::trust;
-use garnetcrank_standins::agents::{Cluster, client, get, post, until};
-use garnetcrank_standins::history::History;
+use garnetcrank_consensus::gate::{Gate, Passage};
+use garnetcrank_consensus::ids::{Epoch, Subject};
+use garnetcrank_consensus::trust;
+use garnetcrank_test_support::agents::{Cluster, client, get, post, until};
+use garnetcrank_test_support::history::History;
 use serde_json::{Value, json};
 
 /// Subjects that are open to all clients at a time.
--- a/crates/agent/examples/freeze/main.rs
+++ b/crates/agent/examples/freeze/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use garnetcrank_standins::agents::{Cluster, Options};
+use garnetcrank_test_support::agents::{Cluster, Options};
 use load::Load;
 
 fn value(name: &str, default: u64) -> u64 {
--- a/crates/agent/examples/throughput/main.rs
+++ b/crates/agent/examples/throughput/main.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use garnetcrank_standins::agents::{Cluster, Options, client, post, until};
+use garnetcrank_test_support::agents::{Cluster, Options, client, post, until};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
--- a/crates/agent/src/api.rs
+++ b/crates/agent/src/api.rs
@@ -1,9 +1,9 @@
 //! What is said on the local port, as JSON.
 
-use garnetcrank_agreement::ids::{Epoch, Index, InstanceId, Subject};
-use garnetcrank_agreement::ledger::{Command, Proposal, Reply, Standing};
-use garnetcrank_agreement::node::Status;
-use garnetcrank_agreement::trust::Opinion;
+use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Subject};
+use garnetcrank_consensus::ledger::{Command, Proposal, Reply, Standing};
+use garnetcrank_consensus::node::Status;
+use garnetcrank_consensus::trust::Opinion;
 use serde::{Deserialize, Serialize};
 
 /// Longest wait that a caller may ask for, in milliseconds.
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -7,14 +7,14 @@
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 
-use garnetcrank_agreement::clerk::{Clerk, Step};
-use garnetcrank_agreement::desk::Answer;
-use garnetcrank_agreement::ids::{InstanceId, Role, Sequence, SessionId, Subject, Ticket, Ticks};
-use garnetcrank_agreement::ledger::{Command, Ledger, Member, Proposal, Reply};
-use garnetcrank_agreement::members::Change;
-use garnetcrank_agreement::node::{Message, Node, NodeError, Room};
-use garnetcrank_agreement::proposer::{Outcome, Proposer, Send};
-use garnetcrank_agreement::trust::{self, Trust};
+use garnetcrank_consensus::clerk::{Clerk, Step};
+use garnetcrank_consensus::desk::Answer;
+use garnetcrank_consensus::ids::{InstanceId, Role, Sequence, SessionId, Subject, Ticket, Ticks};
+use garnetcrank_consensus::ledger::{Command, Ledger, Member, Proposal, Reply};
+use garnetcrank_consensus::members::Change;
+use garnetcrank_consensus::node::{Message, Node, NodeError, Room};
+use garnetcrank_consensus::proposer::{Outcome, Proposer, Send};
+use garnetcrank_consensus::trust::{self, Trust};
 use garnetcrank_store::{Batch, StoreError};
 use tokio::runtime::Handle;
 use tokio::sync::{oneshot, watch};
@@ -651,7 +651,7 @@
     }
 
     fn grants(&self, ledger: &Ledger) -> Vec<GrantView> {
-        let view = |(role, grant): (&Role, &garnetcrank_agreement::ledger::Grant)| GrantView {
+        let view = |(role, grant): (&Role, &garnetcrank_consensus::ledger::Grant)| GrantView {
             role: role.0.clone(),
             holder: grant.holder.map(|id| self.name_of(id)),
             epoch: grant.epoch,
--- a/crates/agent/src/local.rs
+++ b/crates/agent/src/local.rs
@@ -10,7 +10,7 @@
 use axum::http::{StatusCode, header};
 use axum::response::{IntoResponse, Json, Response};
 use axum::routing::{get, post};
-use garnetcrank_agreement::ids::Subject;
+use garnetcrank_consensus::ids::Subject;
 use serde::{Deserialize, Serialize};
 use tokio::sync::{oneshot, watch};
 
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
 
-use garnetcrank_agreement::ids::InstanceId;
-use garnetcrank_agreement::ledger::Member;
-use garnetcrank_agreement::node::{self, Message};
-use garnetcrank_agreement::pieces::{self, Joiner, Piece};
+use garnetcrank_consensus::ids::InstanceId;
+use garnetcrank_consensus::ledger::Member;
+use garnetcrank_consensus::node::{self, Message};
+use garnetcrank_consensus::pieces::{self, Joiner, Piece};
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Handle;
--- a/crates/agent/src/wire.rs
+++ b/crates/agent/src/wire.rs
@@ -1,9 +1,9 @@
 //! Frames between peers: a length, then a frame in postcard's encoding. The first frame of a connection is a hello,
 //! whose layout never changes; what follows is of the version that it names.
 
-use garnetcrank_agreement::ids::InstanceId;
-use garnetcrank_agreement::ledger::Member;
-use garnetcrank_agreement::pieces::{PIECE, Piece};
+use garnetcrank_consensus::ids::InstanceId;
+use garnetcrank_consensus::ledger::Member;
+use garnetcrank_consensus::pieces::{PIECE, Piece};
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
--- a/crates/agent/tests/processes.rs
+++ b/crates/agent/tests/processes.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use garnetcrank_standins::agents::{Cluster, Options, client, get, post, until};
+use garnetcrank_test_support::agents::{Cluster, Options, client, get, post, until};
 use load::Load;
 use serde_json::json;
 
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -5,8 +5,8 @@
 
 use clap::Subcommand;
 use garnetcrank_agent::api::{GrantView, MemberChange, Page, Propose, Proposed, SubjectView};
-use garnetcrank_agreement::ids::Subject;
-use garnetcrank_agreement::ledger::{Command, Reply, Standing};
+use garnetcrank_consensus::ids::Subject;
+use garnetcrank_consensus::ledger::{Command, Reply, Standing};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use garnetcrank_standins::agents::{Cluster, Options, until};
+use garnetcrank_test_support::agents::{Cluster, Options, until};
 
 /// The agent's program, built beside the one under test.
 fn agent() -> PathBuf {
--- a/crates/agreement/examples/handover/disk.rs
+++ b/crates/consensus/examples/handover/disk.rs
@@ -1,7 +1,7 @@
 //! Disks of simulated instances: a fast model of the store, or the store itself on a disk whose power can be cut.
 
-use garnetcrank_agreement::ids::InstanceId;
-use garnetcrank_standins::disk::Disk;
+use garnetcrank_consensus::ids::InstanceId;
+use garnetcrank_test_support::disk::Disk;
 use garnetcrank_store::{Batch, Identity, Loaded, Store};
 
 /// Which disk.
--- a/crates/agreement/examples/handover/world.rs
+++ b/crates/consensus/examples/handover/world.rs
@@ -5,15 +5,15 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use fastrand::Rng;
-use garnetcrank_agreement::clerk::{Clerk, Step};
-use garnetcrank_agreement::desk::Answer;
-use garnetcrank_agreement::gate::{Gate, Passage};
-use garnetcrank_agreement::ids::*;
-use garnetcrank_agreement::ledger::{Command, Member, Proposal, Reply, Standing};
-use garnetcrank_agreement::members::Change;
-use garnetcrank_agreement::node::{self, Message, Node, Room, Settings, Work};
-use garnetcrank_agreement::proposer::{Outcome, Proposer, Send};
-use garnetcrank_standins::history::History;
+use garnetcrank_consensus::clerk::{Clerk, Step};
+use garnetcrank_consensus::desk::Answer;
+use garnetcrank_consensus::gate::{Gate, Passage};
+use garnetcrank_consensus::ids::*;
+use garnetcrank_consensus::ledger::{Command, Member, Proposal, Reply, Standing};
+use garnetcrank_consensus::members::Change;
+use garnetcrank_consensus::node::{self, Message, Node, Room, Settings, Work};
+use garnetcrank_consensus::proposer::{Outcome, Proposer, Send};
+use garnetcrank_test_support::history::History;
 
 use crate::disk::{Kind, SimDisk};
 
--- a/crates/agreement/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -1,15 +1,15 @@
 //! What recovery costs by the length of the log, and whether memory stays flat over an hour of virtual load.
 //!
-//! `cargo run --release --locked -p garnetcrank-agreement --example recovery` prints two tables.
+//! `cargo run --release --locked -p garnetcrank-consensus --example recovery` prints two tables.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use garnetcrank_agreement::desk::Answer;
-use garnetcrank_agreement::ids::{InstanceId, Sequence, SessionId, Subject, Ticket};
-use garnetcrank_agreement::ledger::{Command, Member, Proposal, Reply};
-use garnetcrank_agreement::node::{self, Message, Node, Settings};
+use garnetcrank_consensus::desk::Answer;
+use garnetcrank_consensus::ids::{InstanceId, Sequence, SessionId, Subject, Ticket};
+use garnetcrank_consensus::ledger::{Command, Member, Proposal, Reply};
+use garnetcrank_consensus::node::{self, Message, Node, Settings};
 use garnetcrank_store::{Batch, HardState, Identity, Record, Store};
 
 fn resident_mib() -> f64 {
--- a/crates/agreement/tests/ledger.rs
+++ b/crates/consensus/tests/ledger.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use garnetcrank_agreement::ids::{Epoch, Index, InstanceId, Role, Sequence, SessionId, Subject};
-use garnetcrank_agreement::ledger::{Command, Ledger, Member, Proposal, Reply, Standing};
+use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Role, Sequence, SessionId, Subject};
+use garnetcrank_consensus::ledger::{Command, Ledger, Member, Proposal, Reply, Standing};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/agreement/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use garnetcrank_agreement::gate::{Gate, Passage};
-use garnetcrank_agreement::ids::{Epoch, Role, Subject};
+use garnetcrank_consensus::gate::{Gate, Passage};
+use garnetcrank_consensus::ids::{Epoch, Role, Subject};
 use stateright::{Checker, Model, Property};
 
 const HOLDERS: usize = 3;
--- a/src/brain.rs
+++ b/crates/policy/src/brain.rs
@@ -1,5 +1,5 @@
-//! Every decision of garnetcrank and every tuned constant. What goes in and out is in `src/interface.rs`,
-//! the plain data kept in between in `src/state.rs`. The mechanism is that of docs/design.md.
+//! Every decision of garnetcrank and every tuned constant. What goes in and out is in `crates/policy/src/interface.rs`,
+//! the plain data kept in between in `crates/policy/src/state.rs`. The mechanism is that of docs/design.md.
 
 use std::collections::BTreeMap;
 
--- a/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A small stage for scenario tests: one instance, three classes, a clock in milliseconds.
 #![allow(dead_code)]
 
-use garnetcrank::Brain;
-use garnetcrank::interface::*;
+use garnetcrank_policy::Brain;
+use garnetcrank_policy::interface::*;
 
 pub const READ: ClassId = ClassId(0);
 pub const BOOK: ClassId = ClassId(1);
--- a/tests/dangers.rs
+++ b/crates/policy/tests/dangers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use garnetcrank::interface::*;
+use garnetcrank_policy::interface::*;
 
 fn trial(entries: Vec<Entry>) -> Rig {
     let mut rig = Rig::on_trial(config(), entries);
--- a/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use garnetcrank::interface::*;
+use garnetcrank_policy::interface::*;
 
 /// Which of `n` requests of a class are sent when only the trial build's machine is there.
 fn sent_to_trial(rig: &mut Rig, class: ClassId, n: usize) -> Vec<usize> {
--- a/tests/size.rs
+++ b/crates/policy/tests/size.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use garnetcrank::interface::*;
+use garnetcrank_policy::interface::*;
 
 fn many(fronts: u32, back_votes: u32) -> Config {
     let mut config = config();
@@ -61,7 +61,7 @@
     for seed in 0..u64::from(fronts) {
         let mut rig = Rig::new(many(fronts, 15));
         let own = Config { index: seed as u32, ..many(fronts, 15) };
-        rig.brain = garnetcrank::Brain::new(seed, own);
+        rig.brain = garnetcrank_policy::Brain::new(seed, own);
         let started = Some(rig.now);
         rig.list(vec![Entry { started, ..entry(1, OLD) }]);
         for _ in 0..10 {
@@ -138,7 +138,7 @@
     let mut ejected = 0;
     for seed in 0..40 {
         let mut rig = Rig::on_trial(many(2, 1), Vec::new());
-        rig.brain = garnetcrank::Brain::new(seed, many(2, 1));
+        rig.brain = garnetcrank_policy::Brain::new(seed, many(2, 1));
         rig.list((1..=6).map(|m| entry(m, OLD)).collect());
         let count = std::cell::Cell::new(0u32);
         for _ in 0..300 {
--- a/tests/votes.rs
+++ b/crates/policy/tests/votes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use garnetcrank::interface::*;
+use garnetcrank_policy::interface::*;
 
 fn fleet() -> Vec<Entry> {
     vec![entry(1, OLD), entry(2, OLD), entry(3, OLD), entry(8, NEW), entry(9, NEW)]
--- a/crates/front/benches/brain.rs
+++ b/crates/proxy/benches/brain.rs
@@ -1,14 +1,14 @@
 //! A prototype to choose by: what several threads get through one `Brain` under a lock, and through a `Brain` each.
 //! Socket work is stood in for by spinning, so that nothing but the sharing is measured.
 //!
-//! `cargo bench --locked -p garnetcrank-front --bench brain -- [--socket-us U] [--seconds S]` prints a table.
+//! `cargo bench --locked -p garnetcrank-proxy --bench brain -- [--socket-us U] [--seconds S]` prints a table.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use garnetcrank::Brain;
-use garnetcrank::interface::*;
+use garnetcrank_policy::Brain;
+use garnetcrank_policy::interface::*;
 use garnetcrank_settings::Settings;
 
 fn value(name: &str, default: f64) -> f64 {
--- a/crates/front/benches/cores.rs
+++ b/crates/proxy/benches/cores.rs
@@ -1,11 +1,11 @@
 //! What a request costs: at full load by clients and machines, at a steady rate, and at rest.
 //!
-//! `cargo bench --locked -p garnetcrank-front --bench cores -- [--seconds S] [--load-only 1] [--cores 1,2,4]` prints tables.
+//! `cargo bench --locked -p garnetcrank-proxy --bench cores -- [--seconds S] [--load-only 1] [--cores 1,2,4]` prints tables.
 
 use std::time::Duration;
 
-use garnetcrank_standins::front::Running;
-use garnetcrank_standins::load::{self, Heard, clients, processor_time};
+use garnetcrank_test_support::front::Running;
+use garnetcrank_test_support::load::{self, Heard, clients, processor_time};
 
 fn value(name: &str, default: f64) -> f64 {
     let mut args = std::env::args().skip_while(|arg| arg != name).skip(1);
--- a/crates/front/src/call.rs
+++ b/crates/proxy/src/call.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank::interface::Micros;
+use garnetcrank_policy::interface::Micros;
 use garnetcrank_http::{Response, ResponseReader, write_request};
 
 use crate::conn::Conn;
--- a/crates/front/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -5,7 +5,7 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness, RegistrationToken};
-use garnetcrank::interface::{Micros, RequestId};
+use garnetcrank_policy::interface::{Micros, RequestId};
 use garnetcrank_http::{Bad, Parsing, Request, RequestReader, write_response};
 use rustc_hash::FxHashMap;
 use socket2::{Domain, Socket, Type};
--- a/crates/front/src/cores.rs
+++ b/crates/proxy/src/cores.rs
@@ -7,8 +7,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use calloop::ping::{Ping, PingSource, make_ping};
-use garnetcrank::interface::{Build, Event, Micros, RequestId};
-use garnetcrank_sharing::{Decisions, Stamp, Standing};
+use garnetcrank_policy::interface::{Build, Event, Micros, RequestId};
+use garnetcrank_shared_policy::{Decisions, Stamp, Standing};
 
 use crate::clock::MS;
 use crate::counters::Counters;
@@ -183,7 +183,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use garnetcrank::interface::Fleet;
+    use garnetcrank_policy::interface::Fleet;
 
     fn shared(cores: usize) -> Shared {
         let value = serde_json::from_str(include_str!("../tests/settings.json")).expect("JSON");
@@ -225,7 +225,7 @@
     #[test]
     fn letters_come_in_order_and_once() {
         let shared = shared(2);
-        let letter = |n| Letter::Command(Command::CloseIdle(garnetcrank::interface::MachineId(n)));
+        let letter = |n| Letter::Command(Command::CloseIdle(garnetcrank_policy::interface::MachineId(n)));
         shared.post(Core(1), [letter(1), letter(2)]);
         shared.post(Core(1), [letter(3)]);
         let numbers: Vec<u32> = (shared.letters(Core(1)).into_iter())
--- a/crates/front/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank::interface::*;
+use garnetcrank_policy::interface::*;
 use garnetcrank_settings::Settings;
 use serde::Deserialize;
 use tracing::warn;
--- a/crates/front/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::sync::Arc;
 
-use garnetcrank::Brain;
-use garnetcrank::interface::*;
+use garnetcrank_policy::Brain;
+use garnetcrank_policy::interface::*;
 use garnetcrank_http::{Headers, Request as Message, Response};
 use garnetcrank_settings::Settings;
-use garnetcrank_sharing::Stamp;
+use garnetcrank_shared_policy::Stamp;
 use rustc_hash::FxHashMap;
 
 use crate::clock::MS;
--- a/crates/front/src/extras.rs
+++ b/crates/proxy/src/extras.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use garnetcrank::interface::{Micros, VoteMode};
+use garnetcrank_policy::interface::{Micros, VoteMode};
 use garnetcrank_settings::{Faulty, Settings};
 use serde::Deserialize;
 
--- a/crates/front/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -6,10 +6,10 @@
 
 use calloop::Readiness;
 use calloop::ping::PingSource;
-use garnetcrank::interface::*;
-use garnetcrank_ballots::{Origin, Step, Vote};
+use garnetcrank_policy::interface::*;
+use garnetcrank_vote_router::{Origin, Step, Vote};
 use garnetcrank_http::{Bad, Headers};
-use garnetcrank_sharing::Stamp;
+use garnetcrank_shared_policy::Stamp;
 use rustix::process::{Resource, getrlimit};
 use tracing::{info, warn};
 
--- a/crates/front/src/link.rs
+++ b/crates/proxy/src/link.rs
@@ -1,12 +1,12 @@
 //! The link to the agent on this machine: what it tells, and the verdicts that go to it. Where a verdict goes is
-//! decided in `garnetcrank-ballots`.
+//! decided in `garnetcrank-vote-router`.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank::interface::*;
-use garnetcrank_ballots::{Ballots, Line, Step, Vote};
+use garnetcrank_policy::interface::*;
+use garnetcrank_vote_router::{Ballots, Line, Step, Vote};
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 
--- a/crates/front/src/machines.rs
+++ b/crates/proxy/src/machines.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank::interface::*;
+use garnetcrank_policy::interface::*;
 use garnetcrank_http::{Headers, Request, Response, ResponseReader, write_request};
 use garnetcrank_settings::Transport;
 use rustc_hash::FxHashMap;
--- a/crates/front/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank::interface::*;
-use garnetcrank_ballots::{Origin, Vote};
+use garnetcrank_policy::interface::*;
+use garnetcrank_vote_router::{Origin, Vote};
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
--- a/crates/front/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,6 +1,6 @@
 //! What a client's request means to the decisions, from its path and headers.
 
-use garnetcrank::interface::{ClassId, Micros, TenantId};
+use garnetcrank_policy::interface::{ClassId, Micros, TenantId};
 use garnetcrank_http::{Bad, Request};
 use garnetcrank_settings::Settings;
 
--- a/crates/front/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -4,7 +4,7 @@
 
 use calloop::Readiness;
 use fastrand::Rng;
-use garnetcrank::interface::Micros;
+use garnetcrank_policy::interface::Micros;
 use garnetcrank_http::{StreamReader, write_request};
 use tracing::{info, warn};
 
--- a/crates/front/tests/agreement/mod.rs
+++ b/crates/proxy/tests/agreement/mod.rs
@@ -1,6 +1,6 @@
 //! A front with an agent beside it: verdicts go to the others while it is heard, and nothing is lost when it is not.
 
-use garnetcrank_standins::front::*;
+use garnetcrank_test_support::front::*;
 
 use super::{ok, on_trial, refuses_with};
 
--- a/crates/front/tests/cores/mod.rs
+++ b/crates/proxy/tests/cores/mod.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use garnetcrank_standins::front::*;
+use garnetcrank_test_support::front::*;
 
 use super::{around, ok, on_trial};
 
--- a/crates/front/tests/front.rs
+++ b/crates/proxy/tests/front.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Output};
 
-use garnetcrank_standins::front::*;
+use garnetcrank_test_support::front::*;
 
 fn ok(body: &str) -> Does {
     Does::Answer(200, "X-Made-By: machine\r\n", body.as_bytes().to_vec())
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,7 @@
 //! The simulator's wire hands an instance this object in its first message; a front finds the same in its
 //! configuration. Times in it are milliseconds. Unknown keys are passed over.
 
-use garnetcrank::interface::*;
+use garnetcrank_policy::interface::*;
 use serde::Deserialize;
 
 /// A settings object that was read and checked.
--- a/crates/sharing/tests/model.rs
+++ b/crates/shared-policy/tests/model.rs
@@ -1,9 +1,9 @@
 //! A thread that tells of a lower cap, and threads that decide, look and send: every interleaving with one of them,
 //! many drawn at random with two.
-//! `cargo test --locked -p garnetcrank-sharing --features model`.
+//! `cargo test --locked -p garnetcrank-shared-policy --features model`.
 #![cfg(feature = "model")]
 
-use garnetcrank_sharing::{Decisions, Stamp, Standing};
+use garnetcrank_shared_policy::{Decisions, Stamp, Standing};
 use shuttle::sync::Arc;
 use shuttle::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use shuttle::thread;
--- a/crates/benchlink/src/link.rs
+++ b/crates/sim-adapter/src/link.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use garnetcrank::Brain;
-use garnetcrank::interface::*;
+use garnetcrank_policy::Brain;
+use garnetcrank_policy::interface::*;
 use garnetcrank_settings::{Settings, micros};
 
 use crate::wire::*;
--- a/crates/benchlink/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -36,7 +36,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            let _ = writeln!(io::stderr(), "garnetcrank-benchlink: {message}");
+            let _ = writeln!(io::stderr(), "garnetcrank-sim-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/tests/transcripts.rs
+++ b/crates/sim-adapter/tests/transcripts.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_garnetcrank-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_garnetcrank-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -1,6 +1,6 @@
 //! The power is cut at every operation of the device, with unsynced writes lost, kept or torn.
 
-use garnetcrank_standins::disk::Disk;
+use garnetcrank_test_support::disk::Disk;
 use garnetcrank_store::{Batch, HardState, Identity, Loaded, Record, Snapshot, Store, StoreError};
 
 fn me() -> Identity {
--- a/crates/standins/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use garnetcrank::Brain;
-use garnetcrank::interface::*;
+use garnetcrank_policy::Brain;
+use garnetcrank_policy::interface::*;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
--- a/crates/standins/src/front.rs
+++ b/crates/test-support/src/front.rs
@@ -392,7 +392,7 @@
             discovery: discovery.address,
             platform: platform.address,
             sockets: 1024,
-            settings: serde_json::from_str(include_str!("../../front/tests/settings.json")).expect("JSON"),
+            settings: serde_json::from_str(include_str!("../../proxy/tests/settings.json")).expect("JSON"),
             listen: None,
             extras: None,
         }
@@ -426,8 +426,8 @@
 pub fn program() -> PathBuf {
     let me = std::env::current_exe().expect("this program has a path");
     let folder = me.parent().and_then(Path::parent).expect("a folder two levels up");
-    let program = folder.join("garnetcrank-front");
-    assert!(program.is_file(), "{}: build garnetcrank-front first", program.display());
+    let program = folder.join("garnetcrank-proxy");
+    assert!(program.is_file(), "{}: build garnetcrank-proxy first", program.display());
     program
 }
 
--- a/crates/standins/tests/fleet.rs
+++ b/crates/test-support/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! What hundreds of fronts together send to cold machines of one core while all others are drained.
 
-use garnetcrank_standins::fleet::{Came, Hints, Plan, play};
+use garnetcrank_test_support::fleet::{Came, Hints, Plan, play};
 
 fn bears(plan: Plan) -> Came {
     let came = play(plan);
--- a/crates/ballots/src/lib.rs
+++ b/crates/vote-router/src/lib.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use garnetcrank::interface::{Ballot, Build, Micros, Phase, Stage, Verdict};
+use garnetcrank_policy::interface::{Ballot, Build, Micros, Phase, Stage, Verdict};
 
 /// A verdict on a build at a stage.
 pub type Vote = (Build, usize, Verdict);
