--- a/crates/consensus/examples/handover/disk.rs
+++ b/crates/consensus/examples/handover/disk.rs
@@ -1,8 +1,8 @@
 //! Disks of simulated instances: a fast model of the store, or the store itself on a disk whose power can be cut.
 
 use garnetcrank_consensus::ids::InstanceId;
-use garnetcrank_test_support::disk::Disk;
 use garnetcrank_store::{Batch, Identity, Loaded, Store};
+use garnetcrank_test_support::disk::Disk;
 
 /// Which disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/api.rs
@@ -16,7 +16,7 @@
     /// A client's request, as the front numbers it.
     RequestId(u32);
     /// A machine, numbered by this instance's own caller.
-    MachineId(u32);
+    EndpointId(u32);
     /// The subject of a request; requests on one subject belong together.
     KeyId(u32);
     /// A build of the servers' software; later builds have higher numbers.
@@ -37,7 +37,7 @@
 
 /// Which machines discard the repeat of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum KeyScope {
     /// Every machine.
     All,
     /// The machines of one zone.
@@ -48,18 +48,18 @@
 
 /// What running a request twice would do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be repeated and refused freely.
-    Safe,
+    Idempotent,
     /// Nothing within `window` of the first send, at machines of the same `scope`.
     Keyed {
         /// Who discards the repeat.
-        scope: Scope,
+        scope: KeyScope,
         /// For how long.
         window: Micros,
     },
     /// Harm: it must never run twice.
-    Once,
+    NonIdempotent,
 }
 
 /// A class of requests.
@@ -68,15 +68,15 @@
     /// For log lines only.
     pub name: String,
     /// What a repeat would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// An answer inside this time earns full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long a client waits across all its tries.
     pub deadline: Micros,
     /// Worth of one request (or of one unit of work).
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Answers are streamed.
     pub streamed: bool,
 }
@@ -104,10 +104,10 @@
 
 /// Whether earlier machines remain while their successors are on trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Replace {
+pub enum ReplacementMode {
     /// They stay until the release.
     #[default]
-    Beside,
+    SideBySide,
     /// Each is drained once its successor runs.
     InPlace,
 }
@@ -118,31 +118,31 @@
     /// How votes move a build.
     pub mode: VoteMode,
     /// How machines are replaced.
-    pub replace: Replace,
+    pub replacement: ReplacementMode,
     /// Share of the fleet at each stage.
     pub stages: Vec<f64>,
     /// Exposure cap at each stage.
-    pub caps: Vec<f64>,
+    pub exposure_caps: Vec<f64>,
     /// Exposure window.
-    pub window: Micros,
+    pub exposure_window: Micros,
     /// Attempts free of the cap in each window.
-    pub free: f64,
+    pub exposure_allowance: f64,
     /// Exposure counts for each class by itself.
-    pub by_class: bool,
+    pub exposure_by_class: bool,
     /// Stages in which only safe classes may go to the trial build.
     pub guarded_stages: usize,
     /// A key answered by the trial build goes to no earlier one.
-    pub one_way: bool,
+    pub forward_only_keys: bool,
     /// How long a vote stands.
-    pub vote_life: Micros,
+    pub vote_ttl: Micros,
     /// Longest wait for a vote's answer.
-    pub vote_wait: Micros,
+    pub vote_timeout: Micros,
     /// Instances whose votes must stand together to send a build back.
-    pub back_votes: u32,
+    pub rollback_quorum: u32,
     /// Votes a second that the platform takes from all instances.
     pub votes_per_s: f64,
     /// How long a stage lasts under [`VoteMode::Timer`].
-    pub step: Micros,
+    pub stage_duration: Micros,
     /// Price of serving everything by an old build.
     pub delay_price: f64,
     /// Price of wrong answers and failed effects.
@@ -153,9 +153,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct Config {
     /// Instances in this tier.
-    pub fronts: u32,
+    pub instance_count: u32,
     /// This instance's number among them, from 0.
-    pub index: u32,
+    pub instance_index: u32,
     /// This instance's own zone.
     pub zone: ZoneId,
     /// The classes of request.
@@ -163,23 +163,23 @@
     /// The tenants, if any.
     pub tenants: Vec<Tenant>,
     /// Worth goes by work, not by request.
-    pub worth_by_work: bool,
+    pub priority_by_work: bool,
     /// Worth of traffic past a tenant's share.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// The fleet list must be asked for.
-    pub ask_for_fleet: bool,
+    pub poll_endpoints: bool,
     /// Without asking for this long, the instance counts as told.
-    pub ask_within: Micros,
+    pub poll_timeout: Micros,
     /// Machines may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Attempts may be withdrawn.
-    pub withdrawals: bool,
+    pub cancellation: bool,
     /// Two attempts of a request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Messages to peers are allowed.
-    pub peer_messages: bool,
+    pub gossip: bool,
     /// Advice when to come back reaches clients, up to this span.
-    pub retry_advice: Option<Micros>,
+    pub retry_after: Option<Micros>,
     /// Attempts allowed for one request.
     pub max_attempts: usize,
     /// Gap between two rounds of events at the least.
@@ -187,13 +187,13 @@
     /// Grace after the news of a drain or a lower cap.
     pub drain_grace: Micros,
     /// Share of its capacity that a started machine has at the least.
-    pub cold_from: f64,
+    pub slow_start_initial: f64,
     /// Time within which it is warm.
-    pub warm_after: Micros,
+    pub slow_start_duration: Micros,
     /// Multiple of its present capacity that pushes a cold machine over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Window of that multiple.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
     /// Ratings of machines compare sizes.
@@ -204,21 +204,21 @@
 
 /// What the fleet list says of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Presence {
+pub enum EndpointStatus {
     /// It runs.
     #[default]
-    On,
+    Active,
     /// It completes its work and takes nothing new.
     Draining,
     /// It has gone.
-    Gone,
+    Removed,
 }
 
 /// One line of the fleet list.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Entry {
+pub struct EndpointRecord {
     /// The machine.
-    pub machine: MachineId,
+    pub endpoint: EndpointId,
     /// Its kind.
     pub kind: KindId,
     /// Its zone.
@@ -228,7 +228,7 @@
     /// The build it runs.
     pub build: Build,
     /// Whether it runs.
-    pub presence: Presence,
+    pub status: EndpointStatus,
     /// Its latest start, if not long past.
     pub started: Option<Micros>,
     /// A figure to compare with other machines'.
@@ -237,109 +237,109 @@
 
 /// News of the fleet list.
 #[derive(Debug, Clone)]
-pub enum Fleet {
+pub enum EndpointUpdate {
     /// The whole list; `saved` when it is what an earlier run last held.
-    Whole {
+    Snapshot {
         /// Every machine.
-        entries: Vec<Entry>,
+        endpoints: Vec<EndpointRecord>,
         /// Possibly outdated.
-        saved: bool,
+        cached: bool,
     },
     /// Changed entries only.
-    Changes(Vec<Entry>),
+    Delta(Vec<EndpointRecord>),
     /// A call for the list failed, or a subscription broke.
-    Unreachable,
+    Unavailable,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered.
-    Served,
+    Success,
     /// The machine answered with an error; it may have run.
     Error,
     /// No answer in time; it may have run or be running.
     TimedOut,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionLost,
     /// Withdrawn by us; it may have run.
-    Withdrawn,
+    Cancelled,
     /// Turned away unseen: never ran.
-    Full,
+    Overloaded,
     /// No connection: never ran.
-    Unreached,
+    ConnectFailed,
     /// Not sent at all: never ran.
-    Unsent,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the request may have run.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Full | Outcome::Unreached | Outcome::Unsent)
+        !matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 /// Where a build stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum RolloutPhase {
     /// On trial.
-    Trial,
+    OnTrial,
     /// Going back.
-    GoingBack,
+    RollingBack,
     /// Released.
     Released,
     /// Taken off.
     Withdrawn,
 }
 
-impl Phase {
+impl RolloutPhase {
     /// Whether the build serves or may come to: neither going back nor taken off.
-    pub fn stands(self) -> bool {
-        matches!(self, Phase::Trial | Phase::Released)
+    pub fn is_active(self) -> bool {
+        matches!(self, RolloutPhase::OnTrial | RolloutPhase::Released)
     }
 }
 
 /// What the platform says of the newest build.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Stage {
+pub struct RolloutStatus {
     /// The newest build.
     pub build: Build,
     /// Its stage, from 0.
     pub stage: usize,
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     /// Cap on exposure, 0 to 1.
-    pub cap: f64,
+    pub exposure_cap: f64,
     /// Time since this state began.
     pub age: Micros,
 }
 
 /// The platform's answer to a vote.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ballot {
+pub enum VoteResult {
     /// It counts.
     Counted,
     /// Not the present build or stage, or no such verdict here.
-    Moot,
+    Obsolete,
     /// The platform takes no more votes just now.
-    NoRoom,
+    RateLimited,
     /// An error: it does not count.
     Failed,
     /// No answer: it may count.
-    Doubtful,
+    Unknown,
 }
 
 /// What a vote says of a build.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// Go on.
-    On,
+    Advance,
     /// Hold the clock.
     Hold,
     /// Send it back.
-    Back,
+    RollBack,
     /// Take this instance's vote away.
-    None,
+    Abstain,
 }
 
 /// A client's request.
@@ -356,14 +356,14 @@
     /// When this try is given up.
     pub deadline: Micros,
     /// Expected work, where hinted.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// A client's repeat, where clients say so.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// The end of an attempt.
 #[derive(Debug, Clone)]
-pub struct Done {
+pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt.
@@ -371,55 +371,55 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub lag: Micros,
+    pub latency: Micros,
     /// The request is over.
-    pub over: bool,
+    pub request_finished: bool,
     /// The machine's load report, in the order of the settings.
-    pub load: Vec<f64>,
+    pub load_report: Vec<f64>,
 }
 
 /// One thing that happened to this instance.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// News of the fleet.
-    Fleet(Fleet),
+    EndpointsUpdated(EndpointUpdate),
     /// A request arrived.
     Request(Request),
     /// The answer to an attempt has begun; it is the client's now.
-    Begun {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: usize,
     },
     /// An attempt ended.
-    Done(Done),
+    AttemptCompleted(AttemptResult),
     /// The client has left; nothing is owed any more.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer is due.
     Timer(u64),
     /// A probe ended.
-    Probed {
+    HealthCheckCompleted {
         /// The machine.
-        machine: MachineId,
+        endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        lag: Micros,
+        latency: Micros,
         /// The machine's load report.
-        load: Vec<f64>,
+        load_report: Vec<f64>,
     },
     /// A message from a peer.
-    Peer {
+    GossipReceived {
         /// Who sent it.
         from: PeerId,
         /// What it says.
         bytes: Vec<u8>,
     },
     /// The platform's news of the newest build.
-    Stage(Stage),
+    RolloutUpdated(RolloutStatus),
     /// The platform's answer to our vote; the state too where it is known.
-    Voted(Ballot, Option<Stage>),
+    VoteCompleted(VoteResult, Option<RolloutStatus>),
     /// The platform's count of one build and class over a past period.
     Tally {
         /// The build.
@@ -436,9 +436,9 @@
         age: Micros,
     },
     /// A client found an answer wrong.
-    Flagged {
+    AnswerFlagged {
         /// Who answered.
-        machine: MachineId,
+        endpoint: EndpointId,
         /// The class.
         class: ClassId,
         /// Time since that attempt was sent.
@@ -450,27 +450,27 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Place {
+    Forward {
         /// The request.
         id: RequestId,
         /// Where.
-        machine: MachineId,
+        endpoint: EndpointId,
         /// Its time-out; none: until the client gives up.
-        time_out: Option<Micros>,
+        timeout: Option<Micros>,
     },
     /// Stop waiting for an attempt.
-    Withdraw {
+    Cancel {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: usize,
     },
     /// Final answer: rejected, safe to send again.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// When to come back.
-        come_back: Option<Micros>,
+        retry_after: Option<Micros>,
     },
     /// Final answer: failed, nothing promised.
     Fail(RequestId),
@@ -482,20 +482,20 @@
         token: u64,
     },
     /// Probe a machine.
-    Probe(MachineId),
+    HealthCheck(EndpointId),
     /// Close idle connections to a machine.
-    CloseIdle(MachineId),
+    CloseIdle(EndpointId),
     /// Send a message to one peer, or to all.
-    Tell {
+    SendGossip {
         /// One peer; none: all.
         to: Option<PeerId>,
         /// What to say.
         bytes: Vec<u8>,
     },
     /// Subscribe to changes of the fleet list.
-    Subscribe(bool),
+    WatchEndpoints(bool),
     /// Ask for the whole list once.
-    AskFleet,
+    PollEndpoints,
     /// Cast this instance's vote.
     Vote {
         /// The build.
--- a/crates/policy/src/brain.rs
+++ b/crates/policy/src/brain.rs
@@ -1,11 +1,11 @@
-//! Every decision of garnetcrank and every tuned constant. What goes in and out is in `crates/policy/src/interface.rs`,
+//! Every decision of garnetcrank and every tuned constant. What goes in and out is in `crates/policy/src/api.rs`,
 //! the plain data kept in between in `crates/policy/src/state.rs`. The mechanism is that of docs/design.md.
 
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
 
-use crate::interface::*;
+use crate::api::*;
 use crate::state::*;
 
 const MS: Micros = 1_000;
@@ -78,17 +78,17 @@
 
 /// The decisions of one instance: a state machine over events and the clock that comes with them.
 #[derive(Default)]
-pub struct Brain {
+pub struct Policy {
     config: Config,
     rng: Rng,
     now: Micros,
     out: Vec<Action>,
     started: bool,
-    machines: BTreeMap<MachineId, Machine>,
-    listed: Vec<MachineId>, // those that run, in the order of the latest draws
+    machines: BTreeMap<EndpointId, Machine>,
+    listed: Vec<EndpointId>, // those that run, in the order of the latest draws
     ask_at: Option<Micros>,
     ask_wait: Micros,
-    news: Option<Stage>,
+    news: Option<RolloutStatus>,
     recount_at: Option<Micros>,
     replaced: Micros, // when a machine last came or went
     staged: Micros,   // when the build's stage or phase last changed
@@ -114,16 +114,16 @@
     groups: Vec<Group>, // the classes, then the tenants
 }
 
-impl Brain {
+impl Policy {
     /// A new instance that knows nothing but its settings.
     pub fn new(seed: u64, config: Config) -> Self {
         // A tick short, as attempts are counted a tick long: rounding never favours us.
-        let span = config.rollout.window.saturating_sub(config.resolution);
+        let span = config.rollout.exposure_window.saturating_sub(config.resolution);
         let mut rng = Rng::with_seed(seed);
-        Brain {
-            tells: rng.f64() * f64::from(config.fronts) < TELLERS,
+        Policy {
+            tells: rng.f64() * f64::from(config.instance_count) < TELLERS,
             rng,
-            ask_at: config.ask_for_fleet.then_some(0),
+            ask_at: config.poll_endpoints.then_some(0),
             ask_wait: AGAIN_FIRST,
             requests: Window::new(span, config.classes.len()),
             vote_wait: VOTE_AGAIN,
@@ -143,37 +143,39 @@
             self.out.push(Action::SetTimer { after: TICK, token: 0 });
         }
         match event {
-            Event::Fleet(news) => self.fleet(news),
+            Event::EndpointsUpdated(news) => self.fleet(news),
             Event::Request(request) => self.request(request),
-            Event::Begun { id, .. } => drop(self.held.entry(id).and_modify(|h| h.life = Life::Begun)),
-            Event::Done(done) => self.done(&done),
-            Event::Gone(id) => self.end(id),
+            Event::ResponseStarted { id, .. } => {
+                drop(self.held.entry(id).and_modify(|h| h.life = Life::Begun))
+            }
+            Event::AttemptCompleted(done) => self.done(&done),
+            Event::ClientDisconnected(id) => self.end(id),
             Event::Timer(_) => self.housekeeping(),
-            Event::Stage(stage) => self.stage(stage),
-            Event::Voted(ballot, stage) => self.voted(ballot, stage),
-            Event::Flagged { machine, class, age } => {
+            Event::RolloutUpdated(stage) => self.stage(stage),
+            Event::VoteCompleted(ballot, stage) => self.voted(ballot, stage),
+            Event::AnswerFlagged { endpoint: machine, class, age } => {
                 let seen = Seen { at: now, outcome: Outcome::Error, slower: None, excess: None, machine };
                 if let Some(build) = self.machines.get(&machine).map(|m| m.entry.build) {
                     self.record(build).add(class, seen, now.saturating_sub(age), KEPT);
                 }
             }
-            Event::Tally { .. } | Event::Probed { .. } | Event::Peer { .. } => {}
+            Event::Tally { .. } | Event::HealthCheckCompleted { .. } | Event::GossipReceived { .. } => {}
         }
         out.append(&mut self.out);
     }
 
     // ---- Fleet and health view ----
 
-    fn fleet(&mut self, news: Fleet) {
+    fn fleet(&mut self, news: EndpointUpdate) {
         let (entries, saved) = match news {
-            Fleet::Unreachable => {
+            EndpointUpdate::Unavailable => {
                 let wait = self.ask_wait / 2 + self.rng.u64(0..self.ask_wait);
-                self.ask_at = self.config.ask_for_fleet.then_some(self.now + wait);
+                self.ask_at = self.config.poll_endpoints.then_some(self.now + wait);
                 self.ask_wait = (self.ask_wait * 2).min(AGAIN_MOST);
                 return;
             }
-            Fleet::Changes(entries) => (entries, false),
-            Fleet::Whole { entries, saved } => {
+            EndpointUpdate::Delta(entries) => (entries, false),
+            EndpointUpdate::Snapshot { endpoints: entries, cached: saved } => {
                 self.machines.values_mut().for_each(|m| m.listed = false);
                 (entries, saved)
             }
@@ -185,17 +187,17 @@
             self.record(entry.build);
             // The same at every front but for its number: their turns at a machine lie evenly spread.
             let mut spread = Rng::with_seed(entry.started.unwrap_or(0) ^ (u64::from(entry.cell.0) << 48));
-            let own = f64::from(self.config.index) / f64::from(self.config.fronts.max(1));
+            let own = f64::from(self.config.instance_index) / f64::from(self.config.instance_count.max(1));
             let phase = (spread.f64() + own).fract();
             let cold_part = self.part_of(entry.kind);
             let fresh = || Machine { entry, phase, cold_part, ejection: AGAIN_FIRST, ..Machine::default() };
-            let machine = self.machines.entry(entry.machine).or_insert_with(fresh);
+            let machine = self.machines.entry(entry.endpoint).or_insert_with(fresh);
             if machine.entry.started != entry.started || machine.entry.build != entry.build {
                 // Another process: what was known of the earlier one is void, what is in flight is not.
                 *machine = Machine { open: machine.open, ..fresh() };
             }
             machine.entry = entry;
-            let listed = entry.presence == Presence::On;
+            let listed = entry.status == EndpointStatus::Active;
             self.replaced = if machine.listed != listed { self.now } else { self.replaced };
             machine.listed = listed;
         }
@@ -204,9 +206,11 @@
     }
 
     /// How much of its capacity a machine surely has; none: long warm.
-    fn warmth(&self, entry: &Entry) -> Option<f64> {
-        let risen = self.now.saturating_sub(entry.started?) as f64 / self.config.warm_after.max(1) as f64;
-        (risen < 1.0).then_some(self.config.cold_from + (1.0 - self.config.cold_from) * risen)
+    fn warmth(&self, entry: &EndpointRecord) -> Option<f64> {
+        let risen =
+            self.now.saturating_sub(entry.started?) as f64 / self.config.slow_start_duration.max(1) as f64;
+        (risen < 1.0)
+            .then_some(self.config.slow_start_initial + (1.0 - self.config.slow_start_initial) * risen)
     }
 
     /// What warm machines of its kind carry of this front's work is its part of a machine that starts: all
@@ -214,12 +218,12 @@
     /// fraction of a core. Danger: a standard core is more than a slow or small machine has. Harm: at low
     /// load, or soon after its own start, a front uses less of a cold machine than it would bear.
     fn part_of(&self, kind: KindId) -> f64 {
-        let fronts = f64::from(self.config.fronts);
+        let fronts = f64::from(self.config.instance_count);
         let carried = self.carried.get(&kind).map_or(0.0, |c| c.mean);
         let part = carried.max(SURE_CORE / fronts);
         // Where a part is below a request, what all send is a sum of chance: its spread is kept free too.
-        let (multiple, window) = (self.config.fall_multiple, self.config.fall_window as f64);
-        let budget = multiple * self.config.cold_from * window * part;
+        let (multiple, window) = (self.config.overload_multiple, self.config.overload_window as f64);
+        let budget = multiple * self.config.slow_start_initial * window * part;
         let chance = CHANCE_KEPT * (self.typical.mean / (budget * fronts)).sqrt();
         let shared = (((chance * chance + 4.0).sqrt() - chance) / 2.0).powi(2);
         part * if budget >= self.typical.mean { COLD_USE } else { shared.min(COLD_USE) }
@@ -228,7 +232,12 @@
     /// What this front's part of a machine's cold budget has come to since its start, if it is cold, and
     /// what it grows by in the fall window.
     fn cold_budget(&self, machine: &Machine) -> Option<(f64, f64)> {
-        let Config { cold_from, fall_multiple, fall_window, .. } = self.config;
+        let Config {
+            slow_start_initial: cold_from,
+            overload_multiple: fall_multiple,
+            overload_window: fall_window,
+            ..
+        } = self.config;
         let warmth = self.warmth(&machine.entry)?;
         let age = self.now.saturating_sub(machine.entry.started?) as f64;
         let rate = fall_multiple * machine.cold_part;
@@ -255,29 +264,29 @@
     /// Expected work of a request: its hint, else the usual time of its class (which errs upwards).
     fn work(&self, request: &Request) -> f64 {
         let usual = || self.usual.get(&(request.class, None)).filter(|u| u.count > 0);
-        request.hint.map_or_else(|| usual().map_or(UNKNOWN_WORK, |u| u.mean.exp()), |h| h as f64)
+        request.work_hint.map_or_else(|| usual().map_or(UNKNOWN_WORK, |u| u.mean.exp()), |h| h as f64)
     }
 
     /// Notes what an attempt tells of its machine: its pace, its faults, and whether to eject it.
-    fn machine_outcome(&mut self, id: MachineId, outcome: Outcome, slower: f64) {
+    fn machine_outcome(&mut self, id: EndpointId, outcome: Outcome, slower: f64) {
         let now = self.now;
         let Some(m) = self.machines.get(&id) else { return };
         let (of_build, faded) = (self.errors_of(m.entry.build), self.pace(m));
         let Some(machine) = self.machines.get_mut(&id) else { return };
-        let fault = outcome != Outcome::Served;
+        let fault = outcome != Outcome::Success;
         let sample = if fault { slower.max(FAULT_PACE) } else { slower };
         // Danger: a front with few requests meets a failing machine now and then, and needs five meetings to
         // tell. An outcome after long without any says more; not a time-out: a full fleet brings it, too.
         let apart = if machine.paced_at > 0 { now.saturating_sub(machine.paced_at) } else { 0 };
         let newest = match outcome {
-            Outcome::Served | Outcome::Error => NEWEST.max(1.0 - faded_after(apart)),
+            Outcome::Success | Outcome::Error => NEWEST.max(1.0 - faded_after(apart)),
             _ => NEWEST,
         };
         (machine.pace, machine.paced_at) = (faded + (sample - faded) * NEWEST, now);
         machine.faults += (f64::from(u8::from(fault)) - machine.faults) * newest;
         // A machine that can't be reached costs a connect time-out a try: out at once. One that fails goes
         // once it fails far more than its build does, whose failures are the judge's evidence.
-        let dead = outcome == Outcome::Unreached;
+        let dead = outcome == Outcome::ConnectFailed;
         let failing = machine.faults > EJECT_ABOVE + of_build;
         if !fault {
             machine.ejection = AGAIN_FIRST;
@@ -301,14 +310,14 @@
     /// Whether a build is on trial for this instance: the newest until told released, and any later one.
     fn on_trial(&self, build: Build) -> bool {
         match self.news {
-            Some(news) => build > news.build || (build == news.build && news.phase != Phase::Released),
+            Some(news) => build > news.build || (build == news.build && news.phase != RolloutPhase::Released),
             None => self.records.keys().next().is_some_and(|first| build > *first),
         }
     }
 
     fn record(&mut self, build: Build) -> &mut Record {
         let (now, classes) = (self.now, self.config.classes.len());
-        let span = self.config.rollout.window + self.config.resolution;
+        let span = self.config.rollout.exposure_window + self.config.resolution;
         self.records.entry(build).or_insert_with(|| Record::new(now, classes, span))
     }
 
@@ -342,7 +351,7 @@
         }
     }
 
-    fn times(&self, record: Option<&Record>) -> Vec<(MachineId, f64)> {
+    fn times(&self, record: Option<&Record>) -> Vec<(EndpointId, f64)> {
         let seen = record.into_iter().flat_map(|r| &r.seen[self.config.classes.len()]);
         seen.filter(|s| s.at + ALIVE > self.now).filter_map(|s| Some((s.machine, s.slower?))).collect()
     }
@@ -350,12 +359,12 @@
     /// How sure a front must be. Danger: a front with a handful of outcomes a stage never is. Where many must
     /// agree they guard against its chance. Harm: a trouble misleads many alike.
     fn surely(&self) -> f64 {
-        (SURELY - AGREED * f64::from(self.config.rollout.back_votes.max(1)).ln()).max(1.0)
+        (SURELY - AGREED * f64::from(self.config.rollout.rollback_quorum.max(1)).ln()).max(1.0)
     }
 
     /// From how many outcomes a front judges, where one alone needs so many; for the same reason.
     fn enough(&self, alone: usize) -> usize {
-        (alone / self.config.rollout.back_votes.max(1) as usize).max(LEAST)
+        (alone / self.config.rollout.rollback_quorum.max(1) as usize).max(LEAST)
     }
 
     /// Marks a build's times, all classes together: each outcome as its logarithm over the usual of its
@@ -382,9 +391,10 @@
     /// Danger: a build slows old and new alike. Harm: a hold on a good build; a trouble in step by chance.
     /// Exception: the stage moves on under the test, as news and holds travel. The build is withheld no more,
     /// and blamed if old and new are still slow 3 s after it was suspected. Harm: a trouble that came along.
-    fn judge_fleet(&mut self, stage: Stage) -> Mark {
+    fn judge_fleet(&mut self, stage: RolloutStatus) -> Mark {
         let (now, build, dosed) = (self.now, stage.build, self.dosed());
-        let (surely, enough, trial) = (self.surely(), self.enough(RECENT), stage.phase == Phase::Trial);
+        let (surely, enough, trial) =
+            (self.surely(), self.enough(RECENT), stage.phase == RolloutPhase::OnTrial);
         let mut times = self.times(self.earlier(build).filter(|_| trial));
         times.extend(self.times(self.records.get(&build).filter(|_| trial && !dosed)));
         let old = Level::of(&times);
@@ -433,14 +443,14 @@
 
     /// Brings the record of the newest build up to date: marks, failure timers, state.
     fn judge(&mut self) {
-        let Some(news) = self.news.filter(|n| n.phase.stands()) else { return };
+        let Some(news) = self.news.filter(|n| n.phase.is_active()) else { return };
         let (now, build, classes) = (self.now, news.build, self.config.classes.len());
         let fleet = self.judge_fleet(news);
         let Some(record) = self.records.get(&build).filter(|r| r.state == State::Soaking) else { return };
         let earlier = self.earlier(build);
         let mut marks: Vec<Mark> = (0..=classes).map(|c| self.judge_class(record, earlier, c)).collect();
         marks.extend([self.judge_times(record), fleet]);
-        let many = self.config.rollout.back_votes > 1;
+        let many = self.config.rollout.rollback_quorum > 1;
         let record = self.record(build);
         // Where many must agree all classes together count: a front that sees little would stay silent.
         record.judged = marks[..classes + usize::from(many)].iter().any(|m| *m != Mark::Unjudged);
@@ -462,24 +472,26 @@
 
     // ---- Voting ----
 
-    fn stage(&mut self, stage: Stage) {
+    fn stage(&mut self, stage: RolloutStatus) {
         let before = self.news.replace(stage);
         self.record(stage.build);
-        let state = |s: Stage| (s.build, s.stage, s.phase);
+        let state = |s: RolloutStatus| (s.build, s.stage, s.phase);
         if before.map(state) != Some(state(stage)) {
             self.staged = self.now;
             self.log(false, || format!("build {} stage {}: {:?}", stage.build.0, stage.stage, stage.phase));
         }
         self.recount_at = match before.filter(|b| b.build == stage.build) {
-            Some(before) if stage.cap < before.cap => Some(self.now + self.config.drain_grace),
-            Some(before) if stage.cap == before.cap => self.recount_at,
+            Some(before) if stage.exposure_cap < before.exposure_cap => {
+                Some(self.now + self.config.drain_grace)
+            }
+            Some(before) if stage.exposure_cap == before.exposure_cap => self.recount_at,
             _ => None,
         };
     }
 
     /// What this instance would have the platform do, if anything.
     fn wish(&self) -> Option<Vote> {
-        let news = self.news.filter(|n| n.phase.stands())?;
+        let news = self.news.filter(|n| n.phase.is_active())?;
         let record = self.records.get(&news.build)?;
         let vote = |verdict| Some(Vote { build: news.build, stage: news.stage, verdict });
         let timer = self.config.rollout.mode == VoteMode::Timer;
@@ -487,16 +499,16 @@
         let trial = self.machines.values().filter(|m| m.listed && m.entry.build == news.build);
         let latest = || trial.filter_map(|m| m.entry.started).max().unwrap_or(record.born);
         match news.phase {
-            _ if record.state == State::Failed => vote(Verdict::Back),
-            Phase::Released => None,
+            _ if record.state == State::Failed => vote(Verdict::RollBack),
+            RolloutPhase::Released => None,
             _ if failing => vote(Verdict::Hold).filter(|_| timer),
             _ if timer || !record.judged || self.now < latest() + SUSTAINED => None,
-            _ => vote(Verdict::On),
+            _ => vote(Verdict::Advance),
         }
     }
 
     fn vote(&mut self) {
-        let (now, wait, life) = (self.now, self.config.rollout.vote_wait, self.config.rollout.vote_life);
+        let (now, wait, life) = (self.now, self.config.rollout.vote_timeout, self.config.rollout.vote_ttl);
         if self.pending.is_some_and(|(_, at)| now < at + 2 * wait) {
             return;
         } else if self.pending.take().is_some() {
@@ -509,7 +521,7 @@
             (Some(wish), Some((vote, at))) if wish == vote && now < at + renew => return,
             (Some(wish), _) => wish,
             // A hold that no failure backs any more is taken away, so that it costs no further delay.
-            (None, Some((v, _))) if v.verdict == Verdict::Hold => Vote { verdict: Verdict::None, ..v },
+            (None, Some((v, _))) if v.verdict == Verdict::Hold => Vote { verdict: Verdict::Abstain, ..v },
             (None, _) => return,
         };
         if now < self.vote_not_before {
@@ -527,15 +539,15 @@
         self.vote_wait = (self.vote_wait * 2).min(VOTE_PATIENCE);
     }
 
-    fn voted(&mut self, ballot: Ballot, stage: Option<Stage>) {
+    fn voted(&mut self, ballot: VoteResult, stage: Option<RolloutStatus>) {
         if let Some((vote, at)) = self.pending.take() {
             match ballot {
-                Ballot::Counted => {
+                VoteResult::Counted => {
                     self.vote_wait = VOTE_AGAIN;
-                    self.standing = (vote.verdict != Verdict::None).then_some((vote, at));
+                    self.standing = (vote.verdict != Verdict::Abstain).then_some((vote, at));
                 }
                 // Not repeated at once: the stage has moved on, and news of it is on its way.
-                Ballot::Moot => self.vote_not_before = self.now + VOTE_PATIENCE / 2,
+                VoteResult::Obsolete => self.vote_not_before = self.now + VOTE_PATIENCE / 2,
                 _ => self.vote_later(),
             }
         }
@@ -557,14 +569,15 @@
             self.records.values_mut().for_each(|r| r.attempts.clear());
         }
         let rollout = &self.config.rollout;
-        let first = rollout.caps.first().copied().unwrap_or(0.0);
-        let (stage, cap) = self.news.filter(|n| n.build == build).map_or((0, first), |n| (n.stage, n.cap));
-        let safe = self.config.classes[class.0].effect == Effect::Safe;
+        let first = rollout.exposure_caps.first().copied().unwrap_or(0.0);
+        let (stage, cap) =
+            self.news.filter(|n| n.build == build).map_or((0, first), |n| (n.stage, n.exposure_cap));
+        let safe = self.config.classes[class.0].idempotency == Idempotency::Idempotent;
         if cap <= 0.0 || (stage < rollout.guarded_stages && !safe) {
             return false;
         }
-        let counted = rollout.by_class.then_some(class);
-        let allowed = rollout.free + cap * self.requests.count(now, counted);
+        let counted = rollout.exposure_by_class.then_some(class);
+        let allowed = rollout.exposure_allowance + cap * self.requests.count(now, counted);
         self.record(build).attempts.count(now, counted) + 1.0 <= allowed
     }
 
@@ -572,12 +585,12 @@
     /// to the letter. Danger: hundreds of fronts, one request each: where a part is below a request it is
     /// due by turns, spread over the fronts, and a turn that is not used soon is lost: else all fronts save
     /// one up and send it when a drain or a cut ends elsewhere. Harm: busy fronts fill it slowly.
-    fn cold_allows(&mut self, id: MachineId, request: &Request) -> bool {
+    fn cold_allows(&mut self, id: EndpointId, request: &Request) -> bool {
         let Some((earned, part)) = self.machines.get(&id).and_then(|m| self.cold_budget(m)) else {
             return true;
         };
         let work = self.work(request);
-        let (now, window, turn) = (self.now, self.config.fall_window, self.typical.mean.max(part));
+        let (now, window, turn) = (self.now, self.config.overload_window, self.typical.mean.max(part));
         let Some(m) = self.machines.get_mut(&id) else { return false };
         while m.cold_work.pop_front_if(|(at, _)| now - *at > window).is_some() {}
         let sent: f64 = m.cold_work.iter().map(|(_, w)| w).sum();
@@ -587,34 +600,34 @@
     }
 
     /// Rule 2: whether a further attempt may go to this machine, given those before it.
-    fn repeat_allows(&self, held: &Held, entry: &Entry) -> bool {
+    fn repeat_allows(&self, held: &Held, entry: &EndpointRecord) -> bool {
         let mut ran = held.attempts.iter().filter(|a| a.may_have_run());
         let Some(first) = ran.clone().map(|a| a.sent).min() else { return true };
-        let alone = self.config.second_copies || !held.attempts.iter().any(|a| a.open());
-        match self.config.classes[held.request.class.0].effect {
-            Effect::Safe => alone,
-            Effect::Once => false,
-            Effect::Keyed { scope, window } => {
+        let alone = self.config.hedging || !held.attempts.iter().any(|a| a.open());
+        match self.config.classes[held.request.class.0].idempotency {
+            Idempotency::Idempotent => alone,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { scope, window } => {
                 let with = |a: &Attempt| {
                     self.machines.get(&a.machine).is_some_and(|m| match scope {
-                        Scope::All => true,
-                        Scope::Zone => m.entry.zone == entry.zone,
-                        Scope::Cell => m.entry.cell == entry.cell,
+                        KeyScope::All => true,
+                        KeyScope::Zone => m.entry.zone == entry.zone,
+                        KeyScope::Cell => m.entry.cell == entry.cell,
                     })
                 };
-                alone && self.now + ON_THE_WAY < first + window && (scope == Scope::All || ran.all(with))
+                alone && self.now + ON_THE_WAY < first + window && (scope == KeyScope::All || ran.all(with))
             }
         }
     }
 
     /// A key that the trial build has answered goes to no earlier build, where the platform says so.
     fn key_allows(&self, key: Option<KeyId>, build: Build) -> bool {
-        let binds = |at: &Build| self.news.is_some_and(|n| n.build == *at && n.phase.stands());
+        let binds = |at: &Build| self.news.is_some_and(|n| n.build == *at && n.phase.is_active());
         key.and_then(|k| self.answered_keys.get(&k)).is_none_or(|at| build >= *at || !binds(at))
     }
 
     /// What health says of a machine that the rules allow for this request; none: a rule forbids it.
-    fn eligible(&mut self, held: &Held, id: MachineId) -> Option<Health> {
+    fn eligible(&mut self, held: &Held, id: EndpointId) -> Option<Health> {
         let &Machine { entry, ejected_until, dead, faults, .. } = self.machines.get(&id)?;
         let kept = self.exposure_allows(entry.build, held.request.class)
             && self.key_allows(held.request.key, entry.build)
@@ -622,7 +635,7 @@
             && self.cold_allows(id, &held.request);
         let (tried, ejected) = (held.attempts.iter().any(|a| a.machine == id), self.now < ejected_until);
         // What must not run twice is no try of a machine that failed of late, where others can be.
-        let once = |class: &Class| class.effect == Effect::Once;
+        let once = |class: &Class| class.idempotency == Idempotency::NonIdempotent;
         let once = once(&self.config.classes[held.request.class.0]) && !self.config.classes.iter().all(once);
         let wary = once && faults > EJECT_ABOVE / 2.0 + self.errors_of(entry.build);
         kept.then_some(match tried || ejected || wary || self.shunned(entry.build) {
@@ -642,8 +655,8 @@
 
     /// Power of two choices by requests in flight, for size, pace and zone, among a few machines drawn. Those
     /// that health advises against are left out unless they are most; unreachable ones for want of any other.
-    fn choose(&mut self, held: &Held) -> Option<MachineId> {
-        let mut found: [Vec<MachineId>; 3] = Default::default();
+    fn choose(&mut self, held: &Held) -> Option<EndpointId> {
+        let mut found: [Vec<EndpointId>; 3] = Default::default();
         for i in 0..self.listed.len() {
             if i >= LOOKED_AT && found[0].len() > 1 {
                 break;
@@ -671,12 +684,12 @@
     }
 
     /// How slow a machine's zone is of late; nothing lately: no slower than usual, so that it is tried again.
-    fn zone_pace(&self, id: MachineId) -> f64 {
+    fn zone_pace(&self, id: EndpointId) -> f64 {
         let pace = self.paces.get(&self.machines[&id].entry.zone);
         pace.filter(|p| p.count >= LEAST as u32 && p.at + ALIVE > self.now).map_or(0.0, |p| p.mean)
     }
 
-    fn load(&self, id: MachineId) -> f64 {
+    fn load(&self, id: EndpointId) -> f64 {
         let machine = &self.machines[&id];
         let across = machine.entry.zone != self.config.zone && self.config.cross_zone_price > 0.0;
         let size = machine.entry.rating.max(0.01) * self.warmth(&machine.entry).unwrap_or(1.0);
@@ -724,11 +737,11 @@
         if own.iter().flatten().any(|g| self.hopeless(*g)) && self.rng.f64() > TRICKLE {
             return false;
         }
-        let most = self.config.classes.iter().map(|c| c.worth).fold(1e-9, f64::max);
+        let most = self.config.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max);
         let share = request.tenant.map_or(1.0, |t| self.config.tenants[t.0].share);
         let over = own[1].is_some_and(|g| self.groups[g].part > OVER_SHARE * share);
-        let worth = self.config.classes[request.class.0].worth / most;
-        let worth = worth * if over { self.config.over_share_worth } else { 1.0 };
+        let worth = self.config.classes[request.class.0].priority_weight / most;
+        let worth = worth * if over { self.config.over_quota_weight } else { 1.0 };
         f64::from(self.open) < self.limit * (CHEAP_ROOM + (1.0 - CHEAP_ROOM) * worth)
     }
 
@@ -739,7 +752,11 @@
         let choice = self.choose(&held);
         let class = &self.config.classes[held.request.class.0];
         // An answer that earns nothing is not waited for: the work is better spent on others.
-        let useful = if class.late_worth > 0.0 { held.request.deadline } else { held.arrived + class.aim };
+        let useful = if class.late_priority_weight > 0.0 {
+            held.request.deadline
+        } else {
+            held.arrived + class.latency_objective
+        };
         let cut = useful < held.request.deadline && !class.streamed;
         if let Some(machine) = choice {
             let (entry, class) = (self.machines[&machine].entry, held.request.class);
@@ -756,21 +773,21 @@
             held.attempts.push(Attempt { machine, build, sent: now, warmth, late: false, outcome: None });
             self.open += 1;
             let time_out = cut.then(|| useful.saturating_sub(now).max(MS));
-            self.out.push(Action::Place { id, machine, time_out });
+            self.out.push(Action::Forward { id, endpoint: machine, timeout: time_out });
         }
         self.held.insert(id, held);
         choice.is_none().then(|| self.give_up(id));
     }
 
-    fn done(&mut self, done: &Done) {
-        let &Done { id, attempt, outcome, lag, over, .. } = done;
+    fn done(&mut self, done: &AttemptResult) {
+        let &AttemptResult { id, attempt, outcome, latency: lag, request_finished: over, .. } = done;
         let Some(mut held) = self.held.remove(&id) else { return };
         if let Some(tried) = held.attempts.get_mut(attempt).filter(|a| a.open()) {
             tried.outcome = Some(outcome);
             self.learn(&held.request, &held.attempts[attempt], outcome, lag);
         }
         let in_flight = held.attempts.iter().any(|a| a.open());
-        let aim = self.config.classes[held.request.class.0].aim;
+        let aim = self.config.classes[held.request.class.0].latency_objective;
         let useful = self.now + self.config.resolution < held.request.deadline.min(held.arrived + aim);
         let more = held.attempts.len() < self.config.max_attempts && useful && self.retries >= 1.0;
         let (over, begun) = (over || held.life == Life::Over, held.life == Life::Begun);
@@ -793,29 +810,29 @@
         self.open = self.open.saturating_sub(1);
         let Some(m) = self.machines.get_mut(&machine) else { return };
         m.open = m.open.saturating_sub(1);
-        let Entry { kind, zone, .. } = m.entry;
-        if matches!(outcome, Outcome::Withdrawn | Outcome::Unsent) {
+        let EndpointRecord { kind, zone, .. } = m.entry;
+        if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             return;
         }
-        if outcome == Outcome::Served && !cold {
+        if outcome == Outcome::Success && !cold {
             self.carried.entry(kind).or_default().served += self.work(request);
         }
-        let used = lag as f64 / self.config.classes[request.class.0].aim.max(1) as f64;
+        let used = lag as f64 / self.config.classes[request.class.0].latency_objective.max(1) as f64;
         // A quick refusal is no quick answer, a stalled machine no full fleet, a lost connection nothing.
-        let used = if outcome == Outcome::Served { used.min(1.0) } else { 1.0 };
-        let silent = late || matches!(outcome, Outcome::Unreached | Outcome::Broken);
+        let used = if outcome == Outcome::Success { used.min(1.0) } else { 1.0 };
+        let silent = late || matches!(outcome, Outcome::ConnectFailed | Outcome::ConnectionLost);
         self.time_used += (used - self.time_used) * if silent { 0.0 } else { TIME_NEWEST };
-        if matches!(outcome, Outcome::Served | Outcome::TimedOut) {
+        if matches!(outcome, Outcome::Success | Outcome::TimedOut) {
             let missed = f64::from(u8::from(used >= 1.0));
             for group in self.groups_of(request).into_iter().flatten() {
                 self.groups[group].missed += (missed - self.groups[group].missed) * NEWEST;
             }
         }
-        let value = (lag.max(1) as f64 / request.hint.map_or(1.0, |h| h.max(1) as f64)).ln();
+        let value = (lag.max(1) as f64 / request.work_hint.map_or(1.0, |h| h.max(1) as f64)).ln();
         // What is usual is learnt before a trial, lest what the trial does to the fleet becomes usual.
-        let trial = self.news.filter(|n| n.phase == Phase::Trial).map(|n| n.build);
+        let trial = self.news.filter(|n| n.phase == RolloutPhase::OnTrial).map(|n| n.build);
         let on_trial = self.on_trial(build);
-        let teaches = outcome == Outcome::Served && !cold && !on_trial;
+        let teaches = outcome == Outcome::Success && !cold && !on_trial;
         let [of_all, of_kind] = [None, Some(kind)].map(|kind| {
             let usual = self.usual.entry((request.class, kind)).or_default();
             if teaches && (trial.is_none() || usual.count < LEARNT) {
@@ -825,15 +842,15 @@
         });
         self.machine_outcome(machine, outcome, of_all.unwrap_or(0.0));
         let timed = match outcome {
-            Outcome::Served | Outcome::TimedOut => of_kind,
-            Outcome::Unreached => Some(FAULT_PACE),
+            Outcome::Success | Outcome::TimedOut => of_kind,
+            Outcome::ConnectFailed => Some(FAULT_PACE),
             _ => None,
         };
         let slower = timed.filter(|_| !cold);
         let pace = self.paces.entry(zone).or_default();
         slower.filter(|_| !on_trial).into_iter().for_each(|s| pace.add(self.now, s, TIME_NEWEST, ALIVE));
         // A cold machine's time-outs say nothing of its build, and it is taken for as slow as it may be.
-        if matches!(outcome, Outcome::Served | Outcome::Error) || outcome == Outcome::TimedOut && !cold {
+        if matches!(outcome, Outcome::Success | Outcome::Error) || outcome == Outcome::TimedOut && !cold {
             // At the last stage the earlier machines are being emptied and no measure any more.
             let last = self.news.is_none_or(|n| n.stage + 1 >= self.config.rollout.stages.len());
             let known = on_trial && !last && pace.count >= JUDGED_FROM as u32 && pace.at + ALIVE > self.now;
@@ -847,7 +864,7 @@
                 record.steps[((sent - since) / SUSTAINED).min(1) as usize].push((machine, slower));
             }
         }
-        let binds = self.config.rollout.one_way && outcome == Outcome::Served && on_trial;
+        let binds = self.config.rollout.forward_only_keys && outcome == Outcome::Success && on_trial;
         self.answered_keys.extend(request.key.filter(|_| binds).map(|key| (key, build)));
     }
 
@@ -855,11 +872,17 @@
     fn give_up(&mut self, id: RequestId) {
         let Some(held) = self.held.get(&id) else { return };
         let ran = held.may_have_run();
-        let Class { effect, aim, .. } = self.config.classes[held.request.class.0];
-        let repeats = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+        let Class { idempotency: effect, latency_objective: aim, .. } =
+            self.config.classes[held.request.class.0];
+        let repeats =
+            matches!(effect, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. });
         let soon = (aim as f64 * COME_BACK * (0.5 + self.rng.f64())) as Micros;
-        let come_back = self.config.retry_advice.map(|most| soon.min(most));
-        self.out.push(if repeats || !ran { Action::Refuse { id, come_back } } else { Action::Fail(id) });
+        let come_back = self.config.retry_after.map(|most| soon.min(most));
+        self.out.push(if repeats || !ran {
+            Action::Reject { id, retry_after: come_back }
+        } else {
+            Action::Fail(id)
+        });
         self.end(id);
     }
 
@@ -867,8 +890,8 @@
     fn end(&mut self, id: RequestId) {
         let Some(mut held) = self.held.remove(&id) else { return };
         let open = held.attempts.iter().enumerate().filter(|(_, a)| a.open());
-        if self.config.withdrawals && !matches!(held.life, Life::Begun | Life::Over) {
-            self.out.extend(open.clone().map(|(attempt, _)| Action::Withdraw { id, attempt }));
+        if self.config.cancellation && !matches!(held.life, Life::Begun | Life::Over) {
+            self.out.extend(open.clone().map(|(attempt, _)| Action::Cancel { id, attempt }));
         }
         if open.count() > 0 {
             held.life = Life::Over;
@@ -885,16 +908,16 @@
         self.vote();
         if self.ask_at.is_some_and(|at| self.now >= at) {
             self.ask_at = Some(self.now + 2 * AGAIN_MOST); // lest the answer is lost
-            self.out.push(Action::Subscribe(true));
+            self.out.push(Action::WatchEndpoints(true));
         }
         // What has not come by its aim is late, and counts then. Danger: where late answers are worth waiting
         // for, a full fleet would show as late as they come, and be sent more until then.
         for held in self.held.values_mut() {
-            let late = held.newly_late(self.now, self.config.classes[held.request.class.0].aim);
+            let late = held.newly_late(self.now, self.config.classes[held.request.class.0].latency_objective);
             self.time_used = 1.0 - (1.0 - self.time_used) * (1.0 - TIME_NEWEST).powi(late);
         }
         if self.time_used > FULL_TIME {
-            let least = LEAST_OPEN * self.listed.len() as f64 / f64::from(self.config.fronts);
+            let least = LEAST_OPEN * self.listed.len() as f64 / f64::from(self.config.instance_count);
             let least = least.max(LEAST_USUAL * self.usual_open);
             self.limit = (self.limit.min(f64::from(self.open)) * (1.0 - LIMIT_STEP)).max(least).max(1.0);
         } else if self.time_used < FREE_TIME {
@@ -918,7 +941,7 @@
 /// Whether a failure shows on most machines of a build, each by its mean over a bar.
 /// Danger: machines with quick errors, a neighbour or a crash among many fail a good build. Harm: a build
 /// that is bad on fewer than half of its machines goes on.
-fn breadth(seen: impl Iterator<Item = (MachineId, f64)>, over: f64) -> Mark {
+fn breadth(seen: impl Iterator<Item = (EndpointId, f64)>, over: f64) -> Mark {
     let machines = means(seen);
     let over = machines.iter().filter(|mean| **mean > over).count();
     if over * 2 > machines.len() { Mark::Fail } else { Mark::Pass }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decisions of a balancer that routes requests and votes on staged releases.
 //!
-//! [`interface`] holds the types that go in and out, [`brain`] every decision.
+//! [`api`] holds the types that go in and out, [`brain`] every decision.
 
+pub mod api;
 pub mod brain;
-pub mod interface;
 mod state;
 
-pub use brain::Brain;
+pub use brain::Policy;
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::interface::*;
+use crate::api::*;
 
 /// Attempts or requests of the last span, counted by class.
 #[derive(Default)]
@@ -85,7 +85,7 @@
 /// A machine of the list, and this instance's own view of its health.
 #[derive(Default)]
 pub(crate) struct Machine {
-    pub(crate) entry: Entry,
+    pub(crate) entry: EndpointRecord,
     pub(crate) listed: bool,
     pub(crate) open: u32,
     pub(crate) pace: f64, // smoothed logarithm of how much slower than usual its answers are ...
@@ -115,7 +115,7 @@
     pub(crate) outcome: Outcome,
     pub(crate) slower: Option<f64>, // logarithm over the usual of its class and kind, where comparable
     pub(crate) excess: Option<f64>, // and over what released builds took in its zone at the same moment
-    pub(crate) machine: MachineId,
+    pub(crate) machine: EndpointId,
 }
 
 /// What a class, or the times, of a build come to.
@@ -141,9 +141,9 @@
     pub(crate) suspected: Option<(Micros, f64)>, // of slowing all machines: since when, by how much
     pub(crate) cleared: Option<usize>,           // of that, at this stage
     pub(crate) slow_before: f64,                 // the fleet's rise while it was too small to matter
-    pub(crate) steps: [Vec<(MachineId, f64)>; 2], // the earlier build's times while it is withheld, and after
-    pub(crate) seen: Vec<VecDeque<Seen>>,        // one a class, then all together
-    pub(crate) judged: bool,                     // some class is
+    pub(crate) steps: [Vec<(EndpointId, f64)>; 2], // the earlier build's times while it is withheld, and after
+    pub(crate) seen: Vec<VecDeque<Seen>>,          // one a class, then all together
+    pub(crate) judged: bool,                       // some class is
     // One a class, all together, the build's times, what it does to the fleet.
     pub(crate) failing_since: Vec<Option<Micros>>,
     pub(crate) attempts: Window,
@@ -183,7 +183,7 @@
 
 /// One sending of a request.
 pub(crate) struct Attempt {
-    pub(crate) machine: MachineId,
+    pub(crate) machine: EndpointId,
     pub(crate) build: Build,
     pub(crate) sent: Micros,
     pub(crate) warmth: Option<f64>, // of its machine, where that was cold
@@ -247,7 +247,7 @@
 }
 
 impl Level {
-    pub(crate) fn of(values: &[(MachineId, f64)]) -> Self {
+    pub(crate) fn of(values: &[(EndpointId, f64)]) -> Self {
         let n = values.len().max(2) as f64;
         let mean = values.iter().map(|v| v.1).sum::<f64>() / n;
         let spread = values.iter().map(|v| (v.1 - mean).powi(2)).sum::<f64>() / (n - 1.0);
@@ -268,8 +268,8 @@
 }
 
 /// The mean of each machine's values.
-pub(crate) fn means(values: impl Iterator<Item = (MachineId, f64)>) -> Vec<f64> {
-    let mut machines: BTreeMap<MachineId, (f64, f64)> = BTreeMap::new();
+pub(crate) fn means(values: impl Iterator<Item = (EndpointId, f64)>) -> Vec<f64> {
+    let mut machines: BTreeMap<EndpointId, (f64, f64)> = BTreeMap::new();
     for (machine, value) in values {
         let (sum, count) = machines.entry(machine).or_insert((0.0, 0.0));
         (*sum, *count) = (*sum + value, *count + 1.0);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A small stage for scenario tests: one instance, three classes, a clock in milliseconds.
 #![allow(dead_code)]
 
-use garnetcrank_policy::Brain;
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::Policy;
+use garnetcrank_policy::api::*;
 
 pub const READ: ClassId = ClassId(0);
 pub const BOOK: ClassId = ClassId(1);
@@ -11,63 +11,63 @@
 pub const NEW: Build = Build(8);
 pub const MS: Micros = 1_000;
 
-pub fn class(name: &str, effect: Effect) -> Class {
+pub fn class(name: &str, effect: Idempotency) -> Class {
     Class {
         name: name.into(),
-        effect,
-        aim: 400 * MS,
+        idempotency: effect,
+        latency_objective: 400 * MS,
         deadline: 1_000 * MS,
-        worth: 1.0,
-        late_worth: 0.0,
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
         streamed: false,
     }
 }
 
 pub fn config() -> Config {
     Config {
-        fronts: 2,
+        instance_count: 2,
         classes: vec![
-            class("read", Effect::Safe),
-            class("book", Effect::Keyed { scope: Scope::All, window: 300 * MS }),
-            class("pay", Effect::Once),
+            class("read", Idempotency::Idempotent),
+            class("book", Idempotency::Keyed { scope: KeyScope::All, window: 300 * MS }),
+            class("pay", Idempotency::NonIdempotent),
         ],
-        ask_within: 10_000 * MS,
-        withdrawals: true,
-        second_copies: true,
+        poll_timeout: 10_000 * MS,
+        cancellation: true,
+        hedging: true,
         max_attempts: 4,
         resolution: 5 * MS,
         drain_grace: 500 * MS,
-        cold_from: 0.5,
-        warm_after: 4_000 * MS,
-        fall_multiple: 2.0,
-        fall_window: 1_000 * MS,
+        slow_start_initial: 0.5,
+        slow_start_duration: 4_000 * MS,
+        overload_multiple: 2.0,
+        overload_window: 1_000 * MS,
         rollout: Rollout {
             mode: VoteMode::Timer,
-            replace: Replace::InPlace,
+            replacement: ReplacementMode::InPlace,
             stages: vec![0.05, 0.4, 1.0],
-            caps: vec![0.1, 0.5, 1.0],
-            window: 2_000 * MS,
-            free: 2.0,
-            vote_life: 4_000 * MS,
-            vote_wait: 1_000 * MS,
+            exposure_caps: vec![0.1, 0.5, 1.0],
+            exposure_window: 2_000 * MS,
+            exposure_allowance: 2.0,
+            vote_ttl: 4_000 * MS,
+            vote_timeout: 1_000 * MS,
             votes_per_s: 10.0,
-            step: 3_000 * MS,
+            stage_duration: 3_000 * MS,
             ..Rollout::default()
         },
         ..Config::default()
     }
 }
 
-pub fn entry(machine: u32, build: Build) -> Entry {
-    Entry { machine: MachineId(machine), build, rating: 1.0, ..Entry::default() }
+pub fn entry(machine: u32, build: Build) -> EndpointRecord {
+    EndpointRecord { endpoint: EndpointId(machine), build, rating: 1.0, ..EndpointRecord::default() }
 }
 
-pub fn stage(build: Build, stage: usize, phase: Phase, cap: f64) -> Stage {
-    Stage { build, stage, phase, cap, age: 0 }
+pub fn stage(build: Build, stage: usize, phase: RolloutPhase, cap: f64) -> RolloutStatus {
+    RolloutStatus { build, stage, phase, exposure_cap: cap, age: 0 }
 }
 
 pub struct Rig {
-    pub brain: Brain,
+    pub brain: Policy,
     pub now: Micros,
     pub next: u32,
     /// The lines logged so far.
@@ -76,15 +76,15 @@
 
 impl Rig {
     pub fn new(config: Config) -> Self {
-        Rig { brain: Brain::new(11, config), now: 1_000_000 * MS, next: 0, log: Vec::new() }
+        Rig { brain: Policy::new(11, config), now: 1_000_000 * MS, next: 0, log: Vec::new() }
     }
 
     /// An instance that knows these machines and has heard that `NEW` is at its first stage.
-    pub fn on_trial(config: Config, entries: Vec<Entry>) -> Self {
+    pub fn on_trial(config: Config, entries: Vec<EndpointRecord>) -> Self {
         let mut rig = Rig::new(config);
         rig.list(entries);
-        rig.send(Event::Stage(stage(OLD, 2, Phase::Released, 1.0)));
-        rig.send(Event::Stage(stage(NEW, 0, Phase::Trial, 0.1)));
+        rig.send(Event::RolloutUpdated(stage(OLD, 2, RolloutPhase::Released, 1.0)));
+        rig.send(Event::RolloutUpdated(stage(NEW, 0, RolloutPhase::OnTrial, 0.1)));
         rig
     }
 
@@ -99,8 +99,8 @@
         out
     }
 
-    pub fn list(&mut self, entries: Vec<Entry>) -> Vec<Action> {
-        self.send(Event::Fleet(Fleet::Whole { entries, saved: false }))
+    pub fn list(&mut self, entries: Vec<EndpointRecord>) -> Vec<Action> {
+        self.send(Event::EndpointsUpdated(EndpointUpdate::Snapshot { endpoints: entries, cached: false }))
     }
 
     pub fn request(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
@@ -112,13 +112,20 @@
         self.next += 1;
         let id = RequestId(self.next);
         let deadline = self.now + 1_000 * MS;
-        let request = Request { id, class, tenant: None, key, deadline, hint, repeat: false };
+        let request = Request { id, class, tenant: None, key, deadline, work_hint: hint, is_retry: false };
         (id, self.send(Event::Request(request)))
     }
 
     pub fn done(&mut self, id: RequestId, attempt: usize, outcome: Outcome, lag: Micros) -> Vec<Action> {
-        let over = outcome == Outcome::Served;
-        self.send(Event::Done(Done { id, attempt, outcome, lag, over, load: Vec::new() }))
+        let over = outcome == Outcome::Success;
+        self.send(Event::AttemptCompleted(AttemptResult {
+            id,
+            attempt,
+            outcome,
+            latency: lag,
+            request_finished: over,
+            load_report: Vec::new(),
+        }))
     }
 
     pub fn tick(&mut self, ms: Micros) -> Vec<Action> {
@@ -134,13 +141,13 @@
         });
         let votes: Vec<Verdict> = cast.collect();
         for _ in &votes {
-            self.send(Event::Voted(Ballot::Counted, None));
+            self.send(Event::VoteCompleted(VoteResult::Counted, None));
         }
         votes
     }
 
     /// Sends a request and lets its first attempt end as `fate` says of its machine.
-    pub fn serve(&mut self, class: ClassId, fate: impl Fn(MachineId) -> Outcome) -> Option<MachineId> {
+    pub fn serve(&mut self, class: ClassId, fate: impl Fn(EndpointId) -> Outcome) -> Option<EndpointId> {
         let (id, out) = self.request(class);
         let mut place = placed(&out);
         let first = place;
@@ -156,7 +163,7 @@
 
     /// Traffic for `ms` milliseconds in ticks, one request of each class a tick; the votes cast meanwhile,
     /// each answered as counted.
-    pub fn traffic(&mut self, ms: Micros, fate: impl Fn(ClassId, MachineId) -> Outcome) -> Vec<Verdict> {
+    pub fn traffic(&mut self, ms: Micros, fate: impl Fn(ClassId, EndpointId) -> Outcome) -> Vec<Verdict> {
         let mut votes = Vec::new();
         let until = self.now + ms * MS;
         while self.now < until {
@@ -169,13 +176,13 @@
     }
 }
 
-pub fn placed(out: &[Action]) -> Option<MachineId> {
+pub fn placed(out: &[Action]) -> Option<EndpointId> {
     out.iter().find_map(|a| match a {
-        Action::Place { machine, .. } => Some(*machine),
+        Action::Forward { endpoint: machine, .. } => Some(*machine),
         _ => None,
     })
 }
 
 pub fn finals(out: &[Action]) -> usize {
-    out.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count()
+    out.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
 }
--- a/crates/policy/tests/votes.rs
+++ b/crates/policy/tests/votes.rs
@@ -3,29 +3,29 @@
 mod common;
 
 use common::*;
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::api::*;
 
-fn fleet() -> Vec<Entry> {
+fn fleet() -> Vec<EndpointRecord> {
     vec![entry(1, OLD), entry(2, OLD), entry(3, OLD), entry(8, NEW), entry(9, NEW)]
 }
 
-fn is_new(machine: MachineId) -> bool {
+fn is_new(machine: EndpointId) -> bool {
     machine.0 >= 8
 }
 
-fn fails_at_new(_: ClassId, machine: MachineId) -> Outcome {
-    if is_new(machine) { Outcome::Error } else { Outcome::Served }
+fn fails_at_new(_: ClassId, machine: EndpointId) -> Outcome {
+    if is_new(machine) { Outcome::Error } else { Outcome::Success }
 }
 
-fn served(_: ClassId, _: MachineId) -> Outcome {
-    Outcome::Served
+fn served(_: ClassId, _: EndpointId) -> Outcome {
+    Outcome::Success
 }
 
 fn in_mode(mode: VoteMode) -> Rig {
     let mut config = config();
     config.rollout.mode = mode;
     let mut rig = Rig::on_trial(config, fleet());
-    rig.send(Event::Stage(stage(NEW, 1, Phase::Trial, 0.5)));
+    rig.send(Event::RolloutUpdated(stage(NEW, 1, RolloutPhase::OnTrial, 0.5)));
     rig
 }
 
@@ -34,9 +34,9 @@
     let mut rig = in_mode(VoteMode::Timer);
     let votes = rig.traffic(2_500, fails_at_new);
     assert!(votes.contains(&Verdict::Hold), "{votes:?}");
-    assert!(!votes.contains(&Verdict::Back), "not before 3 s: {votes:?}");
+    assert!(!votes.contains(&Verdict::RollBack), "not before 3 s: {votes:?}");
     let votes = rig.traffic(4_000, fails_at_new);
-    assert!(votes.contains(&Verdict::Back), "{votes:?}");
+    assert!(votes.contains(&Verdict::RollBack), "{votes:?}");
 }
 
 #[test]
@@ -46,11 +46,11 @@
     let count = std::cell::Cell::new(0u32);
     let votes = rig.traffic(1_500, |_, m| {
         count.set(count.get() + u32::from(m.0 >= 6));
-        if m.0 >= 6 && count.get().is_multiple_of(4) { Outcome::Error } else { Outcome::Served }
+        if m.0 >= 6 && count.get().is_multiple_of(4) { Outcome::Error } else { Outcome::Success }
     });
     assert!(votes.contains(&Verdict::Hold), "{votes:?}");
     let votes = rig.traffic(6_000, served);
-    assert!(votes.contains(&Verdict::None) && !votes.contains(&Verdict::Back), "{votes:?}");
+    assert!(votes.contains(&Verdict::Abstain) && !votes.contains(&Verdict::RollBack), "{votes:?}");
 }
 
 #[test]
@@ -63,9 +63,12 @@
     for mode in [VoteMode::Any, VoteMode::Share] {
         let mut rig = in_mode(mode);
         let started = Some(rig.now);
-        rig.send(Event::Fleet(Fleet::Changes(vec![Entry { started, ..entry(9, NEW) }])));
+        rig.send(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![EndpointRecord {
+            started,
+            ..entry(9, NEW)
+        }])));
         assert_eq!(rig.traffic(2_800, served), [], "{mode:?}: not before the soak has passed");
-        assert!(rig.traffic(2_000, served).contains(&Verdict::On), "{mode:?}");
+        assert!(rig.traffic(2_000, served).contains(&Verdict::Advance), "{mode:?}");
     }
 }
 
@@ -73,7 +76,7 @@
 fn a_failing_build_is_neither_voted_on_nor_held_where_holds_are_unknown() {
     let mut rig = in_mode(VoteMode::Any);
     let votes = rig.traffic(8_000, fails_at_new);
-    assert_eq!(votes.first(), Some(&Verdict::Back), "{votes:?}");
+    assert_eq!(votes.first(), Some(&Verdict::RollBack), "{votes:?}");
 }
 
 #[test]
@@ -89,7 +92,7 @@
     let mut rig = in_mode(VoteMode::Any);
     let mut cast = Vec::new();
     for _ in 0..400 {
-        rig.serve(READ, |_| Outcome::Served);
+        rig.serve(READ, |_| Outcome::Success);
         let votes = rig.tick_votes(25);
         cast.extend(votes.iter().map(|_| rig.now));
     }
@@ -108,7 +111,7 @@
         for action in rig.tick(22) {
             if matches!(action, Action::Vote { .. }) {
                 cast.push(rig.now);
-                rig.send(Event::Voted(Ballot::NoRoom, None));
+                rig.send(Event::VoteCompleted(VoteResult::RateLimited, None));
             }
         }
     }
@@ -122,19 +125,19 @@
     let mut rig = in_mode(VoteMode::Timer);
     rig.traffic(1_000, served);
     rig.list(vec![entry(8, NEW), entry(9, NEW)]);
-    rig.send(Event::Stage(stage(NEW, 2, Phase::Released, 1.0)));
-    assert!(rig.traffic(8_000, fails_at_new).contains(&Verdict::Back));
-    rig.send(Event::Stage(stage(NEW, 2, Phase::GoingBack, 0.0)));
+    rig.send(Event::RolloutUpdated(stage(NEW, 2, RolloutPhase::Released, 1.0)));
+    assert!(rig.traffic(8_000, fails_at_new).contains(&Verdict::RollBack));
+    rig.send(Event::RolloutUpdated(stage(NEW, 2, RolloutPhase::RollingBack, 0.0)));
     assert_eq!(rig.traffic(3_000, fails_at_new), []);
 }
 
 #[test]
 fn a_new_build_starts_with_an_empty_record() {
     let mut rig = in_mode(VoteMode::Timer);
-    assert!(rig.traffic(5_000, fails_at_new).contains(&Verdict::Back));
-    rig.send(Event::Stage(stage(NEW, 1, Phase::Withdrawn, 0.0)));
+    assert!(rig.traffic(5_000, fails_at_new).contains(&Verdict::RollBack));
+    rig.send(Event::RolloutUpdated(stage(NEW, 1, RolloutPhase::Withdrawn, 0.0)));
     rig.list(vec![entry(1, OLD), entry(2, OLD), entry(3, OLD), entry(8, Build(9)), entry(9, Build(9))]);
-    rig.send(Event::Stage(stage(Build(9), 1, Phase::Trial, 0.5)));
+    rig.send(Event::RolloutUpdated(stage(Build(9), 1, RolloutPhase::OnTrial, 0.5)));
     assert_eq!(rig.traffic(6_000, served), []);
 }
 
@@ -144,9 +147,9 @@
     let every_fourth = std::cell::Cell::new(0u32);
     let votes = rig.traffic(8_000, |_, _| {
         every_fourth.set(every_fourth.get() + 1);
-        if every_fourth.get().is_multiple_of(4) { Outcome::Error } else { Outcome::Served }
+        if every_fourth.get().is_multiple_of(4) { Outcome::Error } else { Outcome::Success }
     });
-    assert!(!votes.contains(&Verdict::Back), "{votes:?}");
+    assert!(!votes.contains(&Verdict::RollBack), "{votes:?}");
 }
 
 #[test]
@@ -173,17 +176,17 @@
 /// One instance of hundreds: so many votes must agree before a build goes.
 fn one_of_many(mode: VoteMode, back_votes: u32) -> Rig {
     let mut config = config();
-    config.fronts = 300;
+    config.instance_count = 300;
     config.rollout.mode = mode;
-    config.rollout.back_votes = back_votes;
+    config.rollout.rollback_quorum = back_votes;
     let mut rig = Rig::on_trial(config, fleet());
-    rig.send(Event::Stage(stage(NEW, 1, Phase::Trial, 0.5)));
+    rig.send(Event::RolloutUpdated(stage(NEW, 1, RolloutPhase::OnTrial, 0.5)));
     rig
 }
 
 /// Traffic until so many outcomes have come from the build on trial, two classes in turn; then 4 s of the earlier
 /// build's alone. The votes cast.
-fn few(rig: &mut Rig, outcomes: u32, fate: impl Fn(MachineId) -> Outcome) -> Vec<Verdict> {
+fn few(rig: &mut Rig, outcomes: u32, fate: impl Fn(EndpointId) -> Outcome) -> Vec<Verdict> {
     let mut votes = Vec::new();
     let seen = std::cell::Cell::new(0);
     for i in 0..1_000 {
@@ -196,9 +199,9 @@
         }
     }
     assert!((outcomes..outcomes + 4).contains(&seen.get()), "a retry may add to them: {}", seen.get());
-    rig.send(Event::Stage(stage(NEW, 1, Phase::Trial, 0.0)));
+    rig.send(Event::RolloutUpdated(stage(NEW, 1, RolloutPhase::OnTrial, 0.0)));
     for _ in 0..80 {
-        rig.serve(READ, |m| if is_new(m) { fate(m) } else { Outcome::Served });
+        rig.serve(READ, |m| if is_new(m) { fate(m) } else { Outcome::Success });
         votes.extend(rig.tick_votes(50));
     }
     votes
@@ -208,17 +211,17 @@
 fn a_front_with_few_outcomes_is_heard_where_many_must_agree() {
     // Danger: of hundreds of fronts each has a handful of outcomes of a stage, none is judged, and a build that lets
     // requests time out is released and takes the fleet.
-    let late = |m| if is_new(m) { Outcome::TimedOut } else { Outcome::Served };
+    let late = |m| if is_new(m) { Outcome::TimedOut } else { Outcome::Success };
     let votes = few(&mut one_of_many(VoteMode::Timer, 15), 6, late);
-    assert!(votes.contains(&Verdict::Hold) && votes.contains(&Verdict::Back), "{votes:?}");
+    assert!(votes.contains(&Verdict::Hold) && votes.contains(&Verdict::RollBack), "{votes:?}");
     assert_eq!(few(&mut one_of_many(VoteMode::Timer, 1), 6, late), [], "one vote alone would do it");
 }
 
 #[test]
 fn a_good_build_goes_on_by_fronts_that_see_little_of_each_class() {
-    let served = |_| Outcome::Served;
+    let served = |_| Outcome::Success;
     let votes = few(&mut one_of_many(VoteMode::Share, 15), 6, served);
-    assert!(votes.contains(&Verdict::On), "{votes:?}");
+    assert!(votes.contains(&Verdict::Advance), "{votes:?}");
     // Where one vote moves it, and with fewer outcomes, nothing is said.
     assert_eq!(few(&mut one_of_many(VoteMode::Share, 1), 12, served), []);
     assert_eq!(few(&mut one_of_many(VoteMode::Share, 15), 3, served), []);
--- a/crates/proxy/benches/brain.rs
+++ b/crates/proxy/benches/brain.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use garnetcrank_policy::Brain;
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::Policy;
+use garnetcrank_policy::api::*;
 use garnetcrank_settings::Settings;
 
 fn value(name: &str, default: f64) -> f64 {
@@ -16,16 +16,27 @@
     args.next().map_or(default, |text| text.parse().unwrap_or_else(|e| panic!("{name}: {e}")))
 }
 
-fn brain() -> Brain {
+fn brain() -> Policy {
     let value = serde_json::from_str(include_str!("../tests/settings.json")).expect("JSON");
     let settings = Settings::read(&value).expect("settings");
-    let mut brain = Brain::new(7, settings.config);
-    let entry = |n| Entry { machine: MachineId(n), build: Build(4), rating: 1.0, ..Entry::default() };
+    let mut brain = Policy::new(7, settings.config);
+    let entry = |n| EndpointRecord {
+        endpoint: EndpointId(n),
+        build: Build(4),
+        rating: 1.0,
+        ..EndpointRecord::default()
+    };
     let mut actions = Vec::new();
-    let fleet = Fleet::Whole { entries: (0..8).map(entry).collect(), saved: false };
-    brain.handle(0, Event::Fleet(fleet), &mut actions);
-    let stage = Stage { build: Build(4), stage: 1, phase: Phase::Released, cap: 1.0, age: 1_000_000_000 };
-    brain.handle(0, Event::Stage(stage), &mut actions);
+    let fleet = EndpointUpdate::Snapshot { endpoints: (0..8).map(entry).collect(), cached: false };
+    brain.handle(0, Event::EndpointsUpdated(fleet), &mut actions);
+    let stage = RolloutStatus {
+        build: Build(4),
+        stage: 1,
+        phase: RolloutPhase::Released,
+        exposure_cap: 1.0,
+        age: 1_000_000_000,
+    };
+    brain.handle(0, Event::RolloutUpdated(stage), &mut actions);
     brain
 }
 
@@ -38,7 +49,7 @@
 
 /// What the threads share.
 struct Shared {
-    brain: Mutex<Brain>,
+    brain: Mutex<Policy>,
     /// Nanoseconds for which the lock was held.
     held: AtomicU64,
 }
@@ -69,8 +80,8 @@
                 tenant: Some(TenantId(0)),
                 key: None,
                 deadline: deadline(arrived),
-                hint: None,
-                repeat: false,
+                work_hint: None,
+                is_retry: false,
             };
             locked.handle(arrived, Event::Request(request), &mut actions);
         }
@@ -78,7 +89,7 @@
         drop(locked);
         let placed: Vec<RequestId> = (actions.drain(..))
             .filter_map(|action| match action {
-                Action::Place { id, .. } => Some(id),
+                Action::Forward { id, .. } => Some(id),
                 _ => None,
             })
             .collect();
@@ -86,9 +97,16 @@
         let mut locked = shared.brain.lock().unwrap_or_else(PoisonError::into_inner);
         let taken = Instant::now();
         for id in placed {
-            let outcome = Outcome::Served;
-            let done = Done { id, attempt: 0, outcome, lag: 400, over: true, load: Vec::new() };
-            locked.handle(now(), Event::Done(done), &mut actions);
+            let outcome = Outcome::Success;
+            let done = AttemptResult {
+                id,
+                attempt: 0,
+                outcome,
+                latency: 400,
+                request_finished: true,
+                load_report: Vec::new(),
+            };
+            locked.handle(now(), Event::AttemptCompleted(done), &mut actions);
             answered += 1;
         }
         if number == 0 {
--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/call.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank_policy::interface::Micros;
 use garnetcrank_http::{Response, ResponseReader, write_request};
+use garnetcrank_policy::api::Micros;
 
 use crate::conn::Conn;
 use crate::exchange::{Exchange, Step};
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -5,8 +5,8 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness, RegistrationToken};
-use garnetcrank_policy::interface::{Micros, RequestId};
 use garnetcrank_http::{Bad, Parsing, Request, RequestReader, write_response};
+use garnetcrank_policy::api::{Micros, RequestId};
 use rustc_hash::FxHashMap;
 use socket2::{Domain, Socket, Type};
 
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use garnetcrank_policy::interface::Micros;
+use garnetcrank_policy::api::Micros;
 
 /// One millisecond.
 pub const MS: Micros = 1_000;
--- a/crates/proxy/src/cores.rs
+++ b/crates/proxy/src/cores.rs
@@ -7,7 +7,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use calloop::ping::{Ping, PingSource, make_ping};
-use garnetcrank_policy::interface::{Build, Event, Micros, RequestId};
+use garnetcrank_policy::api::{Build, Event, Micros, RequestId};
 use garnetcrank_shared_policy::{Decisions, Stamp, Standing};
 
 use crate::clock::MS;
@@ -183,7 +183,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use garnetcrank_policy::interface::Fleet;
+    use garnetcrank_policy::api::EndpointUpdate;
 
     fn shared(cores: usize) -> Shared {
         let value = serde_json::from_str(include_str!("../tests/settings.json")).expect("JSON");
@@ -197,7 +197,7 @@
         let stamp = Stamp { news: 0, at: 1_000 * MS };
         assert!(shared.may_send(stamp, 1_000 * MS + LATE));
         assert!(!shared.may_send(stamp, 1_001 * MS + LATE), "its thread did not run");
-        shared.tell(Event::Fleet(Fleet::Changes(Vec::new())));
+        shared.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
         assert!(!shared.may_send(stamp, 1_000 * MS), "it was decided without the news");
         let unheard = Stamp { news: 0, at: 1_000 * MS };
         assert!(!shared.may_send(unheard, 1_000 * MS), "news that waits is not known yet");
@@ -208,7 +208,7 @@
     #[test]
     fn one_thread_alone_sends_whatever_it_decided() {
         let shared = shared(1);
-        shared.tell(Event::Fleet(Fleet::Changes(Vec::new())));
+        shared.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
         assert!(shared.may_send(Stamp { news: 0, at: 0 }, 9_000 * MS));
     }
 
@@ -225,7 +225,7 @@
     #[test]
     fn letters_come_in_order_and_once() {
         let shared = shared(2);
-        let letter = |n| Letter::Command(Command::CloseIdle(garnetcrank_policy::interface::MachineId(n)));
+        let letter = |n| Letter::Command(Command::CloseIdle(garnetcrank_policy::api::EndpointId(n)));
         shared.post(Core(1), [letter(1), letter(2)]);
         shared.post(Core(1), [letter(3)]);
         let numbers: Vec<u32> = (shared.letters(Core(1)).into_iter())
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::api::*;
 use garnetcrank_settings::Settings;
 use serde::Deserialize;
 use tracing::warn;
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Place {
     /// The machine.
-    pub machine: MachineId,
+    pub machine: EndpointId,
     /// Where it listens; none: nowhere any more.
     pub address: Option<SocketAddr>,
     /// Another process answers there than before: kept connections are void.
@@ -80,7 +80,7 @@
 }
 
 impl Place {
-    fn nowhere(machine: MachineId) -> Self {
+    fn nowhere(machine: EndpointId) -> Self {
         Place { machine, address: None, renewed: true, drains: true, build: Build::default() }
     }
 }
@@ -88,37 +88,42 @@
 /// The numbers under which the decisions know machines, zones and kinds.
 #[derive(Debug)]
 struct Roster {
-    numbers: BTreeMap<String, MachineId>,
+    numbers: BTreeMap<String, EndpointId>,
     /// Numbers given so far: one that returns after it was gone is another machine and gets a new one.
     given: u32,
-    starts: BTreeMap<MachineId, (Build, Option<Micros>)>,
+    starts: BTreeMap<EndpointId, (Build, Option<Micros>)>,
     zones: Vec<String>,
     kinds: Vec<String>,
     revision: u64,
 }
 
 impl Roster {
-    fn take(&mut self, list: List, saved: bool) -> (Fleet, Vec<Place>) {
+    fn take(&mut self, list: List, saved: bool) -> (EndpointUpdate, Vec<Place>) {
         self.revision = list.revision;
         let mut places = Vec::new();
         let mut seen = BTreeSet::new();
-        let entries: Vec<Entry> =
+        let entries: Vec<EndpointRecord> =
             list.members.iter().map(|m| self.entry(m, &mut places, &mut seen)).collect();
         if !list.complete {
-            return (Fleet::Changes(entries), places);
+            return (EndpointUpdate::Delta(entries), places);
         }
         let missing = self.starts.keys().filter(|m| !seen.contains(*m));
         places.extend(missing.copied().map(Place::nowhere));
         self.starts.retain(|m, _| seen.contains(m));
         self.numbers.retain(|_, m| seen.contains(m));
-        (Fleet::Whole { entries, saved }, places)
+        (EndpointUpdate::Snapshot { endpoints: entries, cached: saved }, places)
     }
 
-    fn entry(&mut self, member: &Member, places: &mut Vec<Place>, seen: &mut BTreeSet<MachineId>) -> Entry {
+    fn entry(
+        &mut self,
+        member: &Member,
+        places: &mut Vec<Place>,
+        seen: &mut BTreeSet<EndpointId>,
+    ) -> EndpointRecord {
         let given = &mut self.given;
         let machine = *self.numbers.entry(member.id.clone()).or_insert_with(|| {
             *given += 1;
-            MachineId(*given - 1)
+            EndpointId(*given - 1)
         });
         let started = (member.up_since_ms > 0.0).then_some((member.up_since_ms * MS as f64) as Micros);
         let start = (Build(member.build), started);
@@ -133,24 +138,24 @@
         }
         let renewed = gone || before.is_some_and(|b| b != start);
         let presence = match member.phase {
-            Standing::Ready if member.host_port.is_some() => Presence::On,
-            Standing::Ready | Standing::Terminating => Presence::Draining,
-            Standing::Gone => Presence::Gone,
+            Standing::Ready if member.host_port.is_some() => EndpointStatus::Active,
+            Standing::Ready | Standing::Terminating => EndpointStatus::Draining,
+            Standing::Gone => EndpointStatus::Removed,
         };
         places.push(Place {
             machine,
             address: member.host_port.filter(|_| !gone),
             renewed,
-            drains: presence != Presence::On,
+            drains: presence != EndpointStatus::Active,
             build: Build(member.build),
         });
-        Entry {
-            machine,
+        EndpointRecord {
+            endpoint: machine,
             kind: KindId(number(&mut self.kinds, &member.flavor)),
             zone: ZoneId(number(&mut self.zones, &member.locality)),
             cell: CellId(member.cell),
             build: Build(member.build),
-            presence,
+            status: presence,
             started,
             rating: member.size,
         }
@@ -168,7 +173,7 @@
 #[derive(Debug, Default)]
 pub struct FleetNews {
     /// For the decisions, in order.
-    pub fleet: Vec<Fleet>,
+    pub fleet: Vec<EndpointUpdate>,
     /// For connections, in order.
     pub places: Vec<Place>,
 }
@@ -201,7 +206,7 @@
 impl Discovery {
     /// A view that holds nothing yet.
     pub fn new(address: SocketAddr, settings: &Settings, seed: u64) -> Self {
-        let pushed = !settings.config.ask_for_fleet;
+        let pushed = !settings.config.poll_endpoints;
         // Where the list is asked for, many ask at once and are answered one after another.
         let first_word = if pushed { FIRST_WORD } else { SILENCE };
         Discovery {
@@ -242,7 +247,7 @@
                 self.wanted = Wanted::Yes;
             }
             if self.asking.take().is_some() {
-                news.fleet.push(Fleet::Unreachable); // asked again where it is now
+                news.fleet.push(EndpointUpdate::Unavailable); // asked again where it is now
             }
         }
         if known.revision > self.roster.revision {
@@ -285,7 +290,7 @@
             }
             Err(e) => {
                 warn!("discovery: cannot ask for the list: {e}");
-                FleetNews { fleet: vec![Fleet::Unreachable], places: Vec::new() }
+                FleetNews { fleet: vec![EndpointUpdate::Unavailable], places: Vec::new() }
             }
         }
     }
@@ -300,7 +305,7 @@
         let mut news = FleetNews::default();
         if self.asking.as_ref().is_some_and(|c| c.late(now).is_some()) {
             self.asking = None;
-            news.fleet.push(Fleet::Unreachable);
+            news.fleet.push(EndpointUpdate::Unavailable);
         }
         if self.wanted == Wanted::Yes {
             let target = || format!("/v1/servers?stream=1&index={}", self.roster.revision);
@@ -335,7 +340,7 @@
         }
         if lost && !self.pushed {
             self.wanted = Wanted::Again;
-            news.fleet.push(Fleet::Unreachable);
+            news.fleet.push(EndpointUpdate::Unavailable);
         }
     }
 
@@ -362,7 +367,7 @@
                 let older = list.revision < self.roster.revision;
                 self.take(List { complete: list.complete && !older, ..list }, &mut news);
             }
-            None => news.fleet.push(Fleet::Unreachable),
+            None => news.fleet.push(EndpointUpdate::Unavailable),
         }
         news
     }
@@ -383,7 +388,7 @@
             news.fleet.push(fleet);
             news.places.extend(places);
         } else {
-            news.fleet.push(Fleet::Changes(Vec::new()));
+            news.fleet.push(EndpointUpdate::Delta(Vec::new()));
         }
     }
 }
@@ -455,9 +460,11 @@
     fn an_entry_means_what_the_page_says() {
         let mut d = discovery();
         let news = take(&mut d, &list(4, true, &[member("s-1", 9001, 41, "Ready")]));
-        let Fleet::Whole { entries, saved: false } = &news.fleet[0] else { panic!("{news:?}") };
+        let EndpointUpdate::Snapshot { endpoints: entries, cached: false } = &news.fleet[0] else {
+            panic!("{news:?}")
+        };
         let entry = entries[0];
-        assert_eq!((entry.machine, entry.zone, entry.kind), (MachineId(0), ZoneId(1), KindId(0)));
+        assert_eq!((entry.endpoint, entry.zone, entry.kind), (EndpointId(0), ZoneId(1), KindId(0)));
         assert_eq!((entry.build, entry.cell, entry.rating), (Build(41), CellId(3), 1.5));
         assert_eq!(entry.started, Some(1_700_000_000_000_000));
         assert_eq!(news.places[0].address, Some("127.0.0.1:9001".parse().expect("an address")));
@@ -471,7 +478,9 @@
         let line = list(1, true, &all);
         assert!(line.len() <= LIST_MOST / 4, "{} bytes are a fourth of what a line may have", line.len());
         let news = take(&mut d, &line);
-        let Fleet::Whole { entries, .. } = &news.fleet[0] else { panic!("no whole list") };
+        let EndpointUpdate::Snapshot { endpoints: entries, .. } = &news.fleet[0] else {
+            panic!("no whole list")
+        };
         assert_eq!((entries.len(), news.places.len(), d.roster.numbers.len()), (most, most, most));
     }
 
@@ -480,7 +489,9 @@
         let mut d = discovery();
         take(&mut d, &list(4, true, &[member("s-1", 9001, 41, "Ready"), member("s-2", 9002, 41, "Ready")]));
         let news = take(&mut d, &list(5, false, &[member("s-1", 9001, 42, "Ready")]));
-        assert!(matches!(&news.fleet[0], Fleet::Changes(e) if e.len() == 1 && e[0].build == Build(42)));
+        assert!(
+            matches!(&news.fleet[0], EndpointUpdate::Delta(e) if e.len() == 1 && e[0].build == Build(42))
+        );
         assert!(news.places[0].renewed);
         let news = take(&mut d, &list(6, false, &[member("s-1", 9001, 42, "Terminating")]));
         assert!(!news.places[0].renewed, "a drain leaves what is under way alone");
@@ -493,7 +504,7 @@
         let mut d = discovery();
         take(&mut d, &list(4, true, &[member("s-1", 9001, 41, "Ready"), member("s-2", 9002, 41, "Ready")]));
         let news = take(&mut d, &list(9, true, &[member("s-2", 9002, 41, "Ready")]));
-        assert!(news.places.contains(&Place::nowhere(MachineId(0))));
+        assert!(news.places.contains(&Place::nowhere(EndpointId(0))));
     }
 
     #[test]
@@ -522,7 +533,9 @@
         take(&mut d, &list(8, false, &[member("s-1", 9001, 41, "Terminating")]));
         let told = take(&mut d, &list(7, false, &[member("s-1", 9001, 41, "Ready")]));
         // An answer all the same, to whoever asked.
-        assert!(matches!(&told.fleet[..], [Fleet::Changes(e)] if e.is_empty()) && told.places.is_empty());
+        assert!(
+            matches!(&told.fleet[..], [EndpointUpdate::Delta(e)] if e.is_empty()) && told.places.is_empty()
+        );
         assert_eq!(take(&mut d, &list(2, true, &[member("s-1", 9001, 41, "Ready")])).fleet.len(), 1);
     }
 
@@ -544,7 +557,7 @@
             indented(&list(4, true, &[member("s-\"{1", 9001, 41, "Ready")]).replace("s-\"{1", "s-\\\"{1"));
         assert!(whole.contains(&b'\n'));
         assert!(
-            matches!(&heard(&mut d, &whole).fleet[..], [Fleet::Whole { entries, .. }] if entries.len() == 1)
+            matches!(&heard(&mut d, &whole).fleet[..], [EndpointUpdate::Snapshot { endpoints: entries, .. }] if entries.len() == 1)
         );
         let change = indented(&list(5, false, &[member("s-2", 9002, 41, "Ready")]));
         let half = change.len() / 2;
@@ -552,13 +565,17 @@
         // It comes in two parts, then half of another with a sign of life behind it.
         let end = change[..half].iter().rposition(|b| *b == b'\n').expect("a line's end");
         assert!(heard(&mut d, &change[..end]).fleet.is_empty());
-        assert!(matches!(&heard(&mut d, &change[end + 1..]).fleet[..], [Fleet::Changes(e)] if e.len() == 1));
+        assert!(
+            matches!(&heard(&mut d, &change[end + 1..]).fleet[..], [EndpointUpdate::Delta(e)] if e.len() == 1)
+        );
         heard(&mut d, &change[..end]);
         assert_eq!(d.reconnects, 0);
         heard(&mut d, b"");
         assert_eq!(d.reconnects, 1, "half a list can't be read");
         let after = list(6, false, &[member("s-3", 9003, 41, "Ready")]);
-        assert!(matches!(&heard(&mut d, after.as_bytes()).fleet[..], [Fleet::Changes(e)] if e.len() == 1));
+        assert!(
+            matches!(&heard(&mut d, after.as_bytes()).fleet[..], [EndpointUpdate::Delta(e)] if e.len() == 1)
+        );
     }
 
     #[test]
@@ -572,9 +589,9 @@
             CallEnd::Answer(garnetcrank_http::Response { status: 200, headers, body, keep_alive: false })
         };
         let older = d.asked(answer(7));
-        assert!(matches!(&older.fleet[..], [Fleet::Changes(e)] if e.is_empty()), "{older:?}");
+        assert!(matches!(&older.fleet[..], [EndpointUpdate::Delta(e)] if e.is_empty()), "{older:?}");
         assert!(older.places.is_empty());
-        assert!(matches!(&d.asked(answer(9)).fleet[..], [Fleet::Whole { .. }]));
+        assert!(matches!(&d.asked(answer(9)).fleet[..], [EndpointUpdate::Snapshot { .. }]));
     }
 
     #[test]
@@ -594,7 +611,7 @@
         d.tend(&handle, &mut ids, now);
         let (_mute, _) = old.accept().expect("a connection");
         let lost = d.tend(&handle, &mut ids, now + SILENCE);
-        assert!(matches!(lost.fleet[..], [Fleet::Unreachable]), "{lost:?}");
+        assert!(matches!(lost.fleet[..], [EndpointUpdate::Unavailable]), "{lost:?}");
         let begun = ids.next();
         let nothing = List { revision: 0, complete: false, members: Vec::new() };
         d.renew(address(&old), nothing.clone(), now + SILENCE);
@@ -623,7 +640,7 @@
         let same = d.renew(address(&old), nothing.clone(), now);
         assert!(same.fleet.is_empty() && d.asking.is_some(), "a reload that moves nothing lets it go on");
         let lost = d.renew(address(&new), nothing, now);
-        assert!(matches!(lost.fleet[..], [Fleet::Unreachable]), "the decisions must hear: {lost:?}");
+        assert!(matches!(lost.fleet[..], [EndpointUpdate::Unavailable]), "the decisions must hear: {lost:?}");
         // The old address answers after all.
         use std::io::Write;
         let body = r#"{"revision":9,"complete":true,"members":[]}"#;
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::sync::Arc;
 
-use garnetcrank_policy::Brain;
-use garnetcrank_policy::interface::*;
 use garnetcrank_http::{Headers, Request as Message, Response};
+use garnetcrank_policy::Policy;
+use garnetcrank_policy::api::*;
 use garnetcrank_settings::Settings;
 use garnetcrank_shared_policy::Stamp;
 use rustc_hash::FxHashMap;
@@ -30,7 +30,7 @@
         /// Number of the attempt.
         attempt: usize,
         /// Where.
-        machine: MachineId,
+        machine: EndpointId,
         /// When to stop waiting.
         until: Micros,
         /// What it was decided by.
@@ -89,9 +89,9 @@
         token: u64,
     },
     /// Probe a machine.
-    Probe(MachineId),
+    Probe(EndpointId),
     /// Close idle connections to a machine.
-    CloseIdle(MachineId),
+    CloseIdle(EndpointId),
     /// Subscribe to discovery.
     Subscribe(bool),
     /// Ask for the whole list.
@@ -121,7 +121,7 @@
 
 /// The decisions, the requests they owe answers to, and what they have not been told yet.
 pub struct Driver {
-    brain: Brain,
+    brain: Policy,
     config: Config,
     held: FxHashMap<RequestId, Held>,
     /// Names that clients gave to the requests whose answer is owed.
@@ -146,7 +146,7 @@
     /// A new instance of the decisions.
     pub fn new(seed: u64, settings: &Settings, cores: usize) -> Self {
         Driver {
-            brain: Brain::new(seed, settings.config.clone()),
+            brain: Policy::new(seed, settings.config.clone()),
             config: settings.config.clone(),
             held: FxHashMap::default(),
             names: HashSet::new(),
@@ -235,8 +235,8 @@
             tenant,
             key: None,
             deadline,
-            hint,
-            repeat,
+            work_hint: hint,
+            is_retry: repeat,
         }));
         id
     }
@@ -272,7 +272,7 @@
     /// The client has left: nothing is owed any more. The attempt whose answer was being streamed, if any.
     pub fn left(&mut self, id: RequestId) -> Option<usize> {
         self.settle(id)?;
-        self.events.push_back(Event::Gone(id));
+        self.events.push_back(Event::ClientDisconnected(id));
         self.held.get(&id)?.begun
     }
 
@@ -299,35 +299,42 @@
         let Some(held) = self.held.get_mut(&id).filter(|h| h.owed && h.begun.is_none()) else { return false };
         held.begun = Some(attempt);
         commands.push(Command::Begin { client: held.client, headers });
-        self.events.push_back(Event::Begun { id, attempt });
+        self.events.push_back(Event::ResponseStarted { id, attempt });
         true
     }
 
     /// An attempt ended. The first one that served ends the request, as does the break of a begun stream.
-    pub fn ended(&mut self, mut done: Done, answer: Option<Response>, commands: &mut Vec<Command>) {
+    pub fn ended(&mut self, mut done: AttemptResult, answer: Option<Response>, commands: &mut Vec<Command>) {
         let id = done.id;
-        done.over = true;
+        done.request_finished = true;
         if let Some(held) = self.get(id) {
-            let (client, served) = (held.client, done.outcome == Outcome::Served);
+            let (client, served) = (held.client, done.outcome == Outcome::Success);
             let command = match (held.begun, answer) {
                 (Some(begun), _) if begun == done.attempt => Some(Command::Finish { client, whole: served }),
                 (None, Some(answer)) if served => Some(Command::Pass { client, answer }),
                 _ => None,
             };
-            done.over = command.is_some();
+            done.request_finished = command.is_some();
             commands.extend(command);
         }
-        if done.over {
+        if done.request_finished {
             self.settle(id);
         }
-        self.events.push_back(Event::Done(done));
+        self.events.push_back(Event::AttemptCompleted(done));
     }
 
     /// An attempt that could not even be started.
     pub fn not_started(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         let over = self.get(id).is_none();
         let (lag, load) = (0, Vec::new());
-        self.events.push_back(Event::Done(Done { id, attempt, outcome, lag, over, load }));
+        self.events.push_back(Event::AttemptCompleted(AttemptResult {
+            id,
+            attempt,
+            outcome,
+            latency: lag,
+            request_finished: over,
+            load_report: load,
+        }));
     }
 
     /// Tells the decisions the next thing and turns what they ask for into commands. False if nothing waits.
@@ -336,8 +343,8 @@
         self.news_told += u64::from(news.is_some());
         let Some(event) = news.or_else(|| self.events.pop_front()) else { return false };
         let told_over = match &event {
-            Event::Gone(id) => Some(*id),
-            Event::Done(done) if done.over => Some(done.id),
+            Event::ClientDisconnected(id) => Some(*id),
+            Event::AttemptCompleted(done) if done.request_finished => Some(done.id),
             _ => None,
         };
         let mut actions = std::mem::take(&mut self.actions);
@@ -352,7 +359,7 @@
 
     fn act(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
         let command = match action {
-            Action::Place { id, machine, time_out } => {
+            Action::Forward { id, endpoint: machine, timeout: time_out } => {
                 let Some(held) = self.held.get_mut(&id) else { return };
                 let attempt = held.attempts;
                 held.attempts += 1;
@@ -360,14 +367,14 @@
                 let until = time_out.map_or(held.deadline, |t| held.deadline.min(now + t));
                 let allowed = attempt < self.config.max_attempts && (until > now || streamed);
                 if !allowed || !held.owed || held.begun.is_some() {
-                    return self.not_started(id, attempt, Outcome::Unsent);
+                    return self.not_started(id, attempt, Outcome::NotSent);
                 }
                 let stamp = Stamp { news: self.news_told, at: now };
                 Command::Place { id, attempt, machine, until, stamp }
             }
-            Action::Withdraw { id, attempt } => Command::Withdraw { id, attempt },
+            Action::Cancel { id, attempt } => Command::Withdraw { id, attempt },
             // Where the request is over already, the decisions have not been told yet.
-            Action::Refuse { id, come_back } => match self.ended_by_decision(id) {
+            Action::Reject { id, retry_after: come_back } => match self.ended_by_decision(id) {
                 Some(client) => Command::Refuse { client, come_back },
                 None => return,
             },
@@ -376,12 +383,12 @@
                 None => return,
             },
             Action::SetTimer { after, token } => Command::Timer { at: now + after, token },
-            Action::Probe(machine) => Command::Probe(machine),
+            Action::HealthCheck(machine) => Command::Probe(machine),
             Action::CloseIdle(machine) => Command::CloseIdle(machine),
             // The pages give fronts no way to speak to each other, so no message leaves.
-            Action::Tell { .. } => return,
-            Action::Subscribe(want) => Command::Subscribe(want),
-            Action::AskFleet => Command::AskFleet,
+            Action::SendGossip { .. } => return,
+            Action::WatchEndpoints(want) => Command::Subscribe(want),
+            Action::PollEndpoints => Command::AskFleet,
             Action::Vote { build, stage, verdict } => Command::Vote(build, stage, verdict),
             Action::Log(words) => Command::Log(words),
         };
@@ -409,8 +416,9 @@
 
     fn driver() -> Driver {
         let mut driver = Driver::new(7, &settings(), 1);
-        let entry = Entry { rating: 1.0, ..Entry::default() };
-        driver.news(Event::Fleet(Fleet::Whole { entries: vec![entry], saved: true }));
+        let entry = EndpointRecord { rating: 1.0, ..EndpointRecord::default() };
+        driver
+            .news(Event::EndpointsUpdated(EndpointUpdate::Snapshot { endpoints: vec![entry], cached: true }));
         drain(&mut driver);
         driver
     }
@@ -435,8 +443,15 @@
         driver.request(ConnId(1), message, meaning, NOW)
     }
 
-    fn done(id: RequestId, attempt: usize, outcome: Outcome) -> Done {
-        Done { id, attempt, outcome, lag: 1000, over: false, load: Vec::new() }
+    fn done(id: RequestId, attempt: usize, outcome: Outcome) -> AttemptResult {
+        AttemptResult {
+            id,
+            attempt,
+            outcome,
+            latency: 1000,
+            request_finished: false,
+            load_report: Vec::new(),
+        }
     }
 
     #[test]
@@ -467,7 +482,7 @@
         let read = garnetcrank_http::ResponseReader::whole(10).read(&mut ring, false);
         let Ok(Parsing::Done(answer)) = read else { panic!("no answer") };
         let mut commands = Vec::new();
-        driver.ended(done(id, 0, Outcome::Served), Some(answer), &mut commands);
+        driver.ended(done(id, 0, Outcome::Success), Some(answer), &mut commands);
         assert!(matches!(commands[..], [Command::Pass { client: ConnId(1), .. }]));
         commands.clear();
         driver.overdue(Core::FIRST, NOW + 3_600_000 * MS, &mut commands);
@@ -485,7 +500,7 @@
         driver.overdue(Core::FIRST, NOW + 900 * MS + OVERDUE, &mut commands);
         assert!(matches!(commands[..], [Command::Overdue { client: ConnId(1) }]));
         assert!(matches!(drain(&mut driver)[..], [Command::Withdraw { attempt: 0, .. }]));
-        driver.ended(done(id, 0, Outcome::Withdrawn), None, &mut commands);
+        driver.ended(done(id, 0, Outcome::Cancelled), None, &mut commands);
         assert!(drain(&mut driver).is_empty() && driver.held.is_empty());
     }
 
@@ -519,12 +534,12 @@
     #[test]
     fn what_may_have_run_is_failed_and_what_surely_did_not_is_tried_again() {
         for (outcome, again) in [
-            (Outcome::Broken, false),
+            (Outcome::ConnectionLost, false),
             (Outcome::Error, false),
             (Outcome::TimedOut, false),
-            (Outcome::Full, true),
-            (Outcome::Unreached, true),
-            (Outcome::Unsent, true),
+            (Outcome::Overloaded, true),
+            (Outcome::ConnectFailed, true),
+            (Outcome::NotSent, true),
         ] {
             let mut driver = driver();
             let id = arrive(&mut driver, "/pay");
@@ -542,8 +557,9 @@
     fn news_goes_in_before_requests_of_the_same_turn() {
         let mut driver = driver();
         arrive(&mut driver, "/pay");
-        let drains = Entry { presence: Presence::Draining, rating: 1.0, ..Entry::default() };
-        driver.news(Event::Fleet(Fleet::Changes(vec![drains])));
+        let drains =
+            EndpointRecord { status: EndpointStatus::Draining, rating: 1.0, ..EndpointRecord::default() };
+        driver.news(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drains])));
         assert!(matches!(drain(&mut driver)[..], [Command::Refuse { .. }]), "sent to a draining machine");
     }
 }
--- a/crates/proxy/src/extras.rs
+++ b/crates/proxy/src/extras.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use garnetcrank_policy::interface::{Micros, VoteMode};
+use garnetcrank_policy::api::{Micros, VoteMode};
 use garnetcrank_settings::{Faulty, Settings};
 use serde::Deserialize;
 
@@ -76,11 +76,11 @@
         }
         let Some(agreement) = &extras.agreement else { return Ok(extras) };
         let rollout = &settings.config.rollout;
-        if rollout.mode == VoteMode::Share || rollout.back_votes > 1 {
+        if rollout.mode == VoteMode::Share || rollout.rollback_quorum > 1 {
             // One vote cast for all would be one of several that must stand, and no build would ever move.
             return Err(format!(
                 "agreement: the platform wants more than one instance's vote here ({} to go back); leave it out",
-                rollout.back_votes
+                rollout.rollback_quorum
             ));
         }
         if !(10..=5_000).contains(&agreement.wait_ms) {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -6,10 +6,10 @@
 
 use calloop::Readiness;
 use calloop::ping::PingSource;
-use garnetcrank_policy::interface::*;
-use garnetcrank_vote_router::{Origin, Step, Vote};
 use garnetcrank_http::{Bad, Headers};
+use garnetcrank_policy::api::*;
 use garnetcrank_shared_policy::Stamp;
+use garnetcrank_vote_router::{Origin, Step, Vote};
 use rustix::process::{Resource, getrlimit};
 use tracing::{info, warn};
 
@@ -170,11 +170,11 @@
         }
         let news = News {
             discovery: Discovery::new(process.discovery, &settings, process.seed),
-            platform: Platform::new(process.platform, settings.config.rollout.vote_wait, process.seed),
+            platform: Platform::new(process.platform, settings.config.rollout.vote_timeout, process.seed),
             link: extras
                 .agreement
                 .as_ref()
-                .map(|a| Link::new(a, &process.name, settings.config.rollout.vote_life, process.seed)),
+                .map(|a| Link::new(a, &process.name, settings.config.rollout.vote_ttl, process.seed)),
             life: Life::start(now, settings.config.classes.iter().map(|c| c.deadline).max().unwrap_or(0)),
             fixed,
         };
@@ -194,7 +194,7 @@
         let known = news.discovery.known(process.known);
         let stage = news.platform.news(process.news, now);
         front.fleet(known);
-        front.staged(stage.map(Event::Stage).into_iter().collect());
+        front.staged(stage.map(Event::RolloutUpdated).into_iter().collect());
         front.plan_sweep(now);
         Ok((front, others))
     }
@@ -369,8 +369,8 @@
         for step in steps {
             match step {
                 Step::Cast(vote, origin) => self.cast(vote, origin, now),
-                Step::Answer(ballot) => self.shared.driver().event(Event::Voted(ballot, None)),
-                Step::News(stage) => self.tell(Event::Stage(stage)),
+                Step::Answer(ballot) => self.shared.driver().event(Event::VoteCompleted(ballot, None)),
+                Step::News(stage) => self.tell(Event::RolloutUpdated(stage)),
                 Step::Tell(_) => {} // sent by the link itself
             }
         }
@@ -421,21 +421,24 @@
                 self.shared.post(other, news.places.iter().cloned().map(Letter::Place));
             }
         }
-        news.fleet.into_iter().for_each(|f| self.tell(Event::Fleet(f)));
+        news.fleet.into_iter().for_each(|f| self.tell(Event::EndpointsUpdated(f)));
     }
 
     fn staged(&mut self, events: Vec<Event>) {
         for event in events {
-            self.counters.votes_counted += u64::from(matches!(event, Event::Voted(Ballot::Counted, _)));
+            self.counters.votes_counted +=
+                u64::from(matches!(event, Event::VoteCompleted(VoteResult::Counted, _)));
             let link = self.news.as_mut().and_then(|news| news.link.as_mut());
             let event = match (event, link) {
-                (Event::Stage(stage), Some(link)) => Event::Stage(link.news(self.clock.now(), stage)),
-                (Event::Voted(ballot, Some(stage)), Some(link)) => {
-                    Event::Voted(ballot, Some(link.news(self.clock.now(), stage)))
+                (Event::RolloutUpdated(stage), Some(link)) => {
+                    Event::RolloutUpdated(link.news(self.clock.now(), stage))
+                }
+                (Event::VoteCompleted(ballot, Some(stage)), Some(link)) => {
+                    Event::VoteCompleted(ballot, Some(link.news(self.clock.now(), stage)))
                 }
                 (event, _) => event,
             };
-            if let Event::Stage(stage) | Event::Voted(_, Some(stage)) = &event {
+            if let Event::RolloutUpdated(stage) | Event::VoteCompleted(_, Some(stage)) = &event {
                 self.capped(stage);
             }
             self.tell(event);
@@ -443,9 +446,9 @@
     }
 
     /// A lower cap binds attempts that were decided under the earlier one and are not on their way yet.
-    fn capped(&mut self, stage: &Stage) {
-        let before = self.cap.replace((stage.build, stage.cap));
-        if before.is_some_and(|(build, cap)| build == stage.build && stage.cap < cap) {
+    fn capped(&mut self, stage: &RolloutStatus) {
+        let before = self.cap.replace((stage.build, stage.exposure_cap));
+        if before.is_some_and(|(build, cap)| build == stage.build && stage.exposure_cap < cap) {
             let now = self.clock.now();
             self.machines.recall_build(stage.build, now, &mut self.machine_notes);
             for other in self.shared.others(self.core) {
@@ -507,7 +510,7 @@
 
     /// Whether an exchange with this machine can have a connection; a kept one to another may make way, or a
     /// client without a request.
-    fn room_for(&mut self, machine: MachineId, now: Micros) -> bool {
+    fn room_for(&mut self, machine: EndpointId, now: Micros) -> bool {
         self.machines.has_idle(machine, now) || self.find_room(now)
     }
 
@@ -636,13 +639,25 @@
             }
             machines::Note::Ended { id, attempt, outcome, lag, load, answer } => {
                 self.count(outcome);
-                let done = Done { id, attempt, outcome, lag, over: false, load };
+                let done = AttemptResult {
+                    id,
+                    attempt,
+                    outcome,
+                    latency: lag,
+                    request_finished: false,
+                    load_report: load,
+                };
                 let mut driver = self.shared.driver();
                 driver.ended(done, answer, &mut self.commands);
                 self.shared.empty(&mut driver, now, &mut self.commands);
             }
             machines::Note::Probed { machine, outcome, lag, load } => {
-                self.shared.driver().event(Event::Probed { machine, outcome, lag, load });
+                self.shared.driver().event(Event::HealthCheckCompleted {
+                    endpoint: machine,
+                    outcome,
+                    latency: lag,
+                    load_report: load,
+                });
             }
         }
     }
@@ -650,14 +665,14 @@
     fn count(&mut self, outcome: Outcome) {
         let c = &mut self.counters;
         *match outcome {
-            Outcome::Served => &mut c.served,
+            Outcome::Success => &mut c.served,
             Outcome::Error => &mut c.errors,
             Outcome::TimedOut => &mut c.timed_out,
-            Outcome::Broken => &mut c.broken,
-            Outcome::Withdrawn => &mut c.withdrawn,
-            Outcome::Full => &mut c.full,
-            Outcome::Unreached => &mut c.unreached,
-            Outcome::Unsent => &mut c.unsent,
+            Outcome::ConnectionLost => &mut c.broken,
+            Outcome::Cancelled => &mut c.withdrawn,
+            Outcome::Overloaded => &mut c.full,
+            Outcome::ConnectFailed => &mut c.unreached,
+            Outcome::NotSent => &mut c.unsent,
         } += 1;
     }
 
@@ -797,10 +812,15 @@
                         let notes = &mut self.machine_notes;
                         self.machines.probe(&self.handle, &mut self.ids, now, machine, notes)
                     }
-                    false => Err(Outcome::Unsent),
+                    false => Err(Outcome::NotSent),
                 };
                 started.unwrap_or_else(|outcome| {
-                    let probed = Event::Probed { machine, outcome, lag: 0, load: Vec::new() };
+                    let probed = Event::HealthCheckCompleted {
+                        endpoint: machine,
+                        outcome,
+                        latency: 0,
+                        load_report: Vec::new(),
+                    };
                     self.shared.driver().event(probed);
                 });
             }
@@ -831,7 +851,7 @@
     fn place(
         &mut self,
         (id, attempt): (RequestId, usize),
-        machine: MachineId,
+        machine: EndpointId,
         until: Micros,
         stamp: Stamp,
         now: Micros,
@@ -839,11 +859,11 @@
         // Its client may have left since the decision.
         let held = self.shared.driver().get(id).map(|held| (Arc::clone(&held.message), held.class));
         let Some((request, class)) = held else {
-            return self.shared.driver().not_started(id, attempt, Outcome::Unsent);
+            return self.shared.driver().not_started(id, attempt, Outcome::NotSent);
         };
         if !self.shared.may_send(stamp, now) {
             self.counters.decided_anew += 1;
-            return self.shared.driver().not_started(id, attempt, Outcome::Unsent);
+            return self.shared.driver().not_started(id, attempt, Outcome::NotSent);
         }
         let room = self.room_for(machine, now);
         let streamed = self.settings.config.classes[class.0].streamed;
@@ -855,7 +875,7 @@
             }
             false => {
                 self.counters.no_descriptor += 1;
-                Err(Outcome::Unsent)
+                Err(Outcome::NotSent)
             }
         };
         started.unwrap_or_else(|outcome| {
--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/link.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::api::*;
 use garnetcrank_vote_router::{Ballots, Line, Step, Vote};
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
@@ -41,20 +41,20 @@
 impl Opinion {
     fn of((build, stage, verdict): Vote) -> Self {
         let word = match verdict {
-            Verdict::None => Word::None,
-            Verdict::On => Word::On,
+            Verdict::Abstain => Word::None,
+            Verdict::Advance => Word::On,
             Verdict::Hold => Word::Hold,
-            Verdict::Back => Word::Back,
+            Verdict::RollBack => Word::Back,
         };
         Opinion { build: build.0, stage, word }
     }
 
     fn vote(&self) -> Vote {
         let verdict = match self.word {
-            Word::None => Verdict::None,
-            Word::On => Verdict::On,
+            Word::None => Verdict::Abstain,
+            Word::On => Verdict::Advance,
             Word::Hold => Verdict::Hold,
-            Word::Back => Verdict::Back,
+            Word::Back => Verdict::RollBack,
         };
         (Build(self.build), self.stage, verdict)
     }
@@ -87,7 +87,9 @@
     fn from(told: Told) -> Line {
         Line {
             condemned: told.condemned.into_iter().map(Build).collect::<BTreeSet<_>>(),
-            cast: told.cast.map(|cast| cast.opinion.map(|o| o.vote()).filter(|vote| vote.2 != Verdict::None)),
+            cast: told
+                .cast
+                .map(|cast| cast.opinion.map(|o| o.vote()).filter(|vote| vote.2 != Verdict::Abstain)),
             together: told.together,
         }
     }
@@ -134,7 +136,7 @@
     }
 
     /// News of the newest build, as the decisions are told it.
-    pub fn news(&mut self, now: Micros, stage: Stage) -> Stage {
+    pub fn news(&mut self, now: Micros, stage: RolloutStatus) -> RolloutStatus {
         self.ballots.news(now, stage)
     }
 
--- a/crates/proxy/src/machines.rs
+++ b/crates/proxy/src/machines.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank_policy::interface::*;
 use garnetcrank_http::{Headers, Request, Response, ResponseReader, write_request};
+use garnetcrank_policy::api::*;
 use garnetcrank_settings::Transport;
 use rustc_hash::FxHashMap;
 
@@ -52,7 +52,7 @@
 
 struct Link {
     conn: Conn,
-    machine: MachineId,
+    machine: EndpointId,
     /// Of the process that the connection was made to.
     generation: u64,
     under_way: Option<UnderWay>,
@@ -112,7 +112,7 @@
     /// A probe ended.
     Probed {
         /// The machine.
-        machine: MachineId,
+        machine: EndpointId,
         /// How.
         outcome: Outcome,
         /// Time since it was sent.
@@ -129,7 +129,7 @@
     /// Number of the attempt.
     pub attempt: usize,
     /// Where.
-    pub machine: MachineId,
+    pub machine: EndpointId,
     /// What the client sent.
     pub request: &'a Request,
     /// When the front stops waiting.
@@ -141,7 +141,7 @@
 /// All connections to machines.
 pub struct Machines {
     transport: Transport,
-    endpoints: BTreeMap<MachineId, Endpoint>,
+    endpoints: BTreeMap<EndpointId, Endpoint>,
     /// Processes told of so far: no two connections to different ones bear the same number.
     generations: u64,
     links: FxHashMap<ConnId, Link>,
@@ -199,7 +199,7 @@
     /// Takes back the attempts at a build of which less may be sent from now on, where none of their bytes has left.
     pub fn recall_build(&mut self, build: Build, now: Micros, notes: &mut Vec<Note>) {
         let of_build = self.endpoints.iter().filter(|(_, e)| e.build == build).map(|(machine, _)| *machine);
-        let machines: BTreeSet<MachineId> = of_build.collect();
+        let machines: BTreeSet<EndpointId> = of_build.collect();
         self.recall(now, notes, |link| machines.contains(&link.machine));
     }
 
@@ -210,7 +210,7 @@
         let mut back: Vec<ConnId> =
             self.links.iter().filter(|(_, l)| waits(l) && which(l)).map(|(id, _)| *id).collect();
         back.sort_unstable(); // in the order in which they were decided
-        back.into_iter().for_each(|id| self.end(id, Outcome::Unsent, None, now, notes));
+        back.into_iter().for_each(|id| self.end(id, Outcome::NotSent, None, now, notes));
     }
 
     /// Starts an attempt. An error is the outcome of one that could not start.
@@ -240,12 +240,12 @@
         handle: &Handle,
         ids: &mut ConnIds,
         now: Micros,
-        machine: MachineId,
+        machine: EndpointId,
         notes: &mut Vec<Note>,
     ) -> Result<(), Outcome> {
         let target = if self.transport.report_columns.is_empty() { "/healthz" } else { "/load" };
         let host = self.endpoints.get(&machine).and_then(|e| e.address).map(|a| a.to_string());
-        let host = host.ok_or(Outcome::Unsent)?;
+        let host = host.ok_or(Outcome::NotSent)?;
         let lines = std::iter::once(("Host", host.as_bytes()));
         self.start(handle, ids, now, (machine, Purpose::Probe, now + PROBE_WAIT), notes, |out| {
             write_request(out, "GET", target, lines, b"").is_ok()
@@ -253,7 +253,7 @@
     }
 
     /// Whether an exchange with this machine needs no new connection.
-    pub fn has_idle(&self, machine: MachineId, now: Micros) -> bool {
+    pub fn has_idle(&self, machine: EndpointId, now: Micros) -> bool {
         // The first one has rested for longest.
         let first = self.endpoints.get(&machine).and_then(|e| e.idle.first());
         first.and_then(|id| self.links.get(id)).is_some_and(|l| l.rested(now))
@@ -264,7 +264,7 @@
         handle: &Handle,
         ids: &mut ConnIds,
         now: Micros,
-        (machine, purpose, until): (MachineId, Purpose, Micros),
+        (machine, purpose, until): (EndpointId, Purpose, Micros),
         notes: &mut Vec<Note>,
         write: impl FnOnce(&mut garnetcrank_http::Ring) -> bool,
     ) -> Result<(), Outcome> {
@@ -278,8 +278,8 @@
                 (id, link, Exchange::on_open(reader), until)
             }
             None => {
-                let endpoint = self.endpoints.get(&machine).ok_or(Outcome::Unsent)?;
-                let (address, generation) = (endpoint.address.ok_or(Outcome::Unsent)?, endpoint.generation);
+                let endpoint = self.endpoints.get(&machine).ok_or(Outcome::NotSent)?;
+                let (address, generation) = (endpoint.address.ok_or(Outcome::NotSent)?, endpoint.generation);
                 let id = ids.next();
                 let conn = Conn::connect(handle, address, Who::Machine(id), IN_MOST, OUT_MOST);
                 let conn = conn.map_err(|e| failed_start(&e))?;
@@ -291,7 +291,7 @@
             }
         };
         if !write(&mut link.conn.output) {
-            return Err(Outcome::Unsent);
+            return Err(Outcome::NotSent);
         }
         let up = exchange.connected();
         let placed = now;
@@ -311,7 +311,7 @@
     }
 
     /// Takes the newest kept connection that has rested and is surely open still.
-    fn kept(&mut self, machine: MachineId, now: Micros) -> Option<(ConnId, Link)> {
+    fn kept(&mut self, machine: EndpointId, now: Micros) -> Option<(ConnId, Link)> {
         let keep = self.keep();
         let endpoint = self.endpoints.get_mut(&machine)?;
         let rested = |id: &ConnId| self.links.get(id).is_none_or(|l| l.rested(now));
@@ -383,8 +383,8 @@
     fn stepped(&mut self, id: ConnId, step: Step, now: Micros, notes: &mut Vec<Note>) {
         match step {
             Step::Pending => {}
-            Step::NeverSent => self.end(id, Outcome::Unreached, None, now, notes),
-            Step::Broken => self.end(id, Outcome::Broken, None, now, notes),
+            Step::NeverSent => self.end(id, Outcome::ConnectFailed, None, now, notes),
+            Step::Broken => self.end(id, Outcome::ConnectionLost, None, now, notes),
             Step::Answer { response, reusable } => {
                 let outcome = outcome(&response);
                 self.end(id, outcome, Some((response, reusable)), now, notes);
@@ -410,7 +410,7 @@
         notes.push(match under_way.purpose {
             Purpose::Attempt { id, attempt, .. } => {
                 self.attempts.remove(&(id, attempt));
-                let answer = response.filter(|_| outcome == Outcome::Served && !under_way.begun);
+                let answer = response.filter(|_| outcome == Outcome::Success && !under_way.begun);
                 Note::Ended { id, attempt, outcome, lag, load, answer }
             }
             Purpose::Probe => Note::Probed { machine: link.machine, outcome, lag, load },
@@ -457,11 +457,13 @@
                 under_way.until = now + STREAM_SILENCE; // it is its client that is slow
             }
             let outcome = match () {
-                () if !under_way.exchange.connected() && now >= under_way.connect_until => Outcome::Unreached,
-                () if now >= under_way.until && under_way.begun => Outcome::Broken,
+                () if !under_way.exchange.connected() && now >= under_way.connect_until => {
+                    Outcome::ConnectFailed
+                }
+                () if now >= under_way.until && under_way.begun => Outcome::ConnectionLost,
                 () if now >= under_way.until && under_way.exchange.sent() => Outcome::TimedOut,
                 // Its time is over before its last byte was written: the machine never begins it.
-                () if now >= under_way.until => Outcome::Unsent,
+                () if now >= under_way.until => Outcome::NotSent,
                 () => {
                     under_way.due = under_way.until;
                     self.due.insert((under_way.due, id));
@@ -477,14 +479,14 @@
         let Some(&conn) = self.attempts.get(&(id, attempt)) else { return };
         let begun = |l: &Link| l.under_way.as_ref().is_some_and(|u| u.begun);
         if !self.links.get(&conn).is_some_and(begun) {
-            self.end(conn, Outcome::Withdrawn, None, now, notes);
+            self.end(conn, Outcome::Cancelled, None, now, notes);
         }
     }
 
     /// Ends a begun stream that nobody listens to any more.
     pub fn cut(&mut self, id: RequestId, attempt: usize, now: Micros, notes: &mut Vec<Note>) {
         if let Some(&conn) = self.attempts.get(&(id, attempt)) {
-            self.end(conn, Outcome::Withdrawn, None, now, notes);
+            self.end(conn, Outcome::Cancelled, None, now, notes);
         }
     }
 
@@ -498,7 +500,7 @@
     }
 
     /// Closes idle connections to a machine.
-    pub fn close_idle(&mut self, machine: MachineId) {
+    pub fn close_idle(&mut self, machine: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&machine) {
             for id in endpoint.idle.drain(..) {
                 self.links.remove(&id);
@@ -534,8 +536,8 @@
 fn outcome(response: &Response) -> Outcome {
     let not_started = response.headers.all("not-started").any(|v| v.trim_ascii() == b"1");
     match response.status {
-        200 => Outcome::Served,
-        503 | 504 if not_started => Outcome::Full,
+        200 => Outcome::Success,
+        503 | 504 if not_started => Outcome::Overloaded,
         _ => Outcome::Error,
     }
 }
@@ -545,9 +547,9 @@
     use rustix::io::Errno;
     match Errno::from_io_error(error) {
         Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL) => {
-            Outcome::Unsent
+            Outcome::NotSent
         }
-        _ => Outcome::Unreached,
+        _ => Outcome::ConnectFailed,
     }
 }
 
@@ -600,7 +602,7 @@
 
         fn there(&self) -> Place {
             let address = Some(self.machine.local_addr().expect("an address"));
-            Place { machine: MachineId(1), address, renewed: false, drains: false, build: Build(7) }
+            Place { machine: EndpointId(1), address, renewed: false, drains: false, build: Build(7) }
         }
 
         fn told(&mut self, place: Place) {
@@ -608,7 +610,7 @@
         }
 
         fn attempt(&mut self, id: u32, now: Micros) {
-            let (id, machine, until) = (RequestId(id), MachineId(1), now + 4 * SECOND);
+            let (id, machine, until) = (RequestId(id), EndpointId(1), now + 4 * SECOND);
             let job = Job { id, attempt: 0, machine, request: &self.request, until, streamed: false };
             let handle = self.event_loop.handle();
             self.machines.attempt(&handle, &mut self.ids, now, &job, &mut self.notes).expect("it starts");
@@ -677,12 +679,12 @@
             stand.told(stand.there());
             assert!(stand.ends().is_empty(), "a list that says nothing new");
             stand.told(change(stand.there(), elsewhere));
-            assert_eq!(stand.ends(), [(2, Outcome::Unsent)], "what was sent goes on");
+            assert_eq!(stand.ends(), [(2, Outcome::NotSent)], "what was sent goes on");
             assert_eq!(std::io::Read::read(&mut waits, &mut [0; 8]).expect("its end"), 0, "nothing was sent");
             say(&mut sent, ANSWER);
             stand.until_there();
             stand.tell(NOW);
-            assert_eq!(stand.ends(), [(1, Outcome::Served)]);
+            assert_eq!(stand.ends(), [(1, Outcome::Success)]);
         }
     }
 
@@ -693,7 +695,7 @@
         stand.machines.recall_build(Build(6), NOW, &mut stand.notes);
         assert!(stand.ends().is_empty());
         stand.machines.recall_build(Build(7), NOW, &mut stand.notes);
-        assert_eq!(stand.ends(), [(1, Outcome::Unsent)]);
+        assert_eq!(stand.ends(), [(1, Outcome::NotSent)]);
         assert!(stand.machines.due().is_none() && stand.machines.len() == 0, "something is kept for it");
     }
 
@@ -705,7 +707,7 @@
         say(&mut first, ANSWER);
         stand.until_there();
         stand.tell(NOW);
-        assert_eq!(stand.ends(), [(1, Outcome::Served)]);
+        assert_eq!(stand.ends(), [(1, Outcome::Success)]);
         // The next request comes before the second answer: it goes on a connection of its own.
         stand.attempt(2, NOW + REST - 1);
         assert_eq!((stand.machines.opened, stand.machines.reused), (2, 0));
@@ -718,7 +720,7 @@
         say(&mut second, ANSWER);
         stand.until_there();
         stand.tell(NOW + REST);
-        assert_eq!(stand.ends(), [(2, Outcome::Served)]);
+        assert_eq!(stand.ends(), [(2, Outcome::Success)]);
         // One that has rested is used again.
         stand.attempt(3, NOW + 2 * REST);
         assert_eq!((stand.machines.opened, stand.machines.reused), (2, 1));
@@ -733,7 +735,7 @@
         say(&mut machine, ANSWER);
         stand.until_there();
         stand.machines.late(LATER, &mut stand.notes);
-        assert_eq!(stand.ends(), [(1, Outcome::Served)]);
+        assert_eq!(stand.ends(), [(1, Outcome::Success)]);
         // What could not be sent in time is not sent at the end of it.
         stand.attempt(2, LATER + REST);
         hear(&mut machine);
@@ -742,17 +744,17 @@
         stand.attempt(3, LATER);
         let (mut waits, _) = stand.machine.accept().expect("a connection");
         stand.machines.late(LATER + 5 * SECOND, &mut stand.notes);
-        assert_eq!(stand.ends(), [(3, Outcome::Unreached)]);
+        assert_eq!(stand.ends(), [(3, Outcome::ConnectFailed)]);
         assert_eq!(std::io::Read::read(&mut waits, &mut [0; 8]).expect("its end"), 0);
     }
 
     #[test]
     fn only_a_marked_refusal_proves_that_nothing_ran() {
         for (head, expected) in [
-            ("200 OK\r\n", Outcome::Served),
+            ("200 OK\r\n", Outcome::Success),
             ("500 Oops\r\n", Outcome::Error),
-            ("503 Busy\r\nNot-Started: 1\r\n", Outcome::Full),
-            ("504 Late\r\nNot-Started: 1\r\n", Outcome::Full),
+            ("503 Busy\r\nNot-Started: 1\r\n", Outcome::Overloaded),
+            ("504 Late\r\nNot-Started: 1\r\n", Outcome::Overloaded),
             ("503 Busy\r\n", Outcome::Error),
             ("503 Busy\r\nNot-Started: 0\r\n", Outcome::Error),
             ("504 Late\r\n", Outcome::Error),
--- a/crates/proxy/src/phase.rs
+++ b/crates/proxy/src/phase.rs
@@ -1,6 +1,6 @@
 //! The phases of the process, from start to exit.
 
-use garnetcrank_policy::interface::Micros;
+use garnetcrank_policy::api::Micros;
 use tracing::info;
 
 use crate::clock::{MS, SECOND};
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use calloop::Readiness;
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::api::*;
 use garnetcrank_vote_router::{Origin, Vote};
 use serde::{Deserialize, Serialize};
 use tracing::warn;
@@ -43,17 +43,17 @@
 }
 
 impl State {
-    fn stage(&self) -> Stage {
-        Stage {
+    fn stage(&self) -> RolloutStatus {
+        RolloutStatus {
             build: Build(self.release),
             stage: self.tranche,
             phase: match self.mode {
-                Mode::InProgress => Phase::Trial,
-                Mode::Complete => Phase::Released,
-                Mode::RollingBack => Phase::GoingBack,
-                Mode::RolledBack => Phase::Withdrawn,
+                Mode::InProgress => RolloutPhase::OnTrial,
+                Mode::Complete => RolloutPhase::Released,
+                Mode::RollingBack => RolloutPhase::RollingBack,
+                Mode::RolledBack => RolloutPhase::Withdrawn,
             },
-            cap: self.exposure,
+            exposure_cap: self.exposure,
             age: self.age(),
         }
     }
@@ -112,7 +112,7 @@
     }
 
     /// News, unless it is older than what is known.
-    pub fn news(&mut self, state: State, now: Micros) -> Option<Stage> {
+    pub fn news(&mut self, state: State, now: Micros) -> Option<RolloutStatus> {
         let since = now.saturating_sub(state.age());
         let newer = self.known.is_none_or(|(known, known_since)| {
             state.order() > known.order() || state.order() == known.order() && since + TRAVEL >= known_since
@@ -133,7 +133,7 @@
         let mut events = self.heard(last, now);
         let held = self.known.map(|(known, _)| known.order());
         if held.is_none_or(|held| state.order() > held) {
-            events.extend(self.news(state, now).map(Event::Stage));
+            events.extend(self.news(state, now).map(Event::RolloutUpdated));
         }
         events
     }
@@ -154,10 +154,10 @@
     ) -> Option<Event> {
         let (build, stage, verdict) = vote;
         let ruling = match verdict {
-            Verdict::None => "WITHDRAW",
-            Verdict::On => "PROCEED",
+            Verdict::Abstain => "WITHDRAW",
+            Verdict::Advance => "PROCEED",
             Verdict::Hold => "HOLD",
-            Verdict::Back => "ROLLBACK",
+            Verdict::RollBack => "ROLLBACK",
         };
         let body =
             serde_json::to_vec(&Ruling { release: build.0, tranche: stage, ruling }).unwrap_or_default();
@@ -176,7 +176,7 @@
             }
             Err(e) => {
                 warn!("platform: a vote could not be sent: {e}");
-                (origin == Origin::Own).then_some(Event::Voted(Ballot::Failed, None))
+                (origin == Origin::Own).then_some(Event::VoteCompleted(VoteResult::Failed, None))
             }
         }
     }
@@ -213,7 +213,7 @@
         let mut events = Vec::new();
         for line in heard.told() {
             match self.told(line, now) {
-                Ok(stage) => events.extend(stage.map(Event::Stage)),
+                Ok(stage) => events.extend(stage.map(Event::RolloutUpdated)),
                 Err(e) => {
                     warn!("platform: {e}");
                     self.watch.lose(now, "news that can't be read");
@@ -225,7 +225,7 @@
         events
     }
 
-    fn told(&mut self, line: &[u8], now: Micros) -> Result<Option<Stage>, serde_json::Error> {
+    fn told(&mut self, line: &[u8], now: Micros) -> Result<Option<RolloutStatus>, serde_json::Error> {
         let told: Told = serde_json::from_slice(line)?;
         match (told.kind.as_deref(), told.object) {
             (Some("progress"), Some(object)) => Ok(self.news(serde_json::from_value(object)?, now)),
@@ -243,7 +243,7 @@
     /// The end of a vote, as far as the decisions hear of it: of one that they did not cast, the news alone.
     fn answered(&mut self, end: CallEnd, origin: Origin, now: Micros) -> Option<Event> {
         match (self.voted(end, now), origin) {
-            (Event::Voted(_, stage), Origin::All) => stage.map(Event::Stage),
+            (Event::VoteCompleted(_, stage), Origin::All) => stage.map(Event::RolloutUpdated),
             (event, _) => Some(event),
         }
     }
@@ -251,27 +251,27 @@
     fn voted(&mut self, end: CallEnd, now: Micros) -> Event {
         let response = match end {
             CallEnd::Answer(response) => response,
-            CallEnd::NeverSent => return Event::Voted(Ballot::Failed, None),
-            CallEnd::Doubtful => return Event::Voted(Ballot::Doubtful, None),
+            CallEnd::NeverSent => return Event::VoteCompleted(VoteResult::Failed, None),
+            CallEnd::Doubtful => return Event::VoteCompleted(VoteResult::Unknown, None),
         };
         match response.status {
             200 => match serde_json::from_slice::<State>(&response.body) {
-                Ok(state) => Event::Voted(Ballot::Counted, self.news(state, now)),
+                Ok(state) => Event::VoteCompleted(VoteResult::Counted, self.news(state, now)),
                 Err(e) => {
                     warn!("platform: the answer to a vote can't be read: {e}");
-                    Event::Voted(Ballot::Doubtful, None)
+                    Event::VoteCompleted(VoteResult::Unknown, None)
                 }
             },
-            409 => Event::Voted(Ballot::Moot, None),
-            429 => Event::Voted(Ballot::NoRoom, None),
-            500 => Event::Voted(Ballot::Failed, None),
+            409 => Event::VoteCompleted(VoteResult::Obsolete, None),
+            429 => Event::VoteCompleted(VoteResult::RateLimited, None),
+            500 => Event::VoteCompleted(VoteResult::Failed, None),
             400 => {
                 warn!("platform: a vote was not understood: {}", String::from_utf8_lossy(&response.body));
-                Event::Voted(Ballot::Failed, None)
+                Event::VoteCompleted(VoteResult::Failed, None)
             }
             other => {
                 warn!("platform: a vote was answered with status {other}");
-                Event::Voted(Ballot::Doubtful, None)
+                Event::VoteCompleted(VoteResult::Unknown, None)
             }
         }
     }
@@ -306,7 +306,7 @@
         let mut p = platform();
         assert!(p.news(state(42, 3, Mode::Complete, 1.0, 0.0), SECOND).is_some());
         let back = p.news(state(42, 3, Mode::RollingBack, 0.0, 0.0), 2 * SECOND);
-        assert_eq!(back.expect("news").phase, Phase::GoingBack);
+        assert_eq!(back.expect("news").phase, RolloutPhase::RollingBack);
     }
 
     #[test]
@@ -330,17 +330,17 @@
             CallEnd::Answer(r)
         };
         let ballot = |end| match platform().voted(end, SECOND) {
-            Event::Voted(ballot, stage) => (ballot, stage.map(|s| s.cap)),
+            Event::VoteCompleted(ballot, stage) => (ballot, stage.map(|s| s.exposure_cap)),
             other => panic!("{other:?}"),
         };
-        assert_eq!(ballot(answer(200, body)), (Ballot::Counted, Some(0.28)));
-        assert_eq!(ballot(answer(200, b"{")), (Ballot::Doubtful, None));
-        assert_eq!(ballot(answer(409, b"{}")), (Ballot::Moot, None));
-        assert_eq!(ballot(answer(429, b"{}")), (Ballot::NoRoom, None));
-        assert_eq!(ballot(answer(500, b"{}")), (Ballot::Failed, None));
-        assert_eq!(ballot(answer(400, b"{}")), (Ballot::Failed, None));
-        assert_eq!(ballot(CallEnd::NeverSent), (Ballot::Failed, None));
-        assert_eq!(ballot(CallEnd::Doubtful), (Ballot::Doubtful, None));
+        assert_eq!(ballot(answer(200, body)), (VoteResult::Counted, Some(0.28)));
+        assert_eq!(ballot(answer(200, b"{")), (VoteResult::Unknown, None));
+        assert_eq!(ballot(answer(409, b"{}")), (VoteResult::Obsolete, None));
+        assert_eq!(ballot(answer(429, b"{}")), (VoteResult::RateLimited, None));
+        assert_eq!(ballot(answer(500, b"{}")), (VoteResult::Failed, None));
+        assert_eq!(ballot(answer(400, b"{}")), (VoteResult::Failed, None));
+        assert_eq!(ballot(CallEnd::NeverSent), (VoteResult::Failed, None));
+        assert_eq!(ballot(CallEnd::Doubtful), (VoteResult::Unknown, None));
     }
 
     #[test]
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,7 +1,7 @@
 //! What a client's request means to the decisions, from its path and headers.
 
-use garnetcrank_policy::interface::{ClassId, Micros, TenantId};
 use garnetcrank_http::{Bad, Request};
+use garnetcrank_policy::api::{ClassId, Micros, TenantId};
 use garnetcrank_settings::Settings;
 
 use crate::clock::MS;
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -4,8 +4,8 @@
 
 use calloop::Readiness;
 use fastrand::Rng;
-use garnetcrank_policy::interface::Micros;
 use garnetcrank_http::{StreamReader, write_request};
+use garnetcrank_policy::api::Micros;
 use tracing::{info, warn};
 
 use crate::clock::MS;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,7 @@
 //! The simulator's wire hands an instance this object in its first message; a front finds the same in its
 //! configuration. Times in it are milliseconds. Unknown keys are passed over.
 
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::api::*;
 use serde::Deserialize;
 
 /// A settings object that was read and checked.
@@ -140,47 +140,47 @@
 
 fn config(zone: ZoneId, s: &Raw) -> Config {
     let classes = s.grades.iter().map(|g| Class {
-        effect: match g.effect {
-            EffectName::Repeatable => Effect::Safe,
-            EffectName::Once => Effect::Once,
-            EffectName::ByKey => Effect::Keyed {
+        idempotency: match g.effect {
+            EffectName::Repeatable => Idempotency::Idempotent,
+            EffectName::Once => Idempotency::NonIdempotent,
+            EffectName::ByKey => Idempotency::Keyed {
                 scope: match g.dedup_scope {
-                    ScopeName::All => Scope::All,
-                    ScopeName::Zone => Scope::Zone,
-                    ScopeName::Cell => Scope::Cell,
+                    ScopeName::All => KeyScope::All,
+                    ScopeName::Zone => KeyScope::Zone,
+                    ScopeName::Cell => KeyScope::Cell,
                 },
                 window: micros(g.repeat_window),
             },
         },
         name: g.name.clone(),
-        aim: micros(g.goal_time),
+        latency_objective: micros(g.goal_time),
         deadline: micros(g.deadline),
-        worth: g.credit,
-        late_worth: g.late_share,
+        priority_weight: g.credit,
+        late_priority_weight: g.late_share,
         streamed: g.stream,
     });
     Config {
-        fronts: s.balancers.max(1),
-        index: s.me,
+        instance_count: s.balancers.max(1),
+        instance_index: s.me,
         zone,
         classes: classes.collect(),
         tenants: s.tenants.iter().map(|t| Tenant { share: t.portion, quota_per_s: t.quota_rps }).collect(),
-        worth_by_work: s.value_by == "work",
-        over_share_worth: s.over_share_worth,
-        ask_for_fleet: s.registry_mode == RegistryMode::OnRequest,
-        ask_within: micros(s.safety.ask_within),
-        probes: s.limits.probes,
-        withdrawals: s.limits.cancel,
-        second_copies: s.limits.parallel_tries,
-        peer_messages: s.limits.peer_messages,
-        retry_advice: s.limits.retry_after.then(|| micros(s.limits.max_retry_after)),
+        priority_by_work: s.value_by == "work",
+        over_quota_weight: s.over_share_worth,
+        poll_endpoints: s.registry_mode == RegistryMode::OnRequest,
+        poll_timeout: micros(s.safety.ask_within),
+        health_checks: s.limits.probes,
+        cancellation: s.limits.cancel,
+        hedging: s.limits.parallel_tries,
+        gossip: s.limits.peer_messages,
+        retry_after: s.limits.retry_after.then(|| micros(s.limits.max_retry_after)),
         max_attempts: s.limits.max_attempts,
         resolution: micros(s.resolution),
         drain_grace: micros(s.safety.drain_grace),
-        cold_from: s.safety.cold_from,
-        warm_after: micros(s.safety.warm_after),
-        fall_multiple: s.safety.fall_multiple,
-        fall_window: micros(s.safety.fall),
+        slow_start_initial: s.safety.cold_from,
+        slow_start_duration: micros(s.safety.warm_after),
+        overload_multiple: s.safety.fall_multiple,
+        overload_window: micros(s.safety.fall),
         cross_zone_price: s.prices.cross_zone,
         rated: s.weights != "none",
         rollout: Rollout {
@@ -189,22 +189,22 @@
                 ModeName::Share => VoteMode::Share,
                 ModeName::Timer => VoteMode::Timer,
             },
-            replace: match s.specifics.replace_mode {
-                ReplaceName::Beside => Replace::Beside,
-                ReplaceName::InPlace => Replace::InPlace,
+            replacement: match s.specifics.replace_mode {
+                ReplaceName::Beside => ReplacementMode::SideBySide,
+                ReplaceName::InPlace => ReplacementMode::InPlace,
             },
             stages: s.specifics.steps.clone(),
-            caps: s.specifics.most_shares.clone(),
-            window: micros(s.specifics.exposure_window),
-            free: s.specifics.spare_tries,
-            by_class: s.specifics.counted_by == "class",
+            exposure_caps: s.specifics.most_shares.clone(),
+            exposure_window: micros(s.specifics.exposure_window),
+            exposure_allowance: s.specifics.spare_tries,
+            exposure_by_class: s.specifics.counted_by == "class",
             guarded_stages: s.specifics.guarded_stages,
-            one_way: s.specifics.no_return,
-            vote_life: micros(s.specifics.ballot_ttl),
-            vote_wait: micros(s.specifics.vote_wait),
-            back_votes: s.specifics.back_votes,
+            forward_only_keys: s.specifics.no_return,
+            vote_ttl: micros(s.specifics.ballot_ttl),
+            vote_timeout: micros(s.specifics.vote_wait),
+            rollback_quorum: s.specifics.back_votes,
             votes_per_s: s.specifics.api_rate,
-            step: micros(s.specifics.moves_after),
+            stage_duration: micros(s.specifics.moves_after),
             delay_price: s.specifics.delay_price,
             harm_price: s.specifics.damage_price,
         },
@@ -417,9 +417,9 @@
     #[test]
     fn milliseconds_become_microseconds_and_what_is_missing_gets_its_default() {
         let settings = Settings::read(&small()).expect("settings");
-        assert_eq!(settings.config.classes[0].aim, 400_000);
-        assert_eq!((settings.config.zone, settings.config.retry_advice), (ZoneId(1), Some(900_000)));
-        assert_eq!(settings.config.rollout.caps, [0.2, 1.0]);
+        assert_eq!(settings.config.classes[0].latency_objective, 400_000);
+        assert_eq!((settings.config.zone, settings.config.retry_after), (ZoneId(1), Some(900_000)));
+        assert_eq!(settings.config.rollout.exposure_caps, [0.2, 1.0]);
         let transport = settings.transport;
         assert_eq!((transport.connect_timeout, transport.conn_idle), (250_000, 30_000_000));
         assert_eq!(transport.most_held, None);
--- a/crates/sim-adapter/src/link.rs
+++ b/crates/sim-adapter/src/link.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use garnetcrank_policy::Brain;
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::Policy;
+use garnetcrank_policy::api::*;
 use garnetcrank_settings::{Settings, micros};
 
 use crate::wire::*;
@@ -37,7 +37,7 @@
 }
 
 struct Instance {
-    brain: Brain,
+    brain: Policy,
     machines: Names,
     zones: Names,
     kinds: Names,
@@ -157,7 +157,7 @@
     fn new(seed: u64, settings: Settings) -> Self {
         let Settings { config, classes, tenants, zones, kinds, .. } = settings;
         Instance {
-            brain: Brain::new(seed, config),
+            brain: Policy::new(seed, config),
             machines: Names::default(),
             zones: Names::of(&zones),
             kinds: Names::of(&kinds),
@@ -179,15 +179,15 @@
             | Line::Directory { .. }
             | Line::NewInstance { .. }
             | Line::Retire { .. } => return Ok(None),
-            Line::Fleet { how: ListKind::Failed, .. } => Event::Fleet(Fleet::Unreachable),
+            Line::Fleet { how: ListKind::Failed, .. } => Event::EndpointsUpdated(EndpointUpdate::Unavailable),
             Line::Fleet { how, roster_id, .. } => {
                 let Some(rows) = lists.get(&roster_id) else {
                     return Err(format!("fleet: directory {roster_id} was never sent"));
                 };
                 let entries = rows.iter().map(|row| self.entry(row)).collect();
-                Event::Fleet(match how {
-                    ListKind::Incremental => Fleet::Changes(entries),
-                    _ => Fleet::Whole { entries, saved: how == ListKind::Saved },
+                Event::EndpointsUpdated(match how {
+                    ListKind::Incremental => EndpointUpdate::Delta(entries),
+                    _ => EndpointUpdate::Snapshot { endpoints: entries, cached: how == ListKind::Saved },
                 })
             }
             Line::Ingress { op_id, class, party, key, client_deadline, cost, bits, .. } => {
@@ -201,51 +201,53 @@
                     tenant,
                     key: key.map(|k| KeyId(self.keys.number(&k))),
                     deadline: micros(client_deadline),
-                    hint: cost.filter(|c| bits & 1 != 0 && *c > 0.0).map(micros),
-                    repeat: bits & 2 != 0,
+                    work_hint: cost.filter(|c| bits & 1 != 0 && *c > 0.0).map(micros),
+                    is_retry: bits & 2 != 0,
                 })
             }
             Line::UnderWay { op_id, round_no, .. } => {
-                Event::Begun { id: RequestId(op_id), attempt: round_no }
+                Event::ResponseStarted { id: RequestId(op_id), attempt: round_no }
             }
-            Line::Done { op_id, round_no, outcome, lag, ended, usage, .. } => Event::Done(Done {
-                id: RequestId(op_id),
-                attempt: round_no,
-                outcome: outcome.outcome(),
-                lag: micros(lag),
-                over: ended,
-                load: usage.unwrap_or_default(),
-            }),
-            Line::Aborted { op_id, .. } => Event::Gone(RequestId(op_id)),
+            Line::Done { op_id, round_no, outcome, lag, ended, usage, .. } => {
+                Event::AttemptCompleted(AttemptResult {
+                    id: RequestId(op_id),
+                    attempt: round_no,
+                    outcome: outcome.outcome(),
+                    latency: micros(lag),
+                    request_finished: ended,
+                    load_report: usage.unwrap_or_default(),
+                })
+            }
+            Line::Aborted { op_id, .. } => Event::ClientDisconnected(RequestId(op_id)),
             Line::Ring { cookie, .. } => Event::Timer(cookie),
-            Line::HealthResult { machine, lag, outcome, usage, .. } => Event::Probed {
-                machine: MachineId(self.machines.number(&machine)),
+            Line::HealthResult { machine, lag, outcome, usage, .. } => Event::HealthCheckCompleted {
+                endpoint: EndpointId(self.machines.number(&machine)),
                 outcome: outcome.outcome(),
-                lag: micros(lag),
-                load: usage.unwrap_or_default(),
+                latency: micros(lag),
+                load_report: usage.unwrap_or_default(),
             },
             Line::Whisper { sender, octets, .. } => {
-                Event::Peer { from: PeerId(sender), bytes: unhex(&octets)? }
+                Event::GossipReceived { from: PeerId(sender), bytes: unhex(&octets)? }
             }
             Line::StepNews { release, wave, course, how, outcome, limit_share, behind, .. } => {
                 let phase = match course {
-                    0 => Phase::Trial,
-                    1 => Phase::GoingBack,
-                    2 => Phase::Released,
-                    3 => Phase::Withdrawn,
+                    0 => RolloutPhase::OnTrial,
+                    1 => RolloutPhase::RollingBack,
+                    2 => RolloutPhase::Released,
+                    3 => RolloutPhase::Withdrawn,
                     other => return Err(format!("stepNews: course {other} is none of 0 to 3")),
                 };
-                let stage = Stage {
+                let stage = RolloutStatus {
                     build: Build(release),
                     stage: wave,
                     phase,
-                    cap: limit_share,
+                    exposure_cap: limit_share,
                     age: micros(behind),
                 };
                 let known = (outcome == Status::Pass).then_some(stage);
                 match (how, known) {
-                    (1, known) => Event::Voted(outcome.ballot(), known),
-                    (_, Some(stage)) => Event::Stage(stage),
+                    (1, known) => Event::VoteCompleted(outcome.ballot(), known),
+                    (_, Some(stage)) => Event::RolloutUpdated(stage),
                     (_, None) => return Ok(None),
                 }
             }
@@ -257,25 +259,25 @@
                 mean: micros(lag),
                 age: micros(behind),
             },
-            Line::ReportedWrong { machine, behind, class, .. } => Event::Flagged {
-                machine: MachineId(self.machines.number(&machine)),
+            Line::ReportedWrong { machine, behind, class, .. } => Event::AnswerFlagged {
+                endpoint: EndpointId(self.machines.number(&machine)),
                 class: self.class(&class)?,
                 age: micros(behind),
             },
         }))
     }
 
-    fn entry(&mut self, row: &Row) -> Entry {
-        Entry {
-            machine: MachineId(self.machines.number(&row.machine)),
+    fn entry(&mut self, row: &Row) -> EndpointRecord {
+        EndpointRecord {
+            endpoint: EndpointId(self.machines.number(&row.machine)),
             kind: KindId(self.kinds.number(&row.flavor) as usize),
             zone: ZoneId(self.zones.number(&row.dc) as usize),
             cell: CellId(row.unit_group),
             build: Build(row.build as u32),
-            presence: match row.availability {
-                Availability::On => Presence::On,
-                Availability::Fading => Presence::Draining,
-                Availability::Off => Presence::Gone,
+            status: match row.availability {
+                Availability::On => EndpointStatus::Active,
+                Availability::Fading => EndpointStatus::Draining,
+                Availability::Off => EndpointStatus::Removed,
             },
             started: row.last_start.filter(|t| *t > 0.0).map(micros),
             rating: row.rating,
@@ -283,35 +285,35 @@
     }
 
     fn answer(&self, front: u32, action: &Action, reply: &mut String) -> Result<(), String> {
-        let name = |m: &MachineId| self.machines.names[m.0 as usize].as_str();
+        let name = |m: &EndpointId| self.machines.names[m.0 as usize].as_str();
         let answer = match action {
-            Action::Place { id, machine, time_out } => {
+            Action::Forward { id, endpoint: machine, timeout: time_out } => {
                 Answer::Place { front, op_id: id.0, machine: name(machine), try_for: time_out.map(ms) }
             }
-            Action::Withdraw { id, attempt } => Answer::Retract { front, op_id: id.0, round_no: *attempt },
-            Action::Refuse { id, come_back } => {
+            Action::Cancel { id, attempt } => Answer::Retract { front, op_id: id.0, round_no: *attempt },
+            Action::Reject { id, retry_after: come_back } => {
                 Answer::TurnAway { front, op_id: id.0, not_before_for: come_back.map(ms) }
             }
             Action::Fail(id) => Answer::Fail { front, op_id: id.0 },
             Action::SetTimer { after, token } => Answer::After { front, delay: ms(*after), cookie: *token },
-            Action::Probe(machine) => Answer::Test { front, machine: name(machine) },
+            Action::HealthCheck(machine) => Answer::Test { front, machine: name(machine) },
             Action::CloseIdle(machine) => Answer::Release { front, machine: name(machine) },
-            Action::Tell { to, bytes } => Answer::Notify {
+            Action::SendGossip { to, bytes } => Answer::Notify {
                 front,
                 dest: to.map_or(Dest::All("all"), |p| Dest::Peer(p.0)),
                 octets: bytes.iter().map(|b| format!("{b:02x}")).collect(),
             },
-            Action::Subscribe(want) => Answer::StreamChanges { front, want: *want },
-            Action::AskFleet => Answer::QueryAll { front },
+            Action::WatchEndpoints(want) => Answer::StreamChanges { front, want: *want },
+            Action::PollEndpoints => Answer::QueryAll { front },
             Action::Vote { build, stage, verdict } => Answer::Vote {
                 front,
                 release: build.0,
                 wave: *stage,
                 how: match verdict {
-                    Verdict::None => 0,
-                    Verdict::On => 1,
+                    Verdict::Abstain => 0,
+                    Verdict::Advance => 1,
                     Verdict::Hold => 2,
-                    Verdict::Back => 3,
+                    Verdict::RollBack => 3,
                 },
             },
             Action::Log(words) => Answer::JournalLine { front, words },
@@ -323,24 +325,24 @@
 impl Status {
     fn outcome(self) -> Outcome {
         match self {
-            Status::Pass => Outcome::Served,
+            Status::Pass => Outcome::Success,
             Status::Fault => Outcome::Error,
-            Status::NoRoom => Outcome::Full,
+            Status::NoRoom => Outcome::Overloaded,
             Status::TooSlow => Outcome::TimedOut,
-            Status::NoRoute => Outcome::Unreached,
-            Status::Cut => Outcome::Broken,
-            Status::Undone => Outcome::Withdrawn,
-            Status::StaleSend => Outcome::Unsent,
+            Status::NoRoute => Outcome::ConnectFailed,
+            Status::Cut => Outcome::ConnectionLost,
+            Status::Undone => Outcome::Cancelled,
+            Status::StaleSend => Outcome::NotSent,
         }
     }
 
-    fn ballot(self) -> Ballot {
+    fn ballot(self) -> VoteResult {
         match self {
-            Status::Pass => Ballot::Counted,
-            Status::StaleSend => Ballot::Moot,
-            Status::NoRoom => Ballot::NoRoom,
-            Status::TooSlow => Ballot::Doubtful,
-            _ => Ballot::Failed,
+            Status::Pass => VoteResult::Counted,
+            Status::StaleSend => VoteResult::Obsolete,
+            Status::NoRoom => VoteResult::RateLimited,
+            Status::TooSlow => VoteResult::Unknown,
+            _ => VoteResult::Failed,
         }
     }
 }
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,7 +1,7 @@
 //! Random batches and restarts against a model that keeps everything in a vector.
 
-use garnetcrank_test_support::disk::Disk;
 use garnetcrank_store::{Batch, HardState, Identity, Record, Snapshot, Store};
+use garnetcrank_test_support::disk::Disk;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -1,7 +1,7 @@
 //! The power is cut at every operation of the device, with unsynced writes lost, kept or torn.
 
-use garnetcrank_test_support::disk::Disk;
 use garnetcrank_store::{Batch, HardState, Identity, Loaded, Record, Snapshot, Store, StoreError};
+use garnetcrank_test_support::disk::Disk;
 
 fn me() -> Identity {
     Identity { cluster: "test".into(), name: "one".into(), id: 7 }
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use garnetcrank_policy::Brain;
-use garnetcrank_policy::interface::*;
+use garnetcrank_policy::Policy;
+use garnetcrank_policy::api::*;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
@@ -69,32 +69,32 @@
 
 fn settings(index: u32) -> Config {
     Config {
-        fronts: FRONTS,
-        index,
+        instance_count: FRONTS,
+        instance_index: index,
         classes: vec![Class {
             name: "read".into(),
-            effect: Effect::Safe,
-            aim: AIM,
+            idempotency: Idempotency::Idempotent,
+            latency_objective: AIM,
             deadline: SECOND,
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_priority_weight: 0.0,
             streamed: false,
         }],
-        withdrawals: true,
+        cancellation: true,
         max_attempts: 4,
         resolution: STEP,
         drain_grace: 500 * MS,
-        cold_from: 0.33,
-        warm_after: 4_900 * MS,
-        fall_multiple: 2.5,
-        fall_window: 2 * SECOND,
+        slow_start_initial: 0.33,
+        slow_start_duration: 4_900 * MS,
+        overload_multiple: 2.5,
+        overload_window: 2 * SECOND,
         rollout: Rollout {
             mode: VoteMode::Timer,
             stages: vec![1.0],
-            caps: vec![1.0],
-            window: 2 * SECOND,
-            vote_life: 4 * SECOND,
-            vote_wait: SECOND,
+            exposure_caps: vec![1.0],
+            exposure_window: 2 * SECOND,
+            vote_ttl: 4 * SECOND,
+            vote_timeout: SECOND,
             ..Rollout::default()
         },
         ..Config::default()
@@ -110,13 +110,13 @@
 struct World {
     plan: Plan,
     rng: Rng,
-    brains: Vec<Brain>,
+    brains: Vec<Policy>,
     /// The machines as they were, as those that restart come back, and as the others are drained.
-    before: Vec<Entry>,
-    anew: Vec<Entry>,
-    drained: Vec<Entry>,
+    before: Vec<EndpointRecord>,
+    anew: Vec<EndpointRecord>,
+    drained: Vec<EndpointRecord>,
     /// Outcomes under way, by when they come and the request's number, with the front.
-    due: BTreeMap<(Micros, u32), (usize, Done)>,
+    due: BTreeMap<(Micros, u32), (usize, AttemptResult)>,
     /// Work that reached each machine that restarts.
     reached: Vec<Vec<(Micros, f64)>>,
     asked: u32,
@@ -127,14 +127,20 @@
 /// Plays 14 s: 8 quiet ones, then machines start anew while the others are drained.
 pub fn play(plan: Plan) -> Came {
     let mut rng = Rng::with_seed(plan.seed);
-    let brains: Vec<Brain> = (0..FRONTS).map(|i| Brain::new(rng.u64(..), settings(i))).collect();
+    let brains: Vec<Policy> = (0..FRONTS).map(|i| Policy::new(rng.u64(..), settings(i))).collect();
     // Some fronts see several times the mean.
     let skew: Vec<f64> = brains.iter().map(|_| 0.2 + drawn(&mut rng, 0.8)).collect();
-    let entry = |n| Entry { machine: MachineId(n), build: BUILD, rating: 1.0, ..Entry::default() };
-    let before: Vec<Entry> = (0..MACHINES as u32).map(entry).collect();
-    let mut born = |e: &Entry| Entry { started: Some(START + 8 * SECOND + rng.u64(..200 * MS)), ..*e };
+    let entry = |n| EndpointRecord {
+        endpoint: EndpointId(n),
+        build: BUILD,
+        rating: 1.0,
+        ..EndpointRecord::default()
+    };
+    let before: Vec<EndpointRecord> = (0..MACHINES as u32).map(entry).collect();
+    let mut born =
+        |e: &EndpointRecord| EndpointRecord { started: Some(START + 8 * SECOND + rng.u64(..200 * MS)), ..*e };
     let anew = before[..RESTARTED].iter().map(&mut born).collect();
-    let drain = |e: &Entry| Entry { presence: Presence::Draining, ..*e };
+    let drain = |e: &EndpointRecord| EndpointRecord { status: EndpointStatus::Draining, ..*e };
     let drained = before[RESTARTED..].iter().map(drain).collect();
     let reached = vec![Vec::new(); RESTARTED];
     let (due, out, asked, sent) = (BTreeMap::new(), Vec::new(), 0, 0);
@@ -163,10 +169,20 @@
     }
 
     /// What a front knows as it starts.
-    fn introduce(&mut self, now: Micros, front: usize, entries: Vec<Entry>) {
-        self.tell(now, front, Event::Fleet(Fleet::Whole { entries, saved: true }));
-        let stage = Stage { build: BUILD, stage: 2, phase: Phase::Released, cap: 1.0, age: 0 };
-        self.tell(now, front, Event::Stage(stage));
+    fn introduce(&mut self, now: Micros, front: usize, entries: Vec<EndpointRecord>) {
+        self.tell(
+            now,
+            front,
+            Event::EndpointsUpdated(EndpointUpdate::Snapshot { endpoints: entries, cached: true }),
+        );
+        let stage = RolloutStatus {
+            build: BUILD,
+            stage: 2,
+            phase: RolloutPhase::Released,
+            exposure_cap: 1.0,
+            age: 0,
+        };
+        self.tell(now, front, Event::RolloutUpdated(stage));
     }
 
     /// What a front is told at this moment; news reaches each at its own time.
@@ -174,18 +190,18 @@
         let at = now - START;
         let late = (front as Micros * 7_919) % 300 * MS / STEP * STEP;
         if at == 7_500 * MS + late {
-            let away = |e: &Entry| Entry { presence: Presence::Gone, ..*e };
+            let away = |e: &EndpointRecord| EndpointRecord { status: EndpointStatus::Removed, ..*e };
             let away = self.before[..RESTARTED].iter().map(away).collect();
-            self.tell(now, front, Event::Fleet(Fleet::Changes(away)));
+            self.tell(now, front, Event::EndpointsUpdated(EndpointUpdate::Delta(away)));
         }
         if at == 8 * SECOND + self.plan.hidden + late {
-            self.tell(now, front, Event::Fleet(Fleet::Changes(self.anew.clone())));
+            self.tell(now, front, Event::EndpointsUpdated(EndpointUpdate::Delta(self.anew.clone())));
         }
         if at == 9 * SECOND + late {
-            self.tell(now, front, Event::Fleet(Fleet::Changes(self.drained.clone())));
+            self.tell(now, front, Event::EndpointsUpdated(EndpointUpdate::Delta(self.drained.clone())));
         }
         if at == 9_500 * MS && self.rng.f64() < self.plan.killed {
-            self.brains[front] = Brain::new(self.rng.u64(..), settings(front as u32));
+            self.brains[front] = Policy::new(self.rng.u64(..), settings(front as u32));
             self.introduce(now, front, [&self.anew[..], &self.drained].concat());
             self.due.retain(|_, (whose, _)| *whose != front);
         }
@@ -197,7 +213,7 @@
     fn outcomes(&mut self, now: Micros) {
         while let Some(first) = self.due.first_entry().filter(|first| first.key().0 <= now) {
             let (front, done) = first.remove();
-            self.tell(now, front, Event::Done(done));
+            self.tell(now, front, Event::AttemptCompleted(done));
         }
     }
 
@@ -208,10 +224,11 @@
         let rough = (work * (0.6 + 0.8 * self.rng.f64())) as Micros;
         let hint = (self.plan.hints == Hints::Rough).then_some(rough.max(1));
         let (class, deadline) = (ClassId(0), now + SECOND);
-        let request = Request { id, class, tenant: None, key: None, deadline, hint, repeat: false };
+        let request =
+            Request { id, class, tenant: None, key: None, deadline, work_hint: hint, is_retry: false };
         self.tell(now, front, Event::Request(request));
         let placed = self.out.iter().find_map(|action| match action {
-            Action::Place { machine, .. } => Some(*machine),
+            Action::Forward { endpoint: machine, .. } => Some(*machine),
             _ => None,
         });
         let Some(machine) = placed else { return };
@@ -221,15 +238,28 @@
             reached.push((now, work));
         }
         let lag = (work / self.plan.speed * (1.0 + 0.3 * self.rng.f64())) as Micros;
-        let outcome = if lag < AIM { Outcome::Served } else { Outcome::TimedOut };
+        let outcome = if lag < AIM { Outcome::Success } else { Outcome::TimedOut };
         let lag = lag.min(AIM);
-        let done = Done { id, attempt: 0, outcome, lag, over: true, load: Vec::new() };
+        let done = AttemptResult {
+            id,
+            attempt: 0,
+            outcome,
+            latency: lag,
+            request_finished: true,
+            load_report: Vec::new(),
+        };
         self.due.insert((now + lag, id.0), (front, done));
     }
 
     /// The most that any machine got in a window while it was cold, over what it bears at that window's end.
     fn worst(&self) -> f64 {
-        let Config { cold_from, warm_after, fall_multiple, fall_window, .. } = settings(0);
+        let Config {
+            slow_start_initial: cold_from,
+            slow_start_duration: warm_after,
+            overload_multiple: fall_multiple,
+            overload_window: fall_window,
+            ..
+        } = settings(0);
         let of_each = self.anew.iter().zip(&self.reached).flat_map(|(entry, reached)| {
             let born = entry.started.unwrap_or_default();
             let cold: Vec<_> =
--- a/crates/vote-router/src/lib.rs
+++ b/crates/vote-router/src/lib.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use garnetcrank_policy::interface::{Ballot, Build, Micros, Phase, Stage, Verdict};
+use garnetcrank_policy::api::{Build, Micros, RolloutPhase, RolloutStatus, Verdict, VoteResult};
 
 /// A verdict on a build at a stage.
 pub type Vote = (Build, usize, Verdict);
@@ -28,9 +28,9 @@
     /// Tell the agent; its answer goes to [`Ballots::told`].
     Tell(Vote),
     /// The front's own decisions hear this of their vote.
-    Answer(Ballot),
+    Answer(VoteResult),
     /// The front's own decisions hear this of the newest build.
-    News(Stage),
+    News(RolloutStatus),
 }
 
 /// What the agent says.
@@ -53,7 +53,7 @@
     standing: Option<(Vote, Micros)>,
     wanted: Option<Vote>,
     condemned: BTreeSet<Build>,
-    stage: Option<(Stage, Micros)>,
+    stage: Option<(RolloutStatus, Micros)>,
     life: Micros,
 }
 
@@ -78,9 +78,9 @@
     pub fn told(&mut self, vote: Vote, passed_on: bool) -> Option<Step> {
         // Said again when the agent came back: the decisions have had their answer.
         if self.own != Some(vote) {
-            return Some(Step::Answer(Ballot::Counted)).filter(|_| passed_on);
+            return Some(Step::Answer(VoteResult::Counted)).filter(|_| passed_on);
         }
-        Some(if passed_on { Step::Answer(Ballot::Counted) } else { Step::Cast(vote, Origin::Own) })
+        Some(if passed_on { Step::Answer(VoteResult::Counted) } else { Step::Cast(vote, Origin::Own) })
     }
 
     /// The agent says something.
@@ -95,8 +95,11 @@
             }
             if let Some((stage, since)) = self.stage {
                 let told = self.as_told(stage);
-                if told.cap != stage.cap {
-                    steps.push(Step::News(Stage { age: stage.age + now.saturating_sub(since), ..told }));
+                if told.exposure_cap != stage.exposure_cap {
+                    steps.push(Step::News(RolloutStatus {
+                        age: stage.age + now.saturating_sub(since),
+                        ..told
+                    }));
                 }
             }
         }
@@ -104,7 +107,7 @@
             (false, true) => {
                 self.joined = true;
                 // What was said while it was away is said to the others now.
-                steps.extend(self.own.filter(|vote| vote.2 != Verdict::None).map(Step::Tell));
+                steps.extend(self.own.filter(|vote| vote.2 != Verdict::Abstain).map(Step::Tell));
             }
             (true, false) => steps.extend(self.part(now)),
             _ => {}
@@ -127,7 +130,7 @@
             return Vec::new();
         }
         self.wanted = None;
-        match self.own.filter(|vote| vote.2 != Verdict::None) {
+        match self.own.filter(|vote| vote.2 != Verdict::Abstain) {
             Some(vote) => {
                 self.standing = None;
                 vec![Step::Cast(vote, Origin::All)]
@@ -155,23 +158,23 @@
             (None, Some(((build, stage, _), since))) => {
                 self.standing = None;
                 let lapsed = now >= since + self.life;
-                (!lapsed).then_some(Step::Cast((build, stage, Verdict::None), Origin::All))
+                (!lapsed).then_some(Step::Cast((build, stage, Verdict::Abstain), Origin::All))
             }
             (None, None) => None,
         }
     }
 
     /// News of the newest build, as the front's own decisions are told it.
-    pub fn news(&mut self, now: Micros, stage: Stage) -> Stage {
+    pub fn news(&mut self, now: Micros, stage: RolloutStatus) -> RolloutStatus {
         self.stage = Some((stage, now));
         self.as_told(stage)
     }
 
     /// A build on trial that all have condemned gets nothing here, whatever share the platform still announces: a lower
     /// cap breaks no rule. One that is released may be all there is, so its cap stands.
-    fn as_told(&self, stage: Stage) -> Stage {
-        let barred = stage.phase == Phase::Trial && self.condemned.contains(&stage.build);
-        Stage { cap: if barred { 0.0 } else { stage.cap }, ..stage }
+    fn as_told(&self, stage: RolloutStatus) -> RolloutStatus {
+        let barred = stage.phase == RolloutPhase::OnTrial && self.condemned.contains(&stage.build);
+        RolloutStatus { exposure_cap: if barred { 0.0 } else { stage.exposure_cap }, ..stage }
     }
 }
 
@@ -189,19 +192,22 @@
         Line { condemned: BTreeSet::new(), cast, together }
     }
 
-    fn stage(build: u32, phase: Phase, cap: f64) -> Stage {
-        Stage { build: Build(build), stage: 1, phase, cap, age: S }
+    fn stage(build: u32, phase: RolloutPhase, cap: f64) -> RolloutStatus {
+        RolloutStatus { build: Build(build), stage: 1, phase, exposure_cap: cap, age: S }
     }
 
     #[test]
     fn without_an_agent_every_vote_goes_to_the_platform_as_ever() {
         let mut alone = Ballots::new(4 * S);
-        for verdict in [Verdict::Hold, Verdict::Back, Verdict::None] {
+        for verdict in [Verdict::Hold, Verdict::RollBack, Verdict::Abstain] {
             assert_eq!(alone.votes(vote(42, verdict)), Step::Cast(vote(42, verdict), Origin::Own));
         }
         assert_eq!((alone.tend(9 * S), alone.silent(9 * S)), (None, vec![]));
         assert!(alone.heard(S, line(false, None)).is_empty(), "an agent that reaches nobody changes nothing");
-        assert_eq!(alone.votes(vote(42, Verdict::On)), Step::Cast(vote(42, Verdict::On), Origin::Own));
+        assert_eq!(
+            alone.votes(vote(42, Verdict::Advance)),
+            Step::Cast(vote(42, Verdict::Advance), Origin::Own)
+        );
     }
 
     #[test]
@@ -210,12 +216,12 @@
         assert!(front.heard(S, line(true, None)).is_empty());
         let hold = vote(42, Verdict::Hold);
         assert_eq!(front.votes(hold), Step::Tell(hold));
-        assert_eq!(front.told(hold, true), Some(Step::Answer(Ballot::Counted)));
+        assert_eq!(front.told(hold, true), Some(Step::Answer(VoteResult::Counted)));
         let cast = front.heard(2 * S, line(true, Some(Some(hold))));
         assert_eq!(cast, [Step::Cast(hold, Origin::All)]);
         assert!(front.heard(3 * S, line(true, Some(Some(hold)))).is_empty(), "it stands");
         assert_eq!(front.tend(4 * S), Some(Step::Cast(hold, Origin::All)), "renewed before it lapses");
-        let off = vote(42, Verdict::None);
+        let off = vote(42, Verdict::Abstain);
         assert_eq!(front.heard(5 * S, line(true, None)), [Step::Cast(off, Origin::All)], "another casts now");
         assert!(front.heard(6 * S, line(true, None)).is_empty());
     }
@@ -224,10 +230,10 @@
     fn a_verdict_that_the_agent_does_not_pass_on_is_cast_at_once() {
         let mut front = Ballots::new(4 * S);
         front.heard(S, line(true, None));
-        let back = vote(42, Verdict::Back);
+        let back = vote(42, Verdict::RollBack);
         front.votes(back);
         assert_eq!(front.told(back, false), Some(Step::Cast(back, Origin::Own)));
-        front.votes(vote(42, Verdict::None));
+        front.votes(vote(42, Verdict::Abstain));
         assert_eq!(front.told(back, false), None, "one that is not meant any more is not cast");
     }
 
@@ -251,24 +257,28 @@
     #[test]
     fn what_was_cast_for_others_is_taken_off_when_the_agent_falls_silent() {
         let mut front = Ballots::new(4 * S);
-        front.heard(S, line(true, Some(Some(vote(42, Verdict::Back)))));
-        assert_eq!(front.silent(2 * S), [Step::Cast(vote(42, Verdict::None), Origin::All)]);
-        front.heard(3 * S, line(true, Some(Some(vote(42, Verdict::Back)))));
+        front.heard(S, line(true, Some(Some(vote(42, Verdict::RollBack)))));
+        assert_eq!(front.silent(2 * S), [Step::Cast(vote(42, Verdict::Abstain), Origin::All)]);
+        front.heard(3 * S, line(true, Some(Some(vote(42, Verdict::RollBack)))));
         assert!(front.silent(9 * S).is_empty(), "it has lapsed by itself");
     }
 
     #[test]
     fn a_condemned_build_on_trial_gets_nothing_and_a_released_one_keeps_its_cap() {
         let mut front = Ballots::new(4 * S);
-        assert_eq!(front.news(S, stage(42, Phase::Trial, 0.2)).cap, 0.2);
+        assert_eq!(front.news(S, stage(42, RolloutPhase::OnTrial, 0.2)).exposure_cap, 0.2);
         let condemned = Line { condemned: BTreeSet::from([Build(42)]), ..line(true, None) };
         let steps = front.heard(2 * S, condemned);
         let Some(Step::News(told)) = steps.first() else { panic!("{steps:?}") };
-        assert_eq!((told.cap, told.age), (0.0, 2 * S));
-        assert_eq!(front.news(3 * S, stage(42, Phase::Trial, 0.6)).cap, 0.0);
-        assert_eq!(front.news(4 * S, stage(42, Phase::Released, 1.0)).cap, 1.0);
-        assert_eq!(front.news(5 * S, stage(43, Phase::Trial, 0.05)).cap, 0.05);
+        assert_eq!((told.exposure_cap, told.age), (0.0, 2 * S));
+        assert_eq!(front.news(3 * S, stage(42, RolloutPhase::OnTrial, 0.6)).exposure_cap, 0.0);
+        assert_eq!(front.news(4 * S, stage(42, RolloutPhase::Released, 1.0)).exposure_cap, 1.0);
+        assert_eq!(front.news(5 * S, stage(43, RolloutPhase::OnTrial, 0.05)).exposure_cap, 0.05);
         assert!(front.heard(6 * S, line(true, None)).is_empty());
-        assert_eq!(front.news(7 * S, stage(42, Phase::Trial, 0.6)).cap, 0.0, "it stays condemned");
+        assert_eq!(
+            front.news(7 * S, stage(42, RolloutPhase::OnTrial, 0.6)).exposure_cap,
+            0.0,
+            "it stays condemned"
+        );
     }
 }
