--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -7,11 +7,11 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use garnetcrank_consensus::gate::{Gate, Passage};
+use garnetcrank_consensus::build_verdicts;
+use garnetcrank_consensus::fencing::{FencingDecision, FencingGate};
 use garnetcrank_consensus::ids::{Epoch, Subject};
-use garnetcrank_consensus::trust;
-use garnetcrank_test_support::agents::{Cluster, client, get, post, until};
-use garnetcrank_test_support::history::History;
+use garnetcrank_test_support::agent_cluster::{AgentCluster, client, get, post, wait_until};
+use garnetcrank_test_support::linearizability::History;
 use serde_json::{Value, json};
 
 /// Subjects that are open to all clients at a time.
@@ -37,7 +37,7 @@
     stop: AtomicBool,
     operations: AtomicU64,
     history: Mutex<History>,
-    gate: Mutex<(Gate, Vec<u64>, u64)>,
+    gate: Mutex<(FencingGate, Vec<u64>, u64)>,
 }
 
 /// Clients and watchers under way.
@@ -52,7 +52,7 @@
 
 impl Load {
     /// So many clients, and a watcher at each agent.
-    pub fn start(cluster: &Cluster, clients: usize) -> Self {
+    pub fn start(cluster: &AgentCluster, clients: usize) -> Self {
         let shared = Arc::new(Shared::default());
         let locals: Vec<_> = (0..cluster.len()).map(|at| cluster.local(at)).collect();
         let begun = Instant::now();
@@ -80,7 +80,7 @@
     }
 
     /// Ends the clients and compares what they heard with what all agents hold.
-    pub fn end(self, cluster: &Cluster) -> Report {
+    pub fn end(self, cluster: &AgentCluster) -> Report {
         self.shared.stop.store(true, Ordering::SeqCst);
         let mut report = Report::default();
         for client in self.clients {
@@ -95,7 +95,7 @@
         let http = client(Duration::from_secs(8));
         for at in 0..cluster.len() {
             let mut held = BTreeMap::new();
-            until("an agent reads the whole ledger", || {
+            wait_until("an agent reads the whole ledger", || {
                 let all = subjects(&http, cluster.local(at));
                 held = all.clone().unwrap_or_default();
                 all.is_some()
@@ -120,10 +120,10 @@
 fn cast(epoch: u64, shared: &Shared) {
     let (gate, epochs, stale) = &mut *locked(&shared.gate);
     let act = Subject::new("cast", epoch);
-    match gate.pass(&trust::role(), Epoch(epoch), &act) {
-        Passage::Open => epochs.push(epoch),
-        Passage::Stale { .. } => *stale += 1,
-        Passage::Repeat { .. } | Passage::Full => {}
+    match gate.admit(&build_verdicts::vote_role(), Epoch(epoch), &act) {
+        FencingDecision::Admit => epochs.push(epoch),
+        FencingDecision::StaleEpoch { .. } => *stale += 1,
+        FencingDecision::Duplicate { .. } | FencingDecision::Full => {}
     }
 }
 
--- a/crates/agent/examples/freeze/main.rs
+++ b/crates/agent/examples/freeze/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use garnetcrank_test_support::agents::{Cluster, Options};
+use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions};
 use load::Load;
 
 fn value(name: &str, default: u64) -> u64 {
@@ -22,9 +22,15 @@
     let program = std::env::current_exe().expect("this program has a path");
     let program = program.with_file_name("../garnetcrank-agent");
     let folder = tempfile::tempdir().expect("a folder");
-    let options =
-        Options { agents, tick_ms: 5, election_ticks: 12, life_ms: 200, fold_every: 2_000, relays: true };
-    let mut cluster = Cluster::start(&program, folder.path(), &options);
+    let options = ClusterOptions {
+        agents,
+        tick_ms: 5,
+        election_ticks: 12,
+        lease_ttl_ms: 200,
+        compact_every: 2_000,
+        relays: true,
+    };
+    let mut cluster = AgentCluster::start(&program, folder.path(), &options);
     let begun = Instant::now();
     let load = Load::start(&cluster, 6);
     for round in 0..rounds {
@@ -46,8 +52,8 @@
         cluster.wake(other);
         for at in 0..agents {
             cluster.isolate(at, false);
-            if !cluster.runs(at) {
-                cluster.run(at);
+            if !cluster.is_running(at) {
+                cluster.start_agent(at);
             }
         }
         std::thread::sleep(Duration::from_millis(rng.u64(..60)));
--- a/crates/agent/examples/throughput/main.rs
+++ b/crates/agent/examples/throughput/main.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use garnetcrank_test_support::agents::{Cluster, Options, client, post, until};
+use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions, client, post, wait_until};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -19,9 +19,16 @@
     args.next().map_or(default, |text| text.parse().unwrap_or_else(|e| panic!("{name}: {e}")))
 }
 
-fn options(agents: usize) -> Options {
+fn options(agents: usize) -> ClusterOptions {
     // The program's own defaults.
-    Options { agents, tick_ms: 20, election_ticks: 15, life_ms: 3_000, fold_every: 10_000, relays: false }
+    ClusterOptions {
+        agents,
+        tick_ms: 20,
+        election_ticks: 15,
+        lease_ttl_ms: 3_000,
+        compact_every: 10_000,
+        relays: false,
+    }
 }
 
 /// One client with its own session, at one agent, until it is told to stop; microseconds of each decision.
@@ -45,7 +52,7 @@
 }
 
 /// The largest of the agents, in MiB.
-fn resident(cluster: &Cluster) -> f64 {
+fn resident(cluster: &AgentCluster) -> f64 {
     (0..cluster.len()).map(|at| cluster.resident_kib(at) as f64 / 1024.0).fold(0.0, f64::max)
 }
 
@@ -57,7 +64,7 @@
     for agents in [3, 5] {
         for clients in [1, 16, 64] {
             let folder = tempfile::tempdir().expect("a folder");
-            let cluster = Cluster::start(program, folder.path(), &options(agents));
+            let cluster = AgentCluster::start(program, folder.path(), &options(agents));
             let rest = resident(&cluster);
             let stop = Arc::new(AtomicBool::new(false));
             let begun = Instant::now();
@@ -88,12 +95,12 @@
     println!("| --- | --- | --- | --- |");
     for killed in [true, false] {
         let folder = tempfile::tempdir().expect("a folder");
-        let mut cluster = Cluster::start(program, folder.path(), &options(3));
+        let mut cluster = AgentCluster::start(program, folder.path(), &options(3));
         let http = client(Duration::from_secs(5));
         let mut gaps = Histogram::<u64>::new(3).expect("a histogram");
         for turn in 0..times {
             let mut leader = 0;
-            until("somebody leads", || {
+            wait_until("somebody leads", || {
                 leader = cluster.leader().unwrap_or(9);
                 leader != 9
             });
@@ -105,13 +112,13 @@
             }
             let subject = json!({"space": "gap", "number": turn});
             let body = json!({"command": {"Decide": {"subject": subject, "value": []}}, "within_ms": 4000});
-            until("the others decide", || {
+            wait_until("the others decide", || {
                 let answer = post(&http, cluster.local((leader + 1) % 3), "/v1/propose", &body);
                 matches!(answer, Ok((200, answer)) if answer["result"] == "applied")
             });
             gaps.record(begun.elapsed().as_micros() as u64).expect("in range");
             if killed {
-                cluster.run(leader)
+                cluster.start_agent(leader)
             } else {
                 cluster.wake(leader)
             }
--- a/crates/agent/src/api.rs
+++ b/crates/agent/src/api.rs
@@ -1,9 +1,9 @@
 //! What is said on the local port, as JSON.
 
+use garnetcrank_consensus::build_verdicts::BuildVerdict;
 use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Subject};
-use garnetcrank_consensus::ledger::{Command, Proposal, Reply, Standing};
-use garnetcrank_consensus::node::Status;
-use garnetcrank_consensus::trust::Opinion;
+use garnetcrank_consensus::raft_node::NodeStatus;
+use garnetcrank_consensus::replicated_state::{Command, Proposal, Reply, SubjectState};
 use serde::{Deserialize, Serialize};
 
 /// Longest wait that a caller may ask for, in milliseconds.
@@ -46,7 +46,7 @@
     /// Milliseconds since the start.
     pub up_ms: u64,
     /// The node's own figures.
-    pub node: Status,
+    pub node: NodeStatus,
     /// The leader's name, where known.
     pub leader: Option<String>,
     /// The members as known here.
@@ -78,7 +78,7 @@
     /// Which.
     pub subject: Subject,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: SubjectState,
 }
 
 /// A page of the ledger.
@@ -175,7 +175,7 @@
     /// The front's name.
     pub front: String,
     /// What it says.
-    pub opinion: Opinion,
+    pub opinion: BuildVerdict,
 }
 
 /// One line of `GET /v1/watch`.
@@ -196,7 +196,7 @@
     /// Under which epoch of the role `votes`.
     pub epoch: Epoch,
     /// The vote; none while nobody says anything.
-    pub opinion: Option<Opinion>,
+    pub opinion: Option<BuildVerdict>,
 }
 
 /// An error, as a body.
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -7,14 +7,14 @@
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 
-use garnetcrank_consensus::clerk::{Clerk, Step};
-use garnetcrank_consensus::desk::Answer;
+use garnetcrank_consensus::build_verdicts::{self, BuildVerdicts};
 use garnetcrank_consensus::ids::{InstanceId, Role, Sequence, SessionId, Subject, Ticket, Ticks};
-use garnetcrank_consensus::ledger::{Command, Ledger, Member, Proposal, Reply};
-use garnetcrank_consensus::members::Change;
-use garnetcrank_consensus::node::{Message, Node, NodeError, Room};
-use garnetcrank_consensus::proposer::{Outcome, Proposer, Send};
-use garnetcrank_consensus::trust::{self, Trust};
+use garnetcrank_consensus::lease_client::{LeaseAction, LeaseClient};
+use garnetcrank_consensus::membership::MembershipChange;
+use garnetcrank_consensus::pending_requests::Answer;
+use garnetcrank_consensus::proposal_queue::{NextProposal, ProposalOutcome, ProposalQueue};
+use garnetcrank_consensus::raft_node::{Message, RaftNode, RaftNodeError, StorageHeadroom};
+use garnetcrank_consensus::replicated_state::{Command, Member, Proposal, ReplicatedState, Reply};
 use garnetcrank_store::{Batch, StoreError};
 use tokio::runtime::Handle;
 use tokio::sync::{oneshot, watch};
@@ -131,7 +131,7 @@
     Store(#[from] StoreError),
     /// The node can't go on.
     #[error("{0}")]
-    Node(#[from] NodeError),
+    Node(#[from] RaftNodeError),
     /// The store's thread is gone.
     #[error("the store's thread has ended")]
     Writer,
@@ -157,7 +157,7 @@
     /// The configuration.
     pub config: Config,
     /// The node.
-    pub node: Node,
+    pub node: RaftNode,
     /// What connections know.
     pub ground: Arc<Ground>,
     /// The queue's own end, for connections.
@@ -177,9 +177,9 @@
     parts: Parts,
     begun: Instant,
     ticked: u64,
-    clerk: Clerk,
-    trust: Trust,
-    proposer: Proposer<Own>,
+    clerk: LeaseClient,
+    trust: BuildVerdicts,
+    proposer: ProposalQueue<Own>,
     waiters: HashMap<Ticket, Waiter>,
     next_ticket: u64,
     pool: Vec<(SessionId, u64)>,
@@ -204,9 +204,9 @@
         Self {
             begun: Instant::now(),
             ticked: 0,
-            clerk: Clerk::new(trust::role(), me, life, stagger),
-            trust: Trust::new(me, 2 * life),
-            proposer: Proposer::new(256, 3),
+            clerk: LeaseClient::new(build_verdicts::vote_role(), me, life, stagger),
+            trust: BuildVerdicts::new(me, 2 * life),
+            proposer: ProposalQueue::new(256, 3),
             waiters: HashMap::new(),
             next_ticket: 0,
             pool: Vec::new(),
@@ -276,7 +276,7 @@
         match input {
             Input::Message(message) => {
                 let from = InstanceId(message.from);
-                let ledger = self.parts.node.ledger();
+                let ledger = self.parts.node.state();
                 // One without members waits to be added and takes the word of whoever calls it into its cluster.
                 if ledger.members().next().is_none() || ledger.member(from).is_some() {
                     self.parts.node.receive(*message);
@@ -291,7 +291,7 @@
             Input::Written(written) => {
                 self.file_bytes = written?;
                 self.writing = false;
-                self.parts.node.written()?;
+                self.parts.node.on_persisted()?;
                 self.check_room();
             }
             Input::Ask(ask) => self.ask(ask),
@@ -301,7 +301,7 @@
                     *count -= 1;
                     if *count == 0 {
                         self.fronts.remove(&name);
-                        self.trust.front_gone(&name);
+                        self.trust.remove_proxy(&name);
                     }
                 }
             }
@@ -312,11 +312,11 @@
 
     fn check_room(&mut self) {
         let most = self.parts.config.store_most_mb * 1024 * 1024;
-        let room = if self.file_bytes >= most { Room::Scarce } else { Room::Enough };
-        if room == Room::Scarce && !self.parts.node.status().scarce {
+        let room = if self.file_bytes >= most { StorageHeadroom::Low } else { StorageHeadroom::Sufficient };
+        if room == StorageHeadroom::Low && !self.parts.node.status().storage_low {
             warn!(bytes = self.file_bytes, most, "the store is nearly full: no new entries");
         }
-        self.parts.node.set_room(room);
+        self.parts.node.set_storage_headroom(room);
     }
 
     fn ticket(&mut self, waiter: Waiter) -> Ticket {
@@ -332,7 +332,7 @@
             Ask::Open(within, reply) => {
                 let within = self.parts.config.ticks(within);
                 let ticket = self.ticket(Waiter::Propose(reply));
-                self.parts.node.open(ticket, within);
+                self.parts.node.open_session(ticket, within);
             }
             Ask::Propose(proposal, within, reply) => {
                 let within = self.parts.config.ticks(within);
@@ -345,7 +345,7 @@
                     Some((session, sequence)) => self.once(session, sequence, command, within, reply),
                     None => {
                         let ticket = self.ticket(Waiter::OpenFor(command, within, reply));
-                        self.parts.node.open(ticket, within);
+                        self.parts.node.open_session(ticket, within);
                     }
                 }
             }
@@ -360,7 +360,7 @@
                 match self.change(&change) {
                     Ok(change) => {
                         let ticket = self.ticket(Waiter::Operate(reply));
-                        self.parts.node.change(ticket, change, within);
+                        self.parts.node.change_membership(ticket, change, within);
                     }
                     Err(why) => drop(reply.send(Operated::Refused { why })),
                 }
@@ -373,13 +373,14 @@
                 Err(why) => drop(reply.send(Operated::Refused { why })),
             },
             Ask::Fold(reply) => {
-                self.parts.node.fold_now();
+                self.parts.node.compact_now();
                 drop(reply.send(Operated::Done));
             }
             Ask::Verdict(verdict, reply) => {
                 count(&self.parts.ground.counters.verdicts);
                 let now = self.wall();
-                let heard = self.together() && self.trust.front_says(now, &verdict.front, verdict.opinion);
+                let heard =
+                    self.together() && self.trust.record_verdict(now, &verdict.front, verdict.opinion);
                 let _ = reply.send(heard);
             }
         }
@@ -398,17 +399,21 @@
     }
 
     fn named(&self, text: &str) -> Result<InstanceId, String> {
-        let found = self.parts.node.ledger().members().find(|m| m.name == text || hex(m.id) == text);
+        let found = self.parts.node.state().members().find(|m| m.name == text || hex(m.id) == text);
         found.map(|m| m.id).ok_or_else(|| format!("{text} is no member: see members list"))
     }
 
-    fn change(&self, change: &MemberChange) -> Result<Change, String> {
+    fn change(&self, change: &MemberChange) -> Result<MembershipChange, String> {
         Ok(match change {
             MemberChange::Add { id, name, address } => {
                 address.parse::<SocketAddr>().map_err(|e| format!("address {address}: {e}"))?;
-                Change::Add(Member { id: from_hex(id)?, name: name.clone(), address: address.clone() })
+                MembershipChange::Add(Member {
+                    id: from_hex(id)?,
+                    name: name.clone(),
+                    address: address.clone(),
+                })
             }
-            MemberChange::Remove(who) => Change::Remove(self.named(who)?),
+            MemberChange::Remove(who) => MembershipChange::Remove(self.named(who)?),
         })
     }
 
@@ -416,21 +421,21 @@
     fn duties(&mut self) {
         let now = self.wall();
         self.reach();
-        let ledger = self.parts.node.ledger();
-        if !self.parts.node.votes(self.parts.ground.me.id) {
+        let ledger = self.parts.node.state();
+        if !self.parts.node.is_voter(self.parts.ground.me.id) {
             return;
         }
-        self.trust.listen(now, ledger);
+        self.trust.observe_notices(now, ledger);
         let mut commands: Vec<(Own, Command)> =
             self.trust.proposals(now, ledger).into_iter().map(|c| (Own::Trust, c)).collect();
-        match self.clerk.next(now, ledger.grant(self.clerk.role())) {
-            Some(Step::Propose(command)) => commands.push((Own::Clerk, command)),
+        match self.clerk.poll(now, ledger.lease(self.clerk.role())) {
+            Some(LeaseAction::Propose(command)) => commands.push((Own::Clerk, command)),
             // The platform knows no epochs: there is no gate to be shown this one, and a vote of a deposed holder is
             // one more instance's own vote, which the platform counts as such.
-            Some(Step::Show(epoch)) => {
+            Some(LeaseAction::ObserveEpoch(epoch)) => {
                 info!(%epoch, "this instance casts the platform's vote for all");
                 count(&self.parts.ground.counters.granted);
-                self.clerk.shown(epoch);
+                self.clerk.on_epoch_observed(epoch);
             }
             None => {}
         }
@@ -438,17 +443,17 @@
             if self.proposer.submit(own, command).is_err() {
                 warn!("too many proposals of this instance wait: one is dropped");
                 if matches!(own, Own::Clerk) {
-                    self.clerk.answered(now, &Answer::Busy);
+                    self.clerk.on_answer(now, &Answer::Busy);
                 }
             }
         }
         let within = self.parts.config.ticks(self.parts.config.life_ms) / 3 + 1;
-        match self.proposer.to_send() {
-            Some(Send::Open) => {
+        match self.proposer.next_proposal() {
+            Some(NextProposal::OpenSession) => {
                 let ticket = self.ticket(Waiter::Own);
-                self.parts.node.open(ticket, within);
+                self.parts.node.open_session(ticket, within);
             }
-            Some(Send::Propose(proposal)) => {
+            Some(NextProposal::Propose(proposal)) => {
                 let ticket = self.ticket(Waiter::Own);
                 self.parts.node.propose(ticket, proposal, within);
             }
@@ -459,7 +464,7 @@
     /// Keeps a way open to each member, and to whoever may add this instance.
     fn reach(&mut self) {
         let me = self.parts.ground.me.id;
-        let ledger = self.parts.node.ledger();
+        let ledger = self.parts.node.state();
         let alone = ledger.members().next().is_none();
         let wanted: Vec<Member> =
             if alone { self.met.values().cloned().collect() } else { ledger.members().cloned().collect() };
@@ -491,21 +496,21 @@
 
     fn work(&mut self) -> Result<(), CoreError> {
         while !self.writing {
-            let Some(work) = self.parts.node.work()? else { break };
-            for message in &work.send {
+            let Some(work) = self.parts.node.ready()? else { break };
+            for message in &work.messages {
                 match self.outboxes.get(&InstanceId(message.to)) {
                     Some((_, outbox)) => outbox.send(message),
                     None => count(&self.parts.ground.counters.unsent),
                 }
             }
             if work.batch.is_empty() {
-                self.parts.node.written()?;
+                self.parts.node.on_persisted()?;
             } else {
                 self.writing = true;
                 self.parts.writer.send(work.batch).map_err(|_| CoreError::Writer)?;
             }
         }
-        let leads = self.parts.node.leads();
+        let leads = self.parts.node.is_leader();
         if leads && !self.led {
             count(&self.parts.ground.counters.led);
         }
@@ -530,29 +535,32 @@
                 Waiter::Own => self.own_answered(answer),
                 Waiter::Propose(reply) => drop(reply.send(self.proposed(answer))),
                 Waiter::OpenFor(command, within, reply) => match answer {
-                    Answer::Applied(Reply::Opened(session)) => self.once(session, 1, command, within, reply),
+                    Answer::Applied(Reply::SessionOpened(session)) => {
+                        self.once(session, 1, command, within, reply)
+                    }
                     // The session may have been opened, the command was never proposed.
-                    Answer::MayYet => drop(reply.send(Proposed::NotProposed)),
+                    Answer::Indeterminate => drop(reply.send(Proposed::NotProposed)),
                     answer => drop(reply.send(self.proposed(answer))),
                 },
                 Waiter::Once(session, sequence, reply) => {
-                    let usable = matches!(answer, Answer::Applied(ref reply) if *reply != Reply::SessionLost);
+                    let usable =
+                        matches!(answer, Answer::Applied(ref reply) if *reply != Reply::SessionExpired);
                     if usable && self.pool.len() < POOL {
                         self.pool.push((session, sequence + 1));
                     }
                     drop(reply.send(self.proposed(answer)));
                 }
                 Waiter::Read(query, reply) => drop(reply.send(match answer {
-                    Answer::Readable => self.look(&query),
+                    Answer::ReadReady => self.look(&query),
                     Answer::Busy => Read::Not("too much waits here"),
                     _ => Read::Not("no quorum answered in time; ?stale=1 reads what is here"),
                 })),
                 Waiter::Operate(reply) => drop(reply.send(match answer {
-                    Answer::Changed => Operated::Done,
+                    Answer::MembershipChanged => Operated::Done,
                     Answer::NotLeader(leader) => {
                         Operated::NotLeader { leader: leader.map(|id| self.name_of(id)) }
                     }
-                    Answer::Refused(why) => Operated::Refused { why },
+                    Answer::Rejected(why) => Operated::Refused { why },
                     _ => Operated::MayYet,
                 })),
             }
@@ -571,12 +579,16 @@
                 Proposed::Busy
             }
             Answer::StoreFull => Proposed::StoreFull,
-            Answer::Refused(why) => Proposed::Refused { why },
+            Answer::Rejected(why) => Proposed::Refused { why },
             Answer::NotProposed => {
                 count(&counters.unanswered);
                 Proposed::NotProposed
             }
-            Answer::MayYet | Answer::Readable | Answer::Changed | Answer::Unread | Answer::NotLeader(_) => {
+            Answer::Indeterminate
+            | Answer::ReadReady
+            | Answer::MembershipChanged
+            | Answer::ReadTimedOut
+            | Answer::NotLeader(_) => {
                 count(&counters.unanswered);
                 Proposed::MayYet
             }
@@ -585,10 +597,12 @@
 
     fn own_answered(&mut self, answer: Answer) {
         let now = self.wall();
-        match self.proposer.answered(answer) {
-            Some((Own::Clerk, Outcome::Applied(reply))) => self.clerk.answered(now, &Answer::Applied(reply)),
-            Some((Own::Clerk, _)) => self.clerk.answered(now, &Answer::MayYet),
-            Some((Own::Trust, Outcome::Applied(Reply::Decided { first: true, .. }))) => {
+        match self.proposer.on_answer(answer) {
+            Some((Own::Clerk, ProposalOutcome::Applied(reply))) => {
+                self.clerk.on_answer(now, &Answer::Applied(reply))
+            }
+            Some((Own::Clerk, _)) => self.clerk.on_answer(now, &Answer::Indeterminate),
+            Some((Own::Trust, ProposalOutcome::Applied(Reply::Decided { first: true, .. }))) => {
                 info!("a build is condemned on this instance's word");
             }
             Some((Own::Trust, _)) | None => {}
@@ -597,16 +611,16 @@
 
     /// Whether this instance can decide together with others just now.
     fn together(&self) -> bool {
-        self.parts.node.leader().is_some() && self.parts.node.votes(self.parts.ground.me.id)
+        self.parts.node.leader().is_some() && self.parts.node.is_voter(self.parts.ground.me.id)
     }
 
     /// Tells the fronts what is new.
     fn show(&mut self) {
         let now = self.wall();
-        let ledger = self.parts.node.ledger();
-        let epoch = self.clerk.may_act(now);
-        let cast = epoch.map(|epoch| Cast { epoch, opinion: self.trust.to_cast(now, ledger) });
-        let condemned = trust::condemned(ledger).collect();
+        let ledger = self.parts.node.state();
+        let epoch = self.clerk.valid_epoch(now);
+        let cast = epoch.map(|epoch| Cast { epoch, opinion: self.trust.vote_to_cast(now, ledger) });
+        let condemned = build_verdicts::condemned_builds(ledger).collect();
         let watched = Watched { condemned, cast, together: self.together() };
         // The first by name, for as long as it watches: whichever it is, only one casts.
         let public = Public { watched, caster: self.fronts.keys().next().cloned() };
@@ -617,11 +631,11 @@
     }
 
     fn look(&self, query: &Query) -> Read {
-        let ledger = self.parts.node.ledger();
+        let ledger = self.parts.node.state();
         match query {
             Query::Grants => Read::Grants(self.grants(ledger)),
             Query::Subject(subject) => {
-                let found = ledger.standing(subject).cloned();
+                let found = ledger.subject_state(subject).cloned();
                 let subjects = found
                     .map(|standing| SubjectView { subject: subject.clone(), standing })
                     .into_iter()
@@ -634,8 +648,9 @@
                     _ => None,
                 };
                 // The first of a space comes itself: what follows is asked for after one.
-                let own = first
-                    .and_then(|s| Some(SubjectView { standing: ledger.standing(&s)?.clone(), subject: s }));
+                let own = first.and_then(|s| {
+                    Some(SubjectView { standing: ledger.subject_state(&s)?.clone(), subject: s })
+                });
                 let start = after.clone().or(space.as_ref().map(|space| Subject::new(space, 0)));
                 let all = ledger.subjects_after(start.as_ref());
                 let of_space = all.take_while(|(s, _)| space.as_ref().is_none_or(|space| s.space == *space));
@@ -650,37 +665,37 @@
         }
     }
 
-    fn grants(&self, ledger: &Ledger) -> Vec<GrantView> {
-        let view = |(role, grant): (&Role, &garnetcrank_consensus::ledger::Grant)| GrantView {
+    fn grants(&self, ledger: &ReplicatedState) -> Vec<GrantView> {
+        let view = |(role, grant): (&Role, &garnetcrank_consensus::replicated_state::Lease)| GrantView {
             role: role.0.clone(),
             holder: grant.holder.map(|id| self.name_of(id)),
             epoch: grant.epoch,
             renewed: grant.renewed,
         };
-        ledger.grants().map(view).collect()
+        ledger.leases().map(view).collect()
     }
 
     fn name_of(&self, id: InstanceId) -> String {
-        self.parts.node.ledger().member(id).map_or_else(|| hex(id), |m| m.name.clone())
+        self.parts.node.state().member(id).map_or_else(|| hex(id), |m| m.name.clone())
     }
 
     fn status(&self) -> StatusView {
         let node = &self.parts.node;
-        let seen = node.seen();
+        let seen = node.peer_progress();
         let view = |member: &Member| {
             let seen = seen.iter().find(|s| s.id == member.id);
-            let known = node.ledger().member(member.id).is_some();
+            let known = node.state().member(member.id).is_some();
             MemberView {
                 id: hex(member.id),
                 name: member.name.clone(),
                 address: member.address.clone(),
-                part: match (known, node.votes(member.id)) {
+                part: match (known, node.is_voter(member.id)) {
                     (true, true) => "voter",
                     (true, false) => "learner",
                     (false, _) => "none",
                 }
                 .to_owned(),
-                living: seen.map(|s| s.living),
+                living: seen.map(|s| s.recently_active),
                 matched: seen.map(|s| s.matched),
             }
         };
@@ -692,9 +707,9 @@
             up_ms: self.begun.elapsed().as_millis() as u64,
             node: node.status(),
             leader: node.leader().map(|id| self.name_of(id)),
-            members: node.ledger().members().map(view).collect(),
-            subjects: node.ledger().subject_count(),
-            sessions: node.ledger().session_count(),
+            members: node.state().members().map(view).collect(),
+            subjects: node.state().subject_count(),
+            sessions: node.state().session_count(),
             store_bytes: self.file_bytes,
         }
     }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -12,8 +12,8 @@
 use garnetcrank_agent::local::{self, Local};
 use garnetcrank_agent::{peers, writer};
 use garnetcrank_consensus::ids::InstanceId;
-use garnetcrank_consensus::ledger::Member;
-use garnetcrank_consensus::node::{self, Node, Settings};
+use garnetcrank_consensus::raft_node::{self, RaftNode, RaftSettings};
+use garnetcrank_consensus::replicated_state::Member;
 use garnetcrank_store::{Identity, Store, StoreError};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -108,7 +108,7 @@
             return Err(StoreError::Ended("there is a store already: a cluster is founded once".to_owned()));
         }
         let mut store = Store::open(&config.store, &identity)?;
-        store.commit(&node::founding(&[member(config, &identity)]))?;
+        store.commit(&raft_node::initial_state(&[member(config, &identity)]))?;
         Ok(identity)
     });
     match made {
@@ -132,16 +132,16 @@
     };
     let me = member(&config, &identity);
     let starts = store.starts();
-    let settings = Settings {
-        election: config.election_ticks,
-        heartbeat: config.heartbeat_ticks,
-        again: 2 * config.election_ticks as u64,
-        fold_every: config.fold_every,
-        keep_behind: config.fold_every / 10,
+    let settings = RaftSettings {
+        election_ticks: config.election_ticks,
+        heartbeat_ticks: config.heartbeat_ticks,
+        retry_ticks: 2 * config.election_ticks as u64,
+        compact_every: config.fold_every,
+        retained_entries: config.fold_every / 10,
         seed: fastrand::u64(..),
-        ..Settings::default()
+        ..RaftSettings::default()
     };
-    let node = match Node::start(settings, me.id, starts, loaded) {
+    let node = match RaftNode::start(settings, me.id, starts, loaded) {
         Ok(node) => node,
         Err(error) => return fail(1, &format!("store {}: {error}", config.store.display())),
     };
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
 
+use garnetcrank_consensus::chunking::{self, Chunk, ChunkAssembler};
 use garnetcrank_consensus::ids::InstanceId;
-use garnetcrank_consensus::ledger::Member;
-use garnetcrank_consensus::node::{self, Message};
-use garnetcrank_consensus::pieces::{self, Joiner, Piece};
+use garnetcrank_consensus::raft_node::{self, Message};
+use garnetcrank_consensus::replicated_state::Member;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Handle;
@@ -81,7 +81,7 @@
 
     /// Sends a message, unless too much waits already.
     pub fn send(&self, message: &Message) {
-        let bytes = node::to_bytes(message);
+        let bytes = raft_node::encode_message(message);
         let length = bytes.len();
         let room = self.bytes.load(Ordering::Relaxed) + length <= QUEUED_BYTES || length > QUEUED_BYTES;
         let to = if length > WHOLE_MOST { &self.bulk } else { &self.urgent };
@@ -185,7 +185,7 @@
 /// Speaks until the connection ends (why), or nobody sends here any more (none).
 async fn speak(mut stream: TcpStream, queue: &mut Queue) -> Option<WireError> {
     let mut alive = tokio::time::interval(ALIVE);
-    let mut long: Option<std::vec::IntoIter<Piece>> = None;
+    let mut long: Option<std::vec::IntoIter<Chunk>> = None;
     let mut transfer = fastrand::u64(..);
     let mut nothing = [0u8; 1];
     let (mut reading, mut writing) = stream.split();
@@ -216,7 +216,7 @@
                 let bytes = bytes?;
                 queue.left(&bytes);
                 transfer = transfer.wrapping_add(1);
-                long = Some(pieces::cut(transfer, &bytes).collect::<Vec<_>>().into_iter());
+                long = Some(chunking::split(transfer, &bytes).collect::<Vec<_>>().into_iter());
                 continue;
             }
             _ = alive.tick() => Frame::Alive,
@@ -282,19 +282,19 @@
     wire::write(&mut stream, &Welcome::Yes(ground.me.clone())).await?;
     let from = hello.from.id;
     let _ = core.try_send(Input::Met(hello.from));
-    let mut joiner = Joiner::default();
+    let mut joiner = ChunkAssembler::default();
     loop {
         let frame: Frame = timeout(SILENCE, wire::read(&mut stream, FRAME_MOST)).await.map_err(late)??;
         let bytes = match frame {
             Frame::Alive => continue,
             Frame::Message(bytes) => bytes,
-            Frame::Piece(piece) => match joiner.join(piece) {
+            Frame::Piece(piece) => match joiner.push(piece) {
                 Ok(Some(bytes)) => bytes,
                 Ok(None) => continue,
                 Err(fault) => return Err(WireError::Unreadable(fault.to_string())),
             },
         };
-        let message = node::from_bytes(&bytes).map_err(WireError::Unreadable)?;
+        let message = raft_node::decode_message(&bytes).map_err(WireError::Unreadable)?;
         // Nobody speaks for anyone else: a vote under another's number would be a second vote.
         if InstanceId(message.from) != from {
             return Err(WireError::Unreadable(format!("a message of {:016x}", message.from)));
--- a/crates/agent/src/wire.rs
+++ b/crates/agent/src/wire.rs
@@ -1,9 +1,9 @@
 //! Frames between peers: a length, then a frame in postcard's encoding. The first frame of a connection is a hello,
 //! whose layout never changes; what follows is of the version that it names.
 
+use garnetcrank_consensus::chunking::{CHUNK_BYTES, Chunk};
 use garnetcrank_consensus::ids::InstanceId;
-use garnetcrank_consensus::ledger::Member;
-use garnetcrank_consensus::pieces::{PIECE, Piece};
+use garnetcrank_consensus::replicated_state::Member;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -48,7 +48,7 @@
     /// A message of the agreement.
     Message(Vec<u8>),
     /// A part of one that is too long.
-    Piece(Piece),
+    Piece(Chunk),
     /// A sign of life.
     Alive,
 }
@@ -108,7 +108,7 @@
     if length > most {
         return Err(WireError::Unreadable(format!("a frame of {length} bytes, {most} at the most")));
     }
-    let mut bytes = Vec::with_capacity(length.min(PIECE));
+    let mut bytes = Vec::with_capacity(length.min(CHUNK_BYTES));
     let read = from.take(length as u64).read_to_end(&mut bytes).await?;
     if read < length {
         return Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into());
@@ -208,7 +208,7 @@
         fn any_bytes_are_a_frame_or_an_error_and_frames_come_back(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
             let _ = decode::<Frame>(&bytes);
             let _ = decode::<Hello>(&bytes);
-            let frame = Frame::Piece(Piece { transfer: 1, at: 2, whole: 3, bytes: bytes.clone() });
+            let frame = Frame::Piece(Chunk { transfer: 1, offset: 2, total_len: 3, bytes: bytes.clone() });
             prop_assert_eq!(decode::<Frame>(&encode(&frame)[4..]).unwrap(), frame);
             let mut more = encode(&Frame::Message(bytes));
             more.push(0);
--- a/crates/agent/tests/processes.rs
+++ b/crates/agent/tests/processes.rs
@@ -6,17 +6,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-use garnetcrank_test_support::agents::{Cluster, Options, client, get, post, until};
+use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions, client, get, post, wait_until};
 use load::Load;
 use serde_json::json;
 
-fn start(options: &Options) -> (tempfile::TempDir, Cluster) {
+fn start(options: &ClusterOptions) -> (tempfile::TempDir, AgentCluster) {
     let folder = tempfile::tempdir().expect("a folder");
-    let cluster = Cluster::start(Path::new(env!("CARGO_BIN_EXE_garnetcrank-agent")), folder.path(), options);
+    let cluster =
+        AgentCluster::start(Path::new(env!("CARGO_BIN_EXE_garnetcrank-agent")), folder.path(), options);
     (folder, cluster)
 }
 
-fn decide(cluster: &Cluster, at: usize, number: u64, value: u8) -> serde_json::Value {
+fn decide(cluster: &AgentCluster, at: usize, number: u64, value: u8) -> serde_json::Value {
     let command = json!({"command": {"Decide": {"subject": {"space": "s", "number": number}, "value": [value]}}, "within_ms": 3000});
     post(&client(Duration::from_secs(5)), cluster.local(at), "/v1/propose", &command)
         .map(|(_, v)| v)
@@ -25,7 +26,7 @@
 
 #[test]
 fn frozen_and_woken_leaders_make_no_double_decision() {
-    let (_folder, cluster) = start(&Options::default());
+    let (_folder, cluster) = start(&ClusterOptions::default());
     let load = Load::start(&cluster, 4);
     // On a busy machine elections take longer: more rounds, until enough has been decided to tell anything.
     for round in (0..120).take_while(|round| *round < 20 || load.decisions() <= 50) {
@@ -44,7 +45,8 @@
 
 #[test]
 fn splits_and_kills_lose_nothing_that_was_acknowledged() {
-    let (_folder, mut cluster) = start(&Options { agents: 5, fold_every: 100, ..Options::default() });
+    let (_folder, mut cluster) =
+        start(&ClusterOptions { agents: 5, compact_every: 100, ..ClusterOptions::default() });
     let load = Load::start(&cluster, 4);
     // On a busy machine elections take longer: more rounds, until enough has been decided to tell anything.
     for round in (0..80).take_while(|round| *round < 8 || load.decisions() <= 50) {
@@ -64,8 +66,8 @@
         std::thread::sleep(Duration::from_millis(500));
         (0..5).for_each(|at| cluster.isolate(at, false));
         if round % 4 == 2 {
-            cluster.run(one);
-            cluster.run(other);
+            cluster.start_agent(one);
+            cluster.start_agent(other);
         }
         std::thread::sleep(Duration::from_millis(300));
     }
@@ -76,26 +78,28 @@
 
 #[test]
 fn a_lost_store_comes_back_as_another_member_only_after_the_old_one_is_removed() {
-    let (_folder, mut cluster) = start(&Options::default());
+    let (_folder, mut cluster) = start(&ClusterOptions::default());
     assert_eq!(decide(&cluster, 0, 1, 7)["reply"]["Decided"]["first"], true);
     cluster.kill(2);
-    cluster.lose_store(2);
-    cluster.run(2);
-    until("the hello of the wrong instance is refused", || cluster.log(0).contains("refused: this is n2"));
+    cluster.delete_store(2);
+    cluster.start_agent(2);
+    wait_until("the hello of the wrong instance is refused", || {
+        cluster.log(0).contains("refused: this is n2")
+    });
     let status = get(&client(Duration::from_secs(2)), cluster.local(2), "/v1/status").expect("it answers").1;
     assert_eq!(status["me"]["part"], "none", "it must not vote");
     let me = &status["me"];
     let add = json!({"add": {"id": me["id"], "name": me["name"], "address": me["address"]}});
-    assert!(!cluster.lead("/v1/members", &add), "its old self is a member still");
-    until("the old one is removed", || cluster.lead("/v1/members", &json!({"remove": "n2"})));
+    assert!(!cluster.post_to_leader("/v1/members", &add), "its old self is a member still");
+    wait_until("the old one is removed", || cluster.post_to_leader("/v1/members", &json!({"remove": "n2"})));
     cluster.add(2);
-    until("it votes", || cluster.part(2) == "voter");
+    wait_until("it votes", || cluster.role(2) == "voter");
     assert_eq!(decide(&cluster, 2, 1, 9)["reply"]["Decided"], json!({"value": [7], "first": false}));
 }
 
 #[test]
 fn a_snapshot_beyond_one_frame_reaches_a_newcomer_in_pieces() {
-    let (_folder, mut cluster) = start(&Options { fold_every: 100, ..Options::default() });
+    let (_folder, mut cluster) = start(&ClusterOptions { compact_every: 100, ..ClusterOptions::default() });
     cluster.kill(2);
     let http = client(Duration::from_secs(5));
     let (from, count) = (cluster.local(0), 700);
@@ -113,20 +117,20 @@
             });
         }
     });
-    cluster.lose_store(2);
-    until("the old one is removed", || cluster.lead("/v1/members", &json!({"remove": "n2"})));
-    cluster.run(2);
+    cluster.delete_store(2);
+    wait_until("the old one is removed", || cluster.post_to_leader("/v1/members", &json!({"remove": "n2"})));
+    cluster.start_agent(2);
     cluster.add(2);
-    until("it votes", || cluster.part(2) == "voter");
-    until("it holds all", || cluster.status(2)["subjects"] == count);
+    wait_until("it votes", || cluster.role(2) == "voter");
+    wait_until("it holds all", || cluster.status(2)["subjects"] == count);
 }
 
 #[test]
 fn without_a_quorum_callers_are_told_in_time_and_it_works_again_after() {
-    let (_folder, mut cluster) = start(&Options::default());
+    let (_folder, mut cluster) = start(&ClusterOptions::default());
     cluster.kill(1);
     cluster.kill(2);
-    until("the last one leads no more", || cluster.status(0)["node"]["standing"] != "leader");
+    wait_until("the last one leads no more", || cluster.status(0)["node"]["standing"] != "leader");
     let began = std::time::Instant::now();
     let answer = decide(&cluster, 0, 1, 1);
     assert!(["not_proposed", "may_yet"].contains(&answer["result"].as_str().unwrap_or_default()), "{answer}");
@@ -137,14 +141,14 @@
     let (code, _) =
         get(&client(Duration::from_secs(5)), cluster.local(0), "/v1/ledger?stale=1").expect("an answer");
     assert_eq!(code, 200);
-    cluster.run(1);
-    until("it decides again", || decide(&cluster, 0, 1, 1)["result"] == "applied");
+    cluster.start_agent(1);
+    wait_until("it decides again", || decide(&cluster, 0, 1, 1)["result"] == "applied");
     assert!(cluster.stop(0) && cluster.stop(1), "told to stop they end well");
 }
 
 /// What a front at each agent is told, until one line of any of them will do.
 fn told(
-    cluster: &Cluster,
+    cluster: &AgentCluster,
     within: &[usize],
     what: &str,
     meanwhile: impl Fn() -> bool,
@@ -152,7 +156,7 @@
 ) -> usize {
     let watches: Vec<_> = within.iter().map(|at| (*at, cluster.watch(*at, &format!("front-{at}")))).collect();
     let mut found = None;
-    until(what, || {
+    wait_until(what, || {
         meanwhile();
         found =
             watches.iter().find(|(_, lines)| lines.try_iter().any(|line| will_do(&line))).map(|(at, _)| *at);
@@ -163,14 +167,14 @@
 
 #[test]
 fn a_word_to_go_back_is_cast_by_one_front_for_all_and_by_another_when_its_agent_freezes() {
-    let (_folder, cluster) = start(&Options::default());
+    let (_folder, cluster) = start(&ClusterOptions::default());
     let http = client(Duration::from_secs(3));
     let say = |at: usize| {
         let said =
             json!({"front": format!("front-{at}"), "opinion": {"build": 42, "stage": 1, "word": "back"}});
         post(&http, cluster.local(at), "/v1/verdicts", &said).is_ok_and(|(_, answer)| answer["heard"] == true)
     };
-    until("the verdict is passed on", || say(1));
+    wait_until("the verdict is passed on", || say(1));
     let back =
         |line: &serde_json::Value| line["cast"]["opinion"]["word"] == "back" && line["condemned"][0] == 42;
     // A front goes on saying what it holds: said once, it lapses where the next grant takes longer than it stands.
@@ -178,7 +182,7 @@
     let caster = told(&cluster, &[0, 1, 2], "one front is told to cast", again(1), back);
     cluster.freeze(caster);
     let others: Vec<usize> = (0..3).filter(|at| *at != caster).collect();
-    until("the others have a leader", || say(others[0]));
+    wait_until("the others have a leader", || say(others[0]));
     let next = told(&cluster, &others, "another front is told to cast", again(others[0]), back);
     assert_ne!(next, caster);
     cluster.wake(caster);
@@ -188,7 +192,7 @@
 
 #[test]
 fn bad_requests_get_a_clear_error() {
-    let (_folder, cluster) = start(&Options { agents: 1, ..Options::default() });
+    let (_folder, cluster) = start(&ClusterOptions { agents: 1, ..ClusterOptions::default() });
     let http = client(Duration::from_secs(3));
     for (path, body, word) in [
         ("/v1/propose", json!({"command": {"Decide": {"subject": {"space": "s"}, "value": []}}}), "number"),
--- a/crates/cli/src/inspect.rs
+++ b/crates/cli/src/inspect.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use garnetcrank_consensus::ledger::Proposal;
+use garnetcrank_consensus::replicated_state::Proposal;
 use garnetcrank_store::{Record, Store, StoreError};
 use serde_json::json;
 
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -6,7 +6,7 @@
 use clap::Subcommand;
 use garnetcrank_agent::api::{GrantView, MemberChange, Page, Propose, Proposed, SubjectView};
 use garnetcrank_consensus::ids::Subject;
-use garnetcrank_consensus::ledger::{Command, Reply, Standing};
+use garnetcrank_consensus::replicated_state::{Command, Reply, SubjectState};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
@@ -165,7 +165,7 @@
         }
         Job::Propose { subject, value } => propose(&agents, json, subject, value),
         Job::Retire { space, below } => {
-            let reply = applied(&agents, Command::Retire { space: space.clone(), below }, within)?;
+            let reply = applied(&agents, Command::RetireSubjects { space: space.clone(), below }, within)?;
             match reply {
                 Reply::Done => {
                     show::print(json, &json!({"retired": {"space": space, "below": below}}), || {
@@ -268,9 +268,9 @@
 fn subjects(all: &[SubjectView]) -> String {
     let row = |view: &SubjectView| {
         let (standing, value) = match &view.standing {
-            Standing::Decided(value) => ("decided", show::bytes(value)),
-            Standing::Handed(epoch) => ("handed out", format!("epoch {epoch}")),
-            Standing::Ran(epoch) => ("ran", format!("epoch {epoch}")),
+            SubjectState::Decided(value) => ("decided", show::bytes(value)),
+            SubjectState::Dispatched(epoch) => ("handed out", format!("epoch {epoch}")),
+            SubjectState::Executed(epoch) => ("ran", format!("epoch {epoch}")),
         };
         [view.subject.to_string(), standing.to_owned(), value]
     };
@@ -280,8 +280,8 @@
 fn refused(reply: &Reply) -> Trouble {
     Trouble::Refused(match reply {
         Reply::Retired { below } => format!("retired: only numbers from {below} on can be decided"),
-        Reply::Full => "the ledger is full: retire old subjects".to_owned(),
-        Reply::Refused(why) => why.clone(),
+        Reply::CapacityExceeded => "the ledger is full: retire old subjects".to_owned(),
+        Reply::Rejected(why) => why.clone(),
         other => format!("{other:?}"),
     })
 }
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use garnetcrank_test_support::agents::{Cluster, Options, until};
+use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions, wait_until};
 
 /// The agent's program, built beside the one under test.
 fn agent() -> PathBuf {
@@ -25,7 +25,7 @@
 #[test]
 fn an_operator_decides_reads_moves_the_lead_and_looks_at_a_store() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut cluster = Cluster::start(&agent(), folder.path(), &Options::default());
+    let mut cluster = AgentCluster::start(&agent(), folder.path(), &ClusterOptions::default());
     let all: Vec<String> = (0..3).map(|at| cluster.local(at).to_string()).collect();
     let all = all.join(",");
     let run = |words: &[&str]| say(&all, words);
@@ -55,7 +55,7 @@
     let leader = cluster.leader().expect("a leader");
     let next = format!("n{}", (leader + 1) % 3);
     assert_eq!(run(&["ledger", "transfer", &next]).0, Some(0));
-    until("the lead has moved", || run(&["ledger", "status"]).1.contains(&format!("leader: {next}")));
+    wait_until("the lead has moved", || run(&["ledger", "status"]).1.contains(&format!("leader: {next}")));
     let (_, out, _) = run(&["ledger", "members", "list"]);
     assert!(["n0", "n1", "n2"].iter().all(|name| out.contains(name)), "{out}");
     let (code, _, err) = run(&["ledger", "members", "remove", &next]);
--- a/crates/consensus/examples/handover/disk.rs
+++ b/crates/consensus/examples/handover/disk.rs
@@ -2,7 +2,7 @@
 
 use garnetcrank_consensus::ids::InstanceId;
 use garnetcrank_store::{Batch, Identity, Loaded, Store};
-use garnetcrank_test_support::disk::Disk;
+use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
 /// Which disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// See [`Kind::Model`].
     Model { durable: Loaded, unsynced: Vec<Batch>, ignore_syncs: bool },
     /// See [`Kind::Store`].
-    Real { disk: Disk, store: Option<Store>, identity: Identity },
+    Real { disk: FaultyDisk, store: Option<Store>, identity: Identity },
 }
 
 fn apply(held: &mut Loaded, batch: &Batch) {
@@ -45,7 +45,7 @@
             }
             Kind::Store => {
                 let identity = Identity { cluster: "sim".into(), name: format!("i{id}"), id: id.0 };
-                let disk = Disk::new();
+                let disk = FaultyDisk::new();
                 let store = Store::open_on(disk.clone(), &identity).ok();
                 Self::Real { disk, store, identity }
             }
@@ -101,7 +101,7 @@
                 }
             }
             Self::Real { disk, store, .. } => {
-                let after = disk.after_cut(seed);
+                let after = disk.after_power_cut(seed);
                 *store = None;
                 *disk = after;
             }
--- a/crates/consensus/examples/handover/world.rs
+++ b/crates/consensus/examples/handover/world.rs
@@ -5,15 +5,15 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use fastrand::Rng;
-use garnetcrank_consensus::clerk::{Clerk, Step};
-use garnetcrank_consensus::desk::Answer;
-use garnetcrank_consensus::gate::{Gate, Passage};
+use garnetcrank_consensus::fencing::{FencingDecision, FencingGate};
 use garnetcrank_consensus::ids::*;
-use garnetcrank_consensus::ledger::{Command, Member, Proposal, Reply, Standing};
-use garnetcrank_consensus::members::Change;
-use garnetcrank_consensus::node::{self, Message, Node, Room, Settings, Work};
-use garnetcrank_consensus::proposer::{Outcome, Proposer, Send};
-use garnetcrank_test_support::history::History;
+use garnetcrank_consensus::lease_client::{LeaseAction, LeaseClient};
+use garnetcrank_consensus::membership::MembershipChange;
+use garnetcrank_consensus::pending_requests::Answer;
+use garnetcrank_consensus::proposal_queue::{NextProposal, ProposalOutcome, ProposalQueue};
+use garnetcrank_consensus::raft_node::{self, Message, RaftNode, RaftSettings, Ready, StorageHeadroom};
+use garnetcrank_consensus::replicated_state::{Command, Member, Proposal, Reply, SubjectState};
+use garnetcrank_test_support::linearizability::History;
 
 use crate::disk::{Kind, SimDisk};
 
@@ -171,12 +171,12 @@
 }
 
 struct Running {
-    node: Node,
-    clerk: Clerk,
-    proposer: Proposer<Own>,
+    node: RaftNode,
+    clerk: LeaseClient,
+    proposer: ProposalQueue<Own>,
     tickets: BTreeMap<Ticket, Ask>,
     next_ticket: u64,
-    work: Option<(u64, Work)>,
+    work: Option<(u64, Ready)>,
     progress: BTreeMap<u64, Progress>,
 }
 
@@ -250,7 +250,7 @@
     instances: Vec<Instance>,
     next_id: u64,
     travelling: BinaryHeap<Reverse<Travelling>>,
-    gate: Gate,
+    gate: FencingGate,
     effects: BTreeMap<u64, Vec<Epoch>>,
     newest_shown: Epoch,
     clients: Vec<Client>,
@@ -260,7 +260,7 @@
     noise: (u8, u8, u8, u64),
     applied: BTreeMap<u64, u64>,
     leaders: BTreeMap<u64, InstanceId>,
-    to_replace: Vec<(Change, Option<u64>)>,
+    to_replace: Vec<(MembershipChange, Option<u64>)>,
     outcomes: Outcomes,
 }
 
@@ -284,7 +284,7 @@
     /// A cluster of so many instances.
     pub fn new(seed: u64, instances: usize, without: Without, kind: Kind) -> Self {
         let founders: Vec<Member> = (0..instances).map(|at| member(InstanceId(at as u64 + 1), at)).collect();
-        let founding = node::founding(&founders);
+        let founding = raft_node::initial_state(&founders);
         let instances = (0..instances)
             .map(|at| {
                 let mut disk = SimDisk::new(kind, founders[at].id, seed);
@@ -321,7 +321,7 @@
             next_id: instances.len() as u64 + 1,
             instances,
             travelling: BinaryHeap::new(),
-            gate: Gate::default(),
+            gate: FencingGate::default(),
             effects: BTreeMap::new(),
             newest_shown: Epoch(0),
             clients: (0..3).map(|_| client()).collect(),
@@ -381,7 +381,7 @@
             Fault::Transfer(to) => {
                 let id = self.instances[to].id;
                 for running in self.instances.iter_mut().filter_map(|i| i.running.as_mut()) {
-                    if running.node.leads() {
+                    if running.node.is_leader() {
                         running.next_ticket += 1;
                         let ticket = Ticket(running.next_ticket);
                         running.tickets.insert(ticket, Ask::Nobody);
@@ -423,7 +423,8 @@
         instance.wiped = true;
         instance.starts = 0;
         instance.disk = SimDisk::new(instance.disk.kind(), id, self.now);
-        self.to_replace = vec![(Change::Remove(old), None), (Change::Add(member(id, who)), None)];
+        self.to_replace =
+            vec![(MembershipChange::Remove(old), None), (MembershipChange::Add(member(id, who)), None)];
     }
 
     fn heal(&mut self) {
@@ -503,26 +504,26 @@
         let instance = &mut self.instances[who];
         instance.starts += 1;
         instance.inbox.clear();
-        let settings = Settings {
-            election: 10,
-            heartbeat: 3,
-            fold_every: 25,
-            keep_behind: 5,
-            waiting_most: 64,
-            message_most: 16 * 1024,
+        let settings = RaftSettings {
+            election_ticks: 10,
+            heartbeat_ticks: 3,
+            compact_every: 25,
+            retained_entries: 5,
+            max_pending_requests: 64,
+            max_message_bytes: 16 * 1024,
             seed: self.rng.u64(..),
-            ..Settings::default()
+            ..RaftSettings::default()
         };
         let id = instance.id;
         let started = instance.disk.load().and_then(|loaded| {
-            Node::start(settings, id, instance.starts, loaded).map_err(|error| error.to_string())
+            RaftNode::start(settings, id, instance.starts, loaded).map_err(|error| error.to_string())
         });
         match started {
             Ok(node) => {
                 instance.running = Some(Running {
                     node,
-                    clerk: Clerk::new(role(), id, LIFE, 5 + 7 * who as u64),
-                    proposer: Proposer::new(64, 3),
+                    clerk: LeaseClient::new(role(), id, LIFE, 5 + 7 * who as u64),
+                    proposer: ProposalQueue::new(64, 3),
                     tickets: BTreeMap::new(),
                     next_ticket: 0,
                     work: None,
@@ -544,12 +545,16 @@
         for _ in 0..ticks {
             running.node.tick();
         }
-        running.node.set_room(if instance.full_until > now { Room::Scarce } else { Room::Enough });
+        running.node.set_storage_headroom(if instance.full_until > now {
+            StorageHeadroom::Low
+        } else {
+            StorageHeadroom::Sufficient
+        });
         for load in std::mem::take(&mut instance.inbox) {
             match load {
                 Load::Peer(message) => running.node.receive(*message),
-                Load::Shown(epoch) => running.clerk.shown(epoch),
-                Load::Deposed(epoch) => running.clerk.deposed(epoch),
+                Load::Shown(epoch) => running.clerk.on_epoch_observed(epoch),
+                Load::Deposed(epoch) => running.clerk.on_newer_epoch(epoch),
                 Load::Passed(epoch, order) => running.passed(epoch, order),
                 Load::Ran(epoch, order, ran) => running.doubt_over(epoch, order, ran),
                 Load::Show(_) | Load::Pass(..) | Load::Ask(..) | Load::Answered { .. } => {}
@@ -560,7 +565,7 @@
         let mut peers: Vec<Message> = Vec::new();
         loop {
             if running.work.is_none() {
-                match running.node.work() {
+                match running.node.ready() {
                     Ok(work) => running.work = work.map(|work| (now + slow, work)),
                     Err(error) => {
                         self.outcomes.other.push(format!("step {now}: n{who}: {error}"));
@@ -572,8 +577,8 @@
             if !work.batch.is_empty() {
                 instance.disk.write(&work.batch);
             }
-            peers.extend(work.send);
-            if let Err(error) = running.node.written() {
+            peers.extend(work.messages);
+            if let Err(error) = running.node.on_persisted() {
                 self.outcomes.other.push(format!("step {now}: n{who}: {error}"));
                 return;
             }
@@ -597,7 +602,7 @@
                 self.outcomes.double.push(format!("step {now}: entry {index} of terms {known} and {term}"));
             }
         }
-        if running.node.leads() {
+        if running.node.is_leader() {
             let term = running.node.status().term.0;
             let known = *self.leaders.entry(term).or_insert(id);
             if known != id {
@@ -608,20 +613,20 @@
             match running.tickets.remove(&ticket) {
                 Some(Ask::Own) => running.own_answered(now, answer),
                 Some(Ask::Client(client)) => {
-                    let seen = (answer == Answer::Readable).then(|| {
+                    let seen = (answer == Answer::ReadReady).then(|| {
                         let number = match &self.clients[client].doing {
                             Doing::Reading(number) => *number,
                             _ => u64::MAX,
                         };
-                        match running.node.ledger().standing(&subject(number)) {
-                            Some(Standing::Decided(value)) => Some(value.clone()),
+                        match running.node.state().subject_state(&subject(number)) {
+                            Some(SubjectState::Decided(value)) => Some(value.clone()),
                             _ => None,
                         }
                     });
                     out.push((At::Clients, Load::Answered { client, ticket, answer, seen }));
                 }
                 Some(Ask::Operator) => {
-                    if answer == Answer::Changed
+                    if answer == Answer::MembershipChanged
                         && !self.to_replace.is_empty()
                         && self.to_replace[0].1.is_some()
                     {
@@ -649,23 +654,23 @@
         let reply = match load {
             Load::Show(epoch) => {
                 self.newest_shown = self.newest_shown.max(epoch);
-                match self.gate.show(&role(), epoch) {
+                match self.gate.observe_epoch(&role(), epoch) {
                     Err(newest) if fenced => Load::Deposed(newest),
                     _ => Load::Shown(epoch),
                 }
             }
             Load::Pass(epoch, number) => {
-                let passage = self.gate.pass(&role(), epoch, &order(number));
+                let passage = self.gate.admit(&role(), epoch, &order(number));
                 let passage = match passage {
                     // Without the fence it still knows what it let through.
-                    Passage::Stale { .. } if !fenced && self.effects.contains_key(&number) => {
-                        Passage::Repeat { epoch }
+                    FencingDecision::StaleEpoch { .. } if !fenced && self.effects.contains_key(&number) => {
+                        FencingDecision::Duplicate { epoch }
                     }
-                    Passage::Stale { .. } if !fenced => Passage::Open,
+                    FencingDecision::StaleEpoch { .. } if !fenced => FencingDecision::Admit,
                     passage => passage,
                 };
                 match passage {
-                    Passage::Open => {
+                    FencingDecision::Admit => {
                         if epoch < self.newest_shown {
                             let newest = self.newest_shown;
                             let what =
@@ -680,15 +685,15 @@
                         }
                         Load::Passed(epoch, number)
                     }
-                    Passage::Repeat { .. } => Load::Passed(epoch, number),
-                    Passage::Stale { newest } => {
+                    FencingDecision::Duplicate { .. } => Load::Passed(epoch, number),
+                    FencingDecision::StaleEpoch { newest } => {
                         self.outcomes.stale_refused += 1;
                         Load::Deposed(newest)
                     }
-                    Passage::Full => return,
+                    FencingDecision::Full => return,
                 }
             }
-            Load::Ask(epoch, number) => match self.gate.ran(&role(), epoch, &order(number)) {
+            Load::Ask(epoch, number) => match self.gate.was_executed(&role(), epoch, &order(number)) {
                 Ok(ran) => Load::Ran(epoch, number, ran),
                 Err(newest) => Load::Deposed(newest),
             },
@@ -736,7 +741,7 @@
         client.waits = Some((ticket, now + PATIENCE));
         let within = PATIENCE - 10;
         match &client.doing {
-            Doing::Opening => running.node.open(ticket, within),
+            Doing::Opening => running.node.open_session(ticket, within),
             Doing::Reading(_) => running.node.read(ticket, within),
             Doing::Deciding(number, value) => {
                 let command = Command::Decide { subject: subject(*number), value: value.clone() };
@@ -756,7 +761,7 @@
             return;
         }
         let done = match (&client.doing, answer) {
-            (Doing::Opening, Answer::Applied(Reply::Opened(session))) => {
+            (Doing::Opening, Answer::Applied(Reply::SessionOpened(session))) => {
                 client.session = session;
                 true
             }
@@ -768,7 +773,7 @@
                 self.outcomes.other.push(format!("step {now}: a decision was answered with {reply:?}"));
                 true
             }
-            (Doing::Reading(_), Answer::Readable) => {
+            (Doing::Reading(_), Answer::ReadReady) => {
                 self.history.end_read(client.op, seen.flatten(), now);
                 true
             }
@@ -793,11 +798,11 @@
         }
         for instance in &mut self.instances {
             let Some(running) = &mut instance.running else { continue };
-            if running.node.leads() && instance.frozen_until <= now {
+            if running.node.is_leader() && instance.frozen_until <= now {
                 running.next_ticket += 1;
                 let ticket = Ticket(running.next_ticket);
                 running.tickets.insert(ticket, Ask::Operator);
-                running.node.change(ticket, change.clone(), 60);
+                running.node.change_membership(ticket, change.clone(), 60);
                 *asked = Some(now);
                 return;
             }
@@ -808,25 +813,27 @@
     fn settled(&self) -> bool {
         let all: Option<Vec<&Running>> = self.instances.iter().map(|i| i.running.as_ref()).collect();
         let Some(all) = all else { return false };
-        let applied = all[0].node.ledger().applied();
+        let applied = all[0].node.state().applied();
         self.clients.iter().all(|c| c.doing == Doing::Idle && c.ops_left == 0)
             && self.to_replace.is_empty()
-            && all.iter().all(|r| r.node.ledger().applied() == applied && r.node.votes(r.node.status().id))
-            && (0..ORDERS).all(|n| matches!(all[0].node.ledger().standing(&order(n)), Some(Standing::Ran(_))))
+            && all.iter().all(|r| r.node.state().applied() == applied && r.node.is_voter(r.node.status().id))
+            && (0..ORDERS).all(|n| {
+                matches!(all[0].node.state().subject_state(&order(n)), Some(SubjectState::Executed(_)))
+            })
     }
 
     fn check(&mut self) {
         let settled = self.settled();
         let out = &mut self.outcomes;
         let ledgers: Vec<_> =
-            self.instances.iter().filter_map(|i| Some(i.running.as_ref()?.node.ledger())).collect();
+            self.instances.iter().filter_map(|i| Some(i.running.as_ref()?.node.state())).collect();
         let furthest = ledgers.iter().map(|ledger| ledger.applied()).max();
         for (number, value) in self.history.acknowledged() {
             for (n, ledger) in
                 ledgers.iter().enumerate().filter(|(_, l)| settled || Some(l.applied()) == furthest)
             {
-                match ledger.standing(&subject(number)) {
-                    Some(Standing::Decided(held)) if *held == value => {}
+                match ledger.subject_state(&subject(number)) {
+                    Some(SubjectState::Decided(held)) if *held == value => {}
                     held => out
                         .lost
                         .push(format!("subject {number}: {value:?} acknowledged, n{n} holds {held:?}")),
@@ -838,8 +845,9 @@
             out.decisions =
                 ledger.subjects("subject", 0).count() as u64 + ledger.subjects("order", 0).count() as u64;
             for (number, ran) in &self.effects {
-                let held = ledger.standing(&order(*number));
-                if !matches!(held, Some(Standing::Ran(epoch)) if ran.contains(epoch)) && out.double.is_empty()
+                let held = ledger.subject_state(&order(*number));
+                if !matches!(held, Some(SubjectState::Executed(epoch)) if ran.contains(epoch))
+                    && out.double.is_empty()
                 {
                     out.other.push(format!("order {number} ran under {ran:?}, the ledger holds {held:?}"));
                 }
@@ -869,22 +877,22 @@
     /// The clerk's and the holder's work of this step.
     fn act(&mut self, now: u64, out: &mut Vec<(At, Load)>) {
         let ticks = self.node.now();
-        let grant = self.node.ledger().grant(&role()).cloned();
-        match self.clerk.next(ticks, grant.as_ref()) {
-            Some(Step::Propose(command)) => drop(self.proposer.submit(Own::Clerk, command)),
-            Some(Step::Show(epoch)) => out.push((At::Gate, Load::Show(epoch))),
+        let grant = self.node.state().lease(&role()).cloned();
+        match self.clerk.poll(ticks, grant.as_ref()) {
+            Some(LeaseAction::Propose(command)) => drop(self.proposer.submit(Own::Clerk, command)),
+            Some(LeaseAction::ObserveEpoch(epoch)) => out.push((At::Gate, Load::Show(epoch))),
             None => {}
         }
-        match self.clerk.may_act(ticks) {
+        match self.clerk.valid_epoch(ticks) {
             Some(epoch) => self.hand_out(epoch, now, out),
             None => self.progress.clear(),
         }
-        match self.proposer.to_send() {
-            Some(Send::Open) => {
+        match self.proposer.next_proposal() {
+            Some(NextProposal::OpenSession) => {
                 let ticket = self.ask(Ask::Own);
-                self.node.open(ticket, 20);
+                self.node.open_session(ticket, 20);
             }
-            Some(Send::Propose(proposal)) => {
+            Some(NextProposal::Propose(proposal)) => {
                 let ticket = self.ask(Ask::Own);
                 self.node.propose(ticket, proposal, 20);
             }
@@ -894,16 +902,16 @@
 
     fn hand_out(&mut self, epoch: Epoch, now: u64, out: &mut Vec<(At, Load)>) {
         for number in 0..ORDERS.min(now / 12 + 1) {
-            let standing = self.node.ledger().standing(&order(number));
+            let standing = self.node.state().subject_state(&order(number));
             match (self.progress.get(&number).copied(), standing) {
-                (_, Some(Standing::Ran(_))) => drop(self.progress.remove(&number)),
+                (_, Some(SubjectState::Executed(_))) => drop(self.progress.remove(&number)),
                 (None, None) if self.progress.len() < 4 => {
-                    let command = Command::Hand { role: role(), epoch, order: order(number) };
+                    let command = Command::DispatchOrder { role: role(), epoch, order: order(number) };
                     if self.proposer.submit(Own::Hand(number), command).is_ok() {
                         self.progress.insert(number, Progress::Handing);
                     }
                 }
-                (None, Some(Standing::Handed(handed))) => {
+                (None, Some(SubjectState::Dispatched(handed))) => {
                     let state =
                         if *handed < epoch { Progress::Doubt(now) } else { Progress::AtGate(*handed, now) };
                     self.progress.insert(number, state);
@@ -922,7 +930,7 @@
     }
 
     fn settle(&mut self, epoch: Epoch, number: u64, ran: bool) {
-        let command = Command::Settle { role: role(), epoch, order: order(number), ran };
+        let command = Command::ResolveOrder { role: role(), epoch, order: order(number), executed: ran };
         if self.proposer.submit(Own::Settle(number, ran), command).is_ok() {
             self.progress.insert(number, Progress::Settling);
         }
@@ -942,12 +950,14 @@
 
     fn own_answered(&mut self, now: u64, answer: Answer) {
         let ticks = self.node.now();
-        let Some((own, outcome)) = self.proposer.answered(answer) else { return };
+        let Some((own, outcome)) = self.proposer.on_answer(answer) else { return };
         match (own, outcome) {
-            (Own::Clerk, Outcome::Applied(reply)) => self.clerk.answered(ticks, &Answer::Applied(reply)),
-            (Own::Clerk, _) => self.clerk.answered(ticks, &Answer::MayYet),
-            (Own::Hand(number), Outcome::Applied(Reply::Handed(epoch))) => {
-                if self.clerk.may_act(ticks) == Some(epoch) {
+            (Own::Clerk, ProposalOutcome::Applied(reply)) => {
+                self.clerk.on_answer(ticks, &Answer::Applied(reply))
+            }
+            (Own::Clerk, _) => self.clerk.on_answer(ticks, &Answer::Indeterminate),
+            (Own::Hand(number), ProposalOutcome::Applied(Reply::Dispatched(epoch))) => {
+                if self.clerk.valid_epoch(ticks) == Some(epoch) {
                     self.progress.insert(number, Progress::AtGate(epoch, now));
                 }
             }
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use garnetcrank_consensus::desk::Answer;
 use garnetcrank_consensus::ids::{InstanceId, Sequence, SessionId, Subject, Ticket};
-use garnetcrank_consensus::ledger::{Command, Member, Proposal, Reply};
-use garnetcrank_consensus::node::{self, Message, Node, Settings};
+use garnetcrank_consensus::pending_requests::Answer;
+use garnetcrank_consensus::raft_node::{self, Message, RaftNode, RaftSettings};
+use garnetcrank_consensus::replicated_state::{Command, Member, Proposal, Reply};
 use garnetcrank_store::{Batch, HardState, Identity, Record, Store};
 
 fn resident_mib() -> f64 {
@@ -34,11 +34,11 @@
 fn filled(path: &Path, entries: u64) {
     let identity = Identity { cluster: "measure".into(), name: "n1".into(), id: 1 };
     let mut store = Store::open(path, &identity).expect("a store");
-    store.commit(&node::founding(&[member(1)])).expect("a first state");
+    store.commit(&raft_node::initial_state(&[member(1)])).expect("a first state");
     let last = entries + 1;
     let record = |index: u64| {
         let proposal = match index {
-            2 => proposal(0, 0, Command::Open { nonce: 1 }),
+            2 => proposal(0, 0, Command::OpenSession { nonce: 1 }),
             _ => proposal(2, index, decide(index)),
         };
         let data = postcard::to_stdvec(&proposal).expect("bytes");
@@ -59,12 +59,12 @@
     let opened = begun.elapsed();
     let loaded = store.load().expect("what is held");
     let read = begun.elapsed();
-    let settings = Settings { fold_every: u64::MAX / 2, ..Settings::default() };
-    let mut node = Node::start(settings, InstanceId(1), store.starts(), loaded).expect("a node");
-    while node.work().expect("work").is_some() {
-        node.written().expect("written");
+    let settings = RaftSettings { compact_every: u64::MAX / 2, ..RaftSettings::default() };
+    let mut node = RaftNode::start(settings, InstanceId(1), store.starts(), loaded).expect("a node");
+    while node.ready().expect("work").is_some() {
+        node.on_persisted().expect("written");
     }
-    (opened, read - opened, begun.elapsed() - read, node.ledger().applied().0)
+    (opened, read - opened, begun.elapsed() - read, node.state().applied().0)
 }
 
 fn recovery() {
@@ -92,17 +92,17 @@
 /// Three instances in virtual time, ten milliseconds a tick, a proposal a tick; old subjects are retired.
 fn an_hour() {
     let members: Vec<Member> = (1..=3).map(member).collect();
-    let settings = Settings { fold_every: 1_000, keep_behind: 100, ..Settings::default() };
+    let settings = RaftSettings { compact_every: 1_000, retained_entries: 100, ..RaftSettings::default() };
     let loaded = || {
-        let founding = node::founding(&members);
+        let founding = raft_node::initial_state(&members);
         garnetcrank_store::Loaded {
             hard: founding.hard.unwrap_or_default(),
             snapshot: founding.snapshot,
             entries: Vec::new(),
         }
     };
-    let start = |id: u64| Node::start(settings.clone(), InstanceId(id), 1, loaded()).expect("a node");
-    let mut nodes: BTreeMap<u64, Node> = (1..=3).map(|id| (id, start(id))).collect();
+    let start = |id: u64| RaftNode::start(settings.clone(), InstanceId(id), 1, loaded()).expect("a node");
+    let mut nodes: BTreeMap<u64, RaftNode> = (1..=3).map(|id| (id, start(id))).collect();
     let (mut mail, mut session, mut sequence, mut decided) = (Vec::<Message>::new(), 0, 0u64, 0u64);
     println!("| virtual minutes | decided | entries held | resident, MiB |");
     println!("| --- | --- | --- | --- |");
@@ -115,24 +115,26 @@
         }
         if let Some(node) = nodes.get_mut(&(tick % 3 + 1)) {
             if session == 0 && tick % 100 == 50 {
-                node.open(Ticket(tick), 500);
+                node.open_session(Ticket(tick), 500);
             } else if session > 0 {
                 sequence += 1;
-                let retire =
-                    Command::Retire { space: "measured".into(), below: sequence.saturating_sub(2_000) };
+                let retire = Command::RetireSubjects {
+                    space: "measured".into(),
+                    below: sequence.saturating_sub(2_000),
+                };
                 let command = if sequence.is_multiple_of(100) { retire } else { decide(sequence) };
                 node.propose(Ticket(tick), proposal(session, sequence, command), 500);
             }
         }
         for node in nodes.values_mut() {
             node.tick();
-            while let Some(work) = node.work().expect("work") {
-                mail.extend(work.send);
-                node.written().expect("written");
+            while let Some(work) = node.ready().expect("work") {
+                mail.extend(work.messages);
+                node.on_persisted().expect("written");
             }
             for (_, answer) in node.take_answers() {
                 match answer {
-                    Answer::Applied(Reply::Opened(opened)) if session == 0 => session = opened.0,
+                    Answer::Applied(Reply::SessionOpened(opened)) if session == 0 => session = opened.0,
                     Answer::Applied(_) => decided += 1,
                     _ => {}
                 }
@@ -140,7 +142,7 @@
             node.take_applied();
         }
         if (tick + 1) % 60_000 == 0 {
-            let held: usize = nodes.values().map(|node| node.status().held).sum();
+            let held: usize = nodes.values().map(|node| node.status().log_entries).sum();
             println!("| {} | {decided} | {held} | {:.1} |", (tick + 1) / 6_000, resident_mib());
         }
     }
--- a/crates/consensus/src/trust.rs
+++ b/crates/consensus/src/build_verdicts.rs
@@ -10,69 +10,73 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Index, InstanceId, Role, Subject, Ticks};
-use crate::ledger::{Command, Ledger, Standing};
+use crate::replicated_state::{Command, ReplicatedState, SubjectState};
 
 /// The space of condemned builds.
-pub const CONDEMNED: &str = "condemned";
+pub const CONDEMNED_SPACE: &str = "condemned";
 /// The board of opinions.
-pub const BOARD: &str = "trust";
+pub const VERDICT_TOPIC: &str = "trust";
 /// Fronts of one instance that are heard at the most.
-pub const FRONTS_MOST: usize = 1024;
+pub const MAX_PROXIES: usize = 1024;
 /// Condemned builds that are remembered: older ones are retired, and builds come in the order of their numbers.
-pub const REMEMBERED: u64 = 256;
+pub const MAX_CONDEMNED_BUILDS: u64 = 256;
 
 /// The role of who casts the platform's vote.
-pub fn role() -> Role {
+pub fn vote_role() -> Role {
     Role("votes".to_owned())
 }
 
 /// A word on a build, from the mildest to the gravest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum VerdictKind {
     /// Nothing to say, or no more.
-    None,
+    #[serde(rename = "none")]
+    Abstain,
     /// Go on.
-    On,
+    #[serde(rename = "on")]
+    Advance,
     /// Hold the clock.
     Hold,
     /// Send it back.
-    Back,
+    #[serde(rename = "back")]
+    RollBack,
 }
 
 /// A word on a build at a stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Opinion {
+pub struct BuildVerdict {
     /// The build.
     pub build: u64,
     /// The stage meant.
     pub stage: u64,
     /// The word.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub kind: VerdictKind,
 }
 
-impl Opinion {
+impl BuildVerdict {
     /// The later build first, then its later stage, then the graver word.
-    fn weight(&self) -> (u64, u64, Word) {
-        (self.build, self.stage, self.word)
+    fn weight(&self) -> (u64, u64, VerdictKind) {
+        (self.build, self.stage, self.kind)
     }
 }
 
 /// One instance's part in the trust.
 #[derive(Debug)]
-pub struct Trust {
+pub struct BuildVerdicts {
     me: InstanceId,
     /// Ticks that a word stands without being said again.
     life: u64,
-    fronts: BTreeMap<String, (Opinion, Ticks)>,
-    posted: Option<(Opinion, Ticks)>,
+    fronts: BTreeMap<String, (BuildVerdict, Ticks)>,
+    posted: Option<(BuildVerdict, Ticks)>,
     /// Others' notices: when each was last seen to have been posted anew. By this instance's own ticks, for no
     /// clock is shared.
     heard: BTreeMap<InstanceId, (Index, Ticks)>,
     condemning: BTreeMap<u64, Ticks>,
 }
 
-impl Trust {
+impl BuildVerdicts {
     /// `life`: ticks that a word stands without being said again.
     pub fn new(me: InstanceId, life: u64) -> Self {
         Self {
@@ -86,8 +90,8 @@
     }
 
     /// A front's own decisions say this. False: too many fronts, it goes on alone.
-    pub fn front_says(&mut self, now: Ticks, front: &str, opinion: Opinion) -> bool {
-        if !self.fronts.contains_key(front) && self.fronts.len() >= FRONTS_MOST {
+    pub fn record_verdict(&mut self, now: Ticks, front: &str, opinion: BuildVerdict) -> bool {
+        if !self.fronts.contains_key(front) && self.fronts.len() >= MAX_PROXIES {
             return false;
         }
         self.fronts.insert(front.to_owned(), (opinion, now));
@@ -95,7 +99,7 @@
     }
 
     /// A front has gone: what it said counts no more. What it had condemned stays condemned.
-    pub fn front_gone(&mut self, front: &str) {
+    pub fn remove_proxy(&mut self, front: &str) {
         self.fronts.remove(front);
     }
 
@@ -104,24 +108,28 @@
     }
 
     /// The gravest word of this instance's fronts on the newest build that any speaks of.
-    fn own(&self, now: Ticks) -> Option<Opinion> {
-        let standing = self.fronts.values().filter(|(o, at)| o.word != Word::None && self.stands(now, *at));
-        standing.map(|(opinion, _)| *opinion).max_by_key(Opinion::weight)
+    fn own(&self, now: Ticks) -> Option<BuildVerdict> {
+        let standing =
+            self.fronts.values().filter(|(o, at)| o.kind != VerdictKind::Abstain && self.stands(now, *at));
+        standing.map(|(opinion, _)| *opinion).max_by_key(BuildVerdict::weight)
     }
 
     /// What is to be proposed now.
-    pub fn proposals(&mut self, now: Ticks, ledger: &Ledger) -> Vec<Command> {
+    pub fn proposals(&mut self, now: Ticks, ledger: &ReplicatedState) -> Vec<Command> {
         let mut commands = Vec::new();
         self.fronts.retain(|_, (_, at)| now.0 < at.0 + 10 * self.life);
         self.condemning.retain(|_, at| now.0 < at.0 + self.life);
-        let back = self.fronts.values().filter(|(o, at)| o.word == Word::Back && now.0 < at.0 + self.life);
+        let back = self
+            .fronts
+            .values()
+            .filter(|(o, at)| o.kind == VerdictKind::RollBack && now.0 < at.0 + self.life);
         for build in back.map(|(opinion, _)| opinion.build).collect::<std::collections::BTreeSet<_>>() {
-            let subject = Subject::new(CONDEMNED, build);
-            if ledger.standing(&subject).is_none() && !self.condemning.contains_key(&build) {
+            let subject = Subject::new(CONDEMNED_SPACE, build);
+            if ledger.subject_state(&subject).is_none() && !self.condemning.contains_key(&build) {
                 self.condemning.insert(build, now);
                 commands.push(Command::Decide { subject, value: self.me.0.to_le_bytes().to_vec() });
-                if let Some(below) = build.checked_sub(REMEMBERED) {
-                    commands.push(Command::Retire { space: CONDEMNED.to_owned(), below });
+                if let Some(below) = build.checked_sub(MAX_CONDEMNED_BUILDS) {
+                    commands.push(Command::RetireSubjects { space: CONDEMNED_SPACE.to_owned(), below });
                 }
             }
         }
@@ -131,55 +139,56 @@
         if own != said || due {
             self.posted = own.map(|opinion| (opinion, now));
             let value = own.map(|opinion| postcard::to_stdvec(&opinion).unwrap_or_default());
-            commands.push(Command::Post { from: self.me, board: BOARD.to_owned(), value });
+            commands.push(Command::PublishNotice { from: self.me, topic: VERDICT_TOPIC.to_owned(), value });
         }
         commands
     }
 
     /// What the holder of the role should have standing at the platform; asked by whoever holds it.
-    pub fn to_cast(&mut self, now: Ticks, ledger: &Ledger) -> Option<Opinion> {
-        self.listen(now, ledger);
-        let others = ledger.notices(BOARD).filter(|(id, _)| *id != self.me).filter_map(|(id, notice)| {
-            let (_, since) = self.heard.get(&id)?;
-            self.stands(now, *since).then(|| postcard::from_bytes::<Opinion>(&notice.value).ok())?
-        });
-        let newest = others.chain(self.own(now)).max_by_key(Opinion::weight)?;
+    pub fn vote_to_cast(&mut self, now: Ticks, ledger: &ReplicatedState) -> Option<BuildVerdict> {
+        self.observe_notices(now, ledger);
+        let others =
+            ledger.notices(VERDICT_TOPIC).filter(|(id, _)| *id != self.me).filter_map(|(id, notice)| {
+                let (_, since) = self.heard.get(&id)?;
+                self.stands(now, *since).then(|| postcard::from_bytes::<BuildVerdict>(&notice.value).ok())?
+            });
+        let newest = others.chain(self.own(now)).max_by_key(BuildVerdict::weight)?;
         // Condemned is condemned, also after those who said so have gone, and at every later stage.
-        let word = if self.is_condemned(ledger, newest.build) { Word::Back } else { newest.word };
-        Some(Opinion { word, ..newest })
+        let word = if self.is_condemned(ledger, newest.build) { VerdictKind::RollBack } else { newest.kind };
+        Some(BuildVerdict { kind: word, ..newest })
     }
 
     /// Notes which notices are new. To be called now and then also without the role, or a notice that has stood for
     /// long would pass for a fresh one.
-    pub fn listen(&mut self, now: Ticks, ledger: &Ledger) {
+    pub fn observe_notices(&mut self, now: Ticks, ledger: &ReplicatedState) {
         self.heard.retain(|id, _| ledger.member(*id).is_some());
-        for (id, notice) in ledger.notices(BOARD) {
-            let heard = self.heard.entry(id).or_insert((notice.posted, now));
-            if heard.0 != notice.posted {
-                *heard = (notice.posted, now);
+        for (id, notice) in ledger.notices(VERDICT_TOPIC) {
+            let heard = self.heard.entry(id).or_insert((notice.published_at, now));
+            if heard.0 != notice.published_at {
+                *heard = (notice.published_at, now);
             }
         }
     }
 
     /// Whether a build is condemned.
-    pub fn is_condemned(&self, ledger: &Ledger, build: u64) -> bool {
-        matches!(ledger.standing(&Subject::new(CONDEMNED, build)), Some(Standing::Decided(_)))
+    pub fn is_condemned(&self, ledger: &ReplicatedState, build: u64) -> bool {
+        matches!(ledger.subject_state(&Subject::new(CONDEMNED_SPACE, build)), Some(SubjectState::Decided(_)))
     }
 }
 
 /// The builds that are condemned, in order.
-pub fn condemned(ledger: &Ledger) -> impl Iterator<Item = u64> {
-    ledger.subjects(CONDEMNED, 0).map(|(subject, _)| subject.number)
+pub fn condemned_builds(ledger: &ReplicatedState) -> impl Iterator<Item = u64> {
+    ledger.subjects(CONDEMNED_SPACE, 0).map(|(subject, _)| subject.number)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
     use crate::ids::{Sequence, SessionId};
-    use crate::ledger::{Member, Proposal};
+    use crate::replicated_state::{Member, Proposal};
 
     struct Cluster {
-        ledger: Ledger,
+        ledger: ReplicatedState,
         index: u64,
         sequence: u64,
     }
@@ -187,8 +196,8 @@
     impl Cluster {
         fn new() -> Self {
             let member = |id| Member { id: InstanceId(id), name: format!("n{id}"), address: String::new() };
-            let mut ledger = Ledger::founded([member(1), member(2)]);
-            let command = Command::Open { nonce: 0 };
+            let mut ledger = ReplicatedState::with_members([member(1), member(2)]);
+            let command = Command::OpenSession { nonce: 0 };
             ledger.apply(Index(1), &Proposal { session: SessionId(0), sequence: Sequence(0), command });
             Self { ledger, index: 1, sequence: 0 }
         }
@@ -203,73 +212,76 @@
         }
     }
 
-    fn says(build: u64, stage: u64, word: Word) -> Opinion {
-        Opinion { build, stage, word }
+    fn says(build: u64, stage: u64, word: VerdictKind) -> BuildVerdict {
+        BuildVerdict { build, stage, kind: word }
     }
 
     #[test]
     fn a_word_to_go_back_is_decided_once_and_outlives_who_said_it() {
         let (mut cluster, mut one, mut two) =
-            (Cluster::new(), Trust::new(InstanceId(1), 100), Trust::new(InstanceId(2), 100));
-        one.front_says(Ticks(0), "f1", says(42, 1, Word::Back));
+            (Cluster::new(), BuildVerdicts::new(InstanceId(1), 100), BuildVerdicts::new(InstanceId(2), 100));
+        one.record_verdict(Ticks(0), "f1", says(42, 1, VerdictKind::RollBack));
         let commands = one.proposals(Ticks(0), &cluster.ledger);
         assert_eq!(commands.len(), 2, "the decision and the notice: {commands:?}");
         assert!(one.proposals(Ticks(1), &cluster.ledger).is_empty(), "not again while it is under way");
         cluster.apply(commands);
-        assert_eq!(condemned(&cluster.ledger).collect::<Vec<_>>(), [42]);
-        one.front_gone("f1");
+        assert_eq!(condemned_builds(&cluster.ledger).collect::<Vec<_>>(), [42]);
+        one.remove_proxy("f1");
         let commands = one.proposals(Ticks(2), &cluster.ledger);
         cluster.apply(commands);
-        two.front_says(Ticks(5), "f2", says(42, 2, Word::On));
-        assert_eq!(two.to_cast(Ticks(5), &cluster.ledger), Some(says(42, 2, Word::Back)));
-        assert_eq!(two.to_cast(Ticks(200), &cluster.ledger), None, "nobody speaks of a build any more");
+        two.record_verdict(Ticks(5), "f2", says(42, 2, VerdictKind::Advance));
+        assert_eq!(two.vote_to_cast(Ticks(5), &cluster.ledger), Some(says(42, 2, VerdictKind::RollBack)));
+        assert_eq!(two.vote_to_cast(Ticks(200), &cluster.ledger), None, "nobody speaks of a build any more");
     }
 
     #[test]
     fn the_gravest_word_on_the_newest_build_counts_and_lapses_when_it_is_not_said_again() {
         let (mut cluster, mut one, mut two) =
-            (Cluster::new(), Trust::new(InstanceId(1), 100), Trust::new(InstanceId(2), 100));
-        one.front_says(Ticks(0), "a", says(42, 1, Word::Hold));
-        one.front_says(Ticks(0), "b", says(42, 1, Word::On));
+            (Cluster::new(), BuildVerdicts::new(InstanceId(1), 100), BuildVerdicts::new(InstanceId(2), 100));
+        one.record_verdict(Ticks(0), "a", says(42, 1, VerdictKind::Hold));
+        one.record_verdict(Ticks(0), "b", says(42, 1, VerdictKind::Advance));
         cluster.apply(one.proposals(Ticks(0), &cluster.ledger));
-        two.front_says(Ticks(0), "c", says(42, 1, Word::On));
-        assert_eq!(two.to_cast(Ticks(0), &cluster.ledger), Some(says(42, 1, Word::Hold)));
-        two.front_says(Ticks(90), "c", says(42, 1, Word::On));
+        two.record_verdict(Ticks(0), "c", says(42, 1, VerdictKind::Advance));
+        assert_eq!(two.vote_to_cast(Ticks(0), &cluster.ledger), Some(says(42, 1, VerdictKind::Hold)));
+        two.record_verdict(Ticks(90), "c", says(42, 1, VerdictKind::Advance));
         assert_eq!(
-            two.to_cast(Ticks(101), &cluster.ledger),
-            Some(says(42, 1, Word::On)),
+            two.vote_to_cast(Ticks(101), &cluster.ledger),
+            Some(says(42, 1, VerdictKind::Advance)),
             "the hold is stale"
         );
-        one.front_says(Ticks(102), "a", says(43, 0, Word::Hold));
+        one.record_verdict(Ticks(102), "a", says(43, 0, VerdictKind::Hold));
         cluster.apply(one.proposals(Ticks(102), &cluster.ledger));
-        assert_eq!(two.to_cast(Ticks(102), &cluster.ledger), Some(says(43, 0, Word::Hold)));
+        assert_eq!(two.vote_to_cast(Ticks(102), &cluster.ledger), Some(says(43, 0, VerdictKind::Hold)));
     }
 
     #[test]
     fn a_standing_word_is_posted_again_and_a_silent_one_taken_off() {
-        let (cluster, mut one) = (Cluster::new(), Trust::new(InstanceId(1), 90));
-        one.front_says(Ticks(0), "a", says(42, 1, Word::Hold));
+        let (cluster, mut one) = (Cluster::new(), BuildVerdicts::new(InstanceId(1), 90));
+        one.record_verdict(Ticks(0), "a", says(42, 1, VerdictKind::Hold));
         assert_eq!(one.proposals(Ticks(0), &cluster.ledger).len(), 1);
         assert!(one.proposals(Ticks(29), &cluster.ledger).is_empty());
         assert_eq!(one.proposals(Ticks(30), &cluster.ledger).len(), 1);
         let off = one.proposals(Ticks(90), &cluster.ledger);
-        assert!(matches!(&off[..], [Command::Post { value: None, .. }]), "{off:?}");
+        assert!(matches!(&off[..], [Command::PublishNotice { value: None, .. }]), "{off:?}");
         assert!(one.proposals(Ticks(200), &cluster.ledger).is_empty());
     }
 
     #[test]
     fn old_condemnations_are_retired_and_fronts_are_bounded() {
-        let (mut cluster, mut one) = (Cluster::new(), Trust::new(InstanceId(1), 100));
-        for build in [42, 42 + REMEMBERED + 8] {
-            one.front_says(Ticks(0), "a", says(build, 0, Word::Back));
+        let (mut cluster, mut one) = (Cluster::new(), BuildVerdicts::new(InstanceId(1), 100));
+        for build in [42, 42 + MAX_CONDEMNED_BUILDS + 8] {
+            one.record_verdict(Ticks(0), "a", says(build, 0, VerdictKind::RollBack));
             cluster.apply(one.proposals(Ticks(0), &cluster.ledger));
         }
-        assert_eq!(condemned(&cluster.ledger).collect::<Vec<_>>(), [42 + REMEMBERED + 8]);
-        for n in 0..FRONTS_MOST - 1 {
-            assert!(one.front_says(Ticks(0), &format!("front {n}"), says(1, 0, Word::None)));
+        assert_eq!(condemned_builds(&cluster.ledger).collect::<Vec<_>>(), [42 + MAX_CONDEMNED_BUILDS + 8]);
+        for n in 0..MAX_PROXIES - 1 {
+            assert!(one.record_verdict(Ticks(0), &format!("front {n}"), says(1, 0, VerdictKind::Abstain)));
         }
-        assert!(!one.front_says(Ticks(0), "one more", says(1, 0, Word::None)));
+        assert!(!one.record_verdict(Ticks(0), "one more", says(1, 0, VerdictKind::Abstain)));
         one.proposals(Ticks(1000), &cluster.ledger);
-        assert!(one.front_says(Ticks(1000), "one more", says(1, 0, Word::None)), "silent ones make room");
+        assert!(
+            one.record_verdict(Ticks(1000), "one more", says(1, 0, VerdictKind::Abstain)),
+            "silent ones make room"
+        );
     }
 }
--- a/crates/consensus/src/gate.rs
+++ b/crates/consensus/src/fencing.rs
@@ -13,20 +13,23 @@
 
 /// Orders remembered for each role; beyond that nothing more is let through until some are settled and the role
 /// has a new epoch (a holder may pass the role on to itself).
-pub const ORDERS_MOST: usize = 65_536;
+pub const MAX_ORDERS: usize = 65_536;
 
 /// What the gate says to an act.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Passage {
+pub enum FencingDecision {
     /// Go: the effect may happen, now and once.
-    Open,
+    #[serde(rename = "Open")]
+    Admit,
     /// An older epoch than one shown before: refused for good.
-    Stale {
+    #[serde(rename = "Stale")]
+    StaleEpoch {
         /// The newest epoch shown.
         newest: Epoch,
     },
     /// This order went through before.
-    Repeat {
+    #[serde(rename = "Repeat")]
+    Duplicate {
         /// Under this epoch.
         epoch: Epoch,
     },
@@ -57,16 +60,16 @@
 
 /// The gate's whole state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Gate {
+pub struct FencingGate {
     roles: BTreeMap<Role, Watched>,
 }
 
-impl Gate {
+impl FencingGate {
     /// A holder shows its epoch, before it acts for the first time. From here on no older one passes.
     ///
     /// # Errors
     /// The newest epoch shown, if that is a later one.
-    pub fn show(&mut self, role: &Role, epoch: Epoch) -> Result<(), Epoch> {
+    pub fn observe_epoch(&mut self, role: &Role, epoch: Epoch) -> Result<(), Epoch> {
         let watched = self.roles.entry(role.clone()).or_default();
         if epoch < watched.newest {
             return Err(watched.newest);
@@ -79,19 +82,19 @@
     }
 
     /// An order comes to the gate under an epoch.
-    pub fn pass(&mut self, role: &Role, epoch: Epoch, order: &Subject) -> Passage {
-        if let Err(newest) = self.show(role, epoch) {
-            return Passage::Stale { newest };
+    pub fn admit(&mut self, role: &Role, epoch: Epoch, order: &Subject) -> FencingDecision {
+        if let Err(newest) = self.observe_epoch(role, epoch) {
+            return FencingDecision::StaleEpoch { newest };
         }
         let watched = self.roles.entry(role.clone()).or_default();
         if let Some(through) = watched.let_through.get(order) {
-            return Passage::Repeat { epoch: through.epoch };
+            return FencingDecision::Duplicate { epoch: through.epoch };
         }
-        if watched.let_through.len() >= ORDERS_MOST {
-            return Passage::Full;
+        if watched.let_through.len() >= MAX_ORDERS {
+            return FencingDecision::Full;
         }
         watched.let_through.insert(order.clone(), Through { epoch, settled: false });
-        Passage::Open
+        FencingDecision::Admit
     }
 
     /// Whether an order went through, asked under an epoch that the gate has been shown: the answer is final for
@@ -99,8 +102,8 @@
     ///
     /// # Errors
     /// The newest epoch shown, if it is not the one that asks.
-    pub fn ran(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, Epoch> {
-        let newest = self.newest(role);
+    pub fn was_executed(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, Epoch> {
+        let newest = self.current_epoch(role);
         if epoch != newest {
             return Err(newest);
         }
@@ -109,7 +112,7 @@
 
     /// The ledger has settled this order as one that ran: it is handed out no more, and need not be remembered
     /// beyond its epoch.
-    pub fn settled(&mut self, role: &Role, order: &Subject) {
+    pub fn mark_resolved(&mut self, role: &Role, order: &Subject) {
         if let Some(watched) = self.roles.get_mut(role)
             && let Some(through) = watched.let_through.get_mut(order)
         {
@@ -119,7 +122,7 @@
     }
 
     /// The newest epoch shown for a role; 0 if none was.
-    pub fn newest(&self, role: &Role) -> Epoch {
+    pub fn current_epoch(&self, role: &Role) -> Epoch {
         self.roles.get(role).map_or(Epoch(0), |watched| watched.newest)
     }
 }
@@ -130,35 +133,47 @@
 
     #[test]
     fn an_older_epoch_never_passes_again() {
-        let (mut gate, role) = (Gate::default(), Role("orders".into()));
+        let (mut gate, role) = (FencingGate::default(), Role("orders".into()));
         let order = |n| Subject::new("order", n);
-        assert_eq!(gate.pass(&role, Epoch(1), &order(1)), Passage::Open);
-        assert_eq!(gate.pass(&role, Epoch(1), &order(1)), Passage::Repeat { epoch: Epoch(1) });
-        assert_eq!(gate.ran(&role, Epoch(2), &order(1)), Err(Epoch(1)), "no word before the epoch is shown");
-        gate.show(&role, Epoch(2)).unwrap();
-        assert_eq!(gate.ran(&role, Epoch(2), &order(2)), Ok(false));
-        assert_eq!(gate.pass(&role, Epoch(1), &order(2)), Passage::Stale { newest: Epoch(2) });
-        assert_eq!(gate.show(&role, Epoch(1)), Err(Epoch(2)));
-        assert_eq!(gate.ran(&role, Epoch(2), &order(1)), Ok(true));
-        assert_eq!(gate.pass(&role, Epoch(2), &order(2)), Passage::Open);
+        assert_eq!(gate.admit(&role, Epoch(1), &order(1)), FencingDecision::Admit);
+        assert_eq!(gate.admit(&role, Epoch(1), &order(1)), FencingDecision::Duplicate { epoch: Epoch(1) });
+        assert_eq!(
+            gate.was_executed(&role, Epoch(2), &order(1)),
+            Err(Epoch(1)),
+            "no word before the epoch is shown"
+        );
+        gate.observe_epoch(&role, Epoch(2)).unwrap();
+        assert_eq!(gate.was_executed(&role, Epoch(2), &order(2)), Ok(false));
+        assert_eq!(gate.admit(&role, Epoch(1), &order(2)), FencingDecision::StaleEpoch { newest: Epoch(2) });
+        assert_eq!(gate.observe_epoch(&role, Epoch(1)), Err(Epoch(2)));
+        assert_eq!(gate.was_executed(&role, Epoch(2), &order(1)), Ok(true));
+        assert_eq!(gate.admit(&role, Epoch(2), &order(2)), FencingDecision::Admit);
         let other = Role("votes".into());
-        assert_eq!(gate.pass(&other, Epoch(1), &order(2)), Passage::Open, "roles don't depose one another");
+        assert_eq!(
+            gate.admit(&other, Epoch(1), &order(2)),
+            FencingDecision::Admit,
+            "roles don't depose one another"
+        );
     }
 
     #[test]
     fn what_it_remembers_is_bounded_and_room_comes_back() {
-        let (mut gate, role) = (Gate::default(), Role("orders".into()));
-        for n in 0..ORDERS_MOST as u64 {
-            assert_eq!(gate.pass(&role, Epoch(1), &Subject::new("order", n)), Passage::Open);
+        let (mut gate, role) = (FencingGate::default(), Role("orders".into()));
+        for n in 0..MAX_ORDERS as u64 {
+            assert_eq!(gate.admit(&role, Epoch(1), &Subject::new("order", n)), FencingDecision::Admit);
         }
-        let next = Subject::new("order", ORDERS_MOST as u64);
-        assert_eq!(gate.pass(&role, Epoch(1), &next), Passage::Full);
-        gate.settled(&role, &Subject::new("order", 0));
-        assert_eq!(gate.pass(&role, Epoch(1), &next), Passage::Full, "a late copy of order 0 may still come");
+        let next = Subject::new("order", MAX_ORDERS as u64);
+        assert_eq!(gate.admit(&role, Epoch(1), &next), FencingDecision::Full);
+        gate.mark_resolved(&role, &Subject::new("order", 0));
+        assert_eq!(
+            gate.admit(&role, Epoch(1), &next),
+            FencingDecision::Full,
+            "a late copy of order 0 may still come"
+        );
         assert_eq!(
-            gate.pass(&role, Epoch(1), &Subject::new("order", 0)),
-            Passage::Repeat { epoch: Epoch(1) }
+            gate.admit(&role, Epoch(1), &Subject::new("order", 0)),
+            FencingDecision::Duplicate { epoch: Epoch(1) }
         );
-        assert_eq!(gate.pass(&role, Epoch(2), &next), Passage::Open);
+        assert_eq!(gate.admit(&role, Epoch(2), &next), FencingDecision::Admit);
     }
 }
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -74,13 +74,13 @@
 /// A subject that can't be read, with what was given.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("\"{0}\" is no subject: SPACE/NUMBER is wanted, such as condemned/42")]
-pub struct NoSubject(String);
+pub struct ParseSubjectError(String);
 
 impl std::str::FromStr for Subject {
-    type Err = NoSubject;
+    type Err = ParseSubjectError;
 
-    fn from_str(text: &str) -> Result<Self, NoSubject> {
-        let bad = || NoSubject(text.to_owned());
+    fn from_str(text: &str) -> Result<Self, ParseSubjectError> {
+        let bad = || ParseSubjectError(text.to_owned());
         let (space, number) = text.rsplit_once('/').ok_or_else(bad)?;
         let usable = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if space.is_empty() || space.len() > 64 || !space.chars().all(usable) {
--- a/crates/consensus/src/clerk.rs
+++ b/crates/consensus/src/lease_client.rs
@@ -1,17 +1,17 @@
 //! The clerk: when this instance takes a role, renews it, acts under it and leaves it. Its ticks decide only how
 //! soon; that no deposed holder acts is the ledger's and the gate's work.
 
-use crate::desk::Answer;
 use crate::ids::{Epoch, Index, InstanceId, Role, Ticks};
-use crate::ledger::{Command, Grant, Reply};
+use crate::pending_requests::Answer;
+use crate::replicated_state::{Command, Lease, Reply};
 
 /// What the clerk asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum LeaseAction {
     /// Propose this; tell [`Clerk::answered`] what came of it.
     Propose(Command),
     /// Show this epoch to the gate; tell [`Clerk::shown`] or [`Clerk::deposed`] what it said.
-    Show(Epoch),
+    ObserveEpoch(Epoch),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// One role's clerk at one instance.
 #[derive(Debug)]
-pub struct Clerk {
+pub struct LeaseClient {
     role: Role,
     me: InstanceId,
     life: u64,
@@ -38,7 +38,7 @@
     patience: u64,
 }
 
-impl Clerk {
+impl LeaseClient {
     /// A clerk for `role`. `life`: ticks that a holder goes on without renewal; `stagger`: more ticks that this
     /// instance waits before it takes a role over, so that not all try at once.
     pub fn new(role: Role, me: InstanceId, life: u64, stagger: u64) -> Self {
@@ -52,7 +52,7 @@
     }
 
     /// The epoch under which this instance may act now. Whatever acts on it shows it to the gate as well.
-    pub fn may_act(&self, now: Ticks) -> Option<Epoch> {
+    pub fn valid_epoch(&self, now: Ticks) -> Option<Epoch> {
         match self.state {
             State::Holding { epoch, until, .. } if now < until => Some(epoch),
             _ => None,
@@ -60,7 +60,7 @@
     }
 
     /// What is to be done now, by the ledger as this instance has it.
-    pub fn next(&mut self, now: Ticks, grant: Option<&Grant>) -> Option<Step> {
+    pub fn poll(&mut self, now: Ticks, grant: Option<&Lease>) -> Option<LeaseAction> {
         let (epoch, renewed) = grant.map_or((Epoch(0), Index(0)), |g| (g.epoch, g.renewed));
         if (epoch, renewed) != (self.seen.0, self.seen.1) {
             self.seen = (epoch, renewed, now);
@@ -80,19 +80,19 @@
                     return None;
                 }
                 *asked = Some(now);
-                Some(Step::Show(*epoch))
+                Some(LeaseAction::ObserveEpoch(*epoch))
             }
             State::Holding { epoch, renew, under_way, .. } => {
                 if now < *renew || under_way.is_some() {
                     return None;
                 }
                 *under_way = Some(now);
-                Some(Step::Propose(Command::Renew { role: self.role.clone(), epoch: *epoch }))
+                Some(LeaseAction::Propose(Command::RenewLease { role: self.role.clone(), epoch: *epoch }))
             }
         }
     }
 
-    fn watch(&mut self, now: Ticks, grant: Option<&Grant>) -> Option<Step> {
+    fn watch(&mut self, now: Ticks, grant: Option<&Lease>) -> Option<LeaseAction> {
         // Held by this instance in the ledger and not here: an earlier run of it, whose acts may still be on their
         // way. It starts under a new epoch like anyone else, but need not wait for itself.
         let mine = grant.is_some_and(|g| g.holder == Some(self.me));
@@ -104,18 +104,18 @@
         }
         self.state = State::Taking;
         let life = u32::try_from(self.life).unwrap_or(u32::MAX);
-        Some(Step::Propose(Command::Take {
+        Some(LeaseAction::Propose(Command::AcquireLease {
             role: self.role.clone(),
             holder: self.me,
-            expect: self.seen.0,
-            life,
+            expected_epoch: self.seen.0,
+            ttl: life,
         }))
     }
 
     /// What became of the proposal that was asked for.
-    pub fn answered(&mut self, now: Ticks, answer: &Answer) {
+    pub fn on_answer(&mut self, now: Ticks, answer: &Answer) {
         self.state = match (self.state, answer) {
-            (State::Taking, Answer::Applied(Reply::Granted(epoch))) => {
+            (State::Taking, Answer::Applied(Reply::LeaseAcquired(epoch))) => {
                 State::Showing { epoch: *epoch, since: now, asked: None }
             }
             (State::Taking, _) => {
@@ -131,7 +131,7 @@
                     under_way: None,
                 }
             }
-            (State::Holding { .. }, Answer::Applied(Reply::Stale { .. })) => State::Watching,
+            (State::Holding { .. }, Answer::Applied(Reply::StaleEpoch { .. })) => State::Watching,
             (State::Holding { epoch, until, .. }, _) => {
                 State::Holding { epoch, until, renew: Ticks(now.0 + 1 + self.life / 10), under_way: None }
             }
@@ -144,7 +144,7 @@
     }
 
     /// The gate has taken this epoch as the newest.
-    pub fn shown(&mut self, shown: Epoch) {
+    pub fn on_epoch_observed(&mut self, shown: Epoch) {
         if let State::Showing { epoch, since, .. } = self.state
             && epoch == shown
         {
@@ -154,7 +154,7 @@
     }
 
     /// The gate, or anyone, knows of this later epoch.
-    pub fn deposed(&mut self, newest: Epoch) {
+    pub fn on_newer_epoch(&mut self, newest: Epoch) {
         match self.state {
             State::Showing { epoch, .. } | State::Holding { epoch, .. } if epoch < newest => {
                 self.state = State::Watching;
@@ -168,80 +168,88 @@
 mod tests {
     use super::*;
 
-    fn grant(holder: Option<u64>, epoch: u64, renewed: u64) -> Grant {
-        Grant { holder: holder.map(InstanceId), epoch: Epoch(epoch), life: 30, renewed: Index(renewed) }
+    fn grant(holder: Option<u64>, epoch: u64, renewed: u64) -> Lease {
+        Lease { holder: holder.map(InstanceId), epoch: Epoch(epoch), ttl: 30, renewed: Index(renewed) }
     }
 
-    fn clerk() -> Clerk {
-        Clerk::new(Role("votes".into()), InstanceId(1), 30, 5)
+    fn clerk() -> LeaseClient {
+        LeaseClient::new(Role("votes".into()), InstanceId(1), 30, 5)
     }
 
-    fn taken(expect: u64) -> Step {
+    fn taken(expect: u64) -> LeaseAction {
         let role = Role("votes".into());
-        Step::Propose(Command::Take { role, holder: InstanceId(1), expect: Epoch(expect), life: 30 })
+        LeaseAction::Propose(Command::AcquireLease {
+            role,
+            holder: InstanceId(1),
+            expected_epoch: Epoch(expect),
+            ttl: 30,
+        })
     }
 
     fn granted(epoch: u64) -> Answer {
-        Answer::Applied(Reply::Granted(Epoch(epoch)))
+        Answer::Applied(Reply::LeaseAcquired(Epoch(epoch)))
     }
 
     #[test]
     fn a_holder_that_shows_no_life_is_followed_after_its_life_and_the_stagger() {
         let mut clerk = clerk();
-        assert_eq!(clerk.next(Ticks(100), Some(&grant(Some(2), 4, 9))), None);
-        assert_eq!(clerk.next(Ticks(134), Some(&grant(Some(2), 4, 9))), None);
-        assert_eq!(clerk.next(Ticks(134), Some(&grant(Some(2), 4, 10))), None, "it renewed");
-        assert_eq!(clerk.next(Ticks(168), Some(&grant(Some(2), 4, 10))), None);
-        assert_eq!(clerk.next(Ticks(169), Some(&grant(Some(2), 4, 10))), Some(taken(4)));
-        clerk.answered(Ticks(170), &Answer::Applied(Reply::Stale { current: Epoch(5) }));
-        assert_eq!(clerk.next(Ticks(171), Some(&grant(Some(3), 5, 11))), None, "another was first");
+        assert_eq!(clerk.poll(Ticks(100), Some(&grant(Some(2), 4, 9))), None);
+        assert_eq!(clerk.poll(Ticks(134), Some(&grant(Some(2), 4, 9))), None);
+        assert_eq!(clerk.poll(Ticks(134), Some(&grant(Some(2), 4, 10))), None, "it renewed");
+        assert_eq!(clerk.poll(Ticks(168), Some(&grant(Some(2), 4, 10))), None);
+        assert_eq!(clerk.poll(Ticks(169), Some(&grant(Some(2), 4, 10))), Some(taken(4)));
+        clerk.on_answer(Ticks(170), &Answer::Applied(Reply::StaleEpoch { current: Epoch(5) }));
+        assert_eq!(clerk.poll(Ticks(171), Some(&grant(Some(3), 5, 11))), None, "another was first");
     }
 
     #[test]
     fn nothing_is_done_before_the_gate_has_seen_the_epoch_nor_beyond_the_life() {
         let mut clerk = clerk();
-        clerk.next(Ticks(0), None);
-        assert_eq!(clerk.next(Ticks(5), None), Some(taken(0)));
-        clerk.answered(Ticks(8), &granted(1));
-        assert_eq!(clerk.next(Ticks(8), Some(&grant(Some(1), 1, 3))), Some(Step::Show(Epoch(1))));
-        assert_eq!(clerk.may_act(Ticks(8)), None);
+        clerk.poll(Ticks(0), None);
+        assert_eq!(clerk.poll(Ticks(5), None), Some(taken(0)));
+        clerk.on_answer(Ticks(8), &granted(1));
         assert_eq!(
-            clerk.next(Ticks(18), Some(&grant(Some(1), 1, 3))),
-            Some(Step::Show(Epoch(1))),
+            clerk.poll(Ticks(8), Some(&grant(Some(1), 1, 3))),
+            Some(LeaseAction::ObserveEpoch(Epoch(1)))
+        );
+        assert_eq!(clerk.valid_epoch(Ticks(8)), None);
+        assert_eq!(
+            clerk.poll(Ticks(18), Some(&grant(Some(1), 1, 3))),
+            Some(LeaseAction::ObserveEpoch(Epoch(1))),
             "asked again"
         );
-        clerk.shown(Epoch(1));
-        assert_eq!(clerk.may_act(Ticks(20)), Some(Epoch(1)));
+        clerk.on_epoch_observed(Epoch(1));
+        assert_eq!(clerk.valid_epoch(Ticks(20)), Some(Epoch(1)));
         assert!(matches!(
-            clerk.next(Ticks(20), Some(&grant(Some(1), 1, 3))),
-            Some(Step::Propose(Command::Renew { .. }))
+            clerk.poll(Ticks(20), Some(&grant(Some(1), 1, 3))),
+            Some(LeaseAction::Propose(Command::RenewLease { .. }))
         ));
-        assert_eq!(clerk.may_act(Ticks(38)), None, "frozen through its life: no act before a renewal");
-        clerk.answered(Ticks(39), &Answer::Applied(Reply::Done));
-        assert_eq!(clerk.may_act(Ticks(49)), Some(Epoch(1)), "30 from the renewal's proposal at 20");
-        assert_eq!(clerk.may_act(Ticks(50)), None);
+        assert_eq!(clerk.valid_epoch(Ticks(38)), None, "frozen through its life: no act before a renewal");
+        clerk.on_answer(Ticks(39), &Answer::Applied(Reply::Done));
+        assert_eq!(clerk.valid_epoch(Ticks(49)), Some(Epoch(1)), "30 from the renewal's proposal at 20");
+        assert_eq!(clerk.valid_epoch(Ticks(50)), None);
     }
 
     #[test]
     fn whoever_hears_of_a_later_epoch_stops() {
         let mut clerk = clerk();
-        clerk.next(Ticks(0), None);
-        clerk.next(Ticks(5), None);
-        clerk.answered(Ticks(6), &granted(1));
-        clerk.shown(Epoch(1));
-        assert_eq!(clerk.may_act(Ticks(7)), Some(Epoch(1)));
-        clerk.deposed(Epoch(2));
-        assert_eq!(clerk.may_act(Ticks(7)), None);
-        clerk.answered(Ticks(8), &granted(9));
-        assert_eq!(clerk.may_act(Ticks(8)), None, "an answer to nothing asked changes nothing");
+        clerk.poll(Ticks(0), None);
+        clerk.poll(Ticks(5), None);
+        clerk.on_answer(Ticks(6), &granted(1));
+        clerk.on_epoch_observed(Epoch(1));
+        assert_eq!(clerk.valid_epoch(Ticks(7)), Some(Epoch(1)));
+        clerk.on_newer_epoch(Epoch(2));
+        assert_eq!(clerk.valid_epoch(Ticks(7)), None);
+        clerk.on_answer(Ticks(8), &granted(9));
+        assert_eq!(clerk.valid_epoch(Ticks(8)), None, "an answer to nothing asked changes nothing");
     }
 
     #[test]
     fn a_restarted_holder_takes_a_new_epoch() {
         let mut clerk = clerk();
         let mine = grant(Some(1), 7, 50);
-        clerk.next(Ticks(0), Some(&mine));
-        assert_eq!(clerk.may_act(Ticks(1)), None);
-        assert_eq!(clerk.next(Ticks(5), Some(&mine)), Some(taken(7)));
+        clerk.poll(Ticks(0), Some(&mine));
+        assert_eq!(clerk.valid_epoch(Ticks(1)), None);
+        assert_eq!(clerk.poll(Ticks(5), Some(&mine)), Some(taken(7)));
     }
 }
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/membership.rs
@@ -3,14 +3,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{InstanceId, Ticket};
-use crate::ledger::Member;
+use crate::replicated_state::Member;
 
 /// Members at the most. Three to nine decide quickly; more is slower, and the operators' choice.
-pub const MEMBERS_MOST: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 
 /// A change that an operator asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum MembershipChange {
     /// An instance joins.
     Add(Member),
     /// An instance leaves for good. Its name may be used again, by an instance with another number.
@@ -23,18 +23,18 @@
     /// The instance and run that asked, and its ticket.
     pub(crate) asked: (InstanceId, u64, Ticket),
     /// What it asked for.
-    pub(crate) change: Change,
+    pub(crate) change: MembershipChange,
 }
 
 /// One voter or learner as the leader sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct PeerProgress {
     /// Who.
     pub id: InstanceId,
     /// Whether it votes.
-    pub votes: bool,
+    pub is_voter: bool,
     /// Whether it has been heard from within the last election time-out.
-    pub living: bool,
+    pub recently_active: bool,
     /// The last index it is known to hold.
     pub matched: u64,
 }
@@ -53,9 +53,14 @@
 }
 
 /// Whether a change may begin now. Refused is whatever could leave the cluster without a living quorum.
-pub(crate) fn way(change: &Change, me: InstanceId, members: &[Member], seen: &[Seen]) -> Way {
+pub(crate) fn way(
+    change: &MembershipChange,
+    me: InstanceId,
+    members: &[Member],
+    seen: &[PeerProgress],
+) -> Way {
     match change {
-        Change::Add(new) => {
+        MembershipChange::Add(new) => {
             if members.iter().any(|m| m == new) {
                 return Way::Already;
             }
@@ -73,23 +78,23 @@
                     old.name, old.id.0
                 ));
             }
-            if members.len() >= MEMBERS_MOST {
-                return Way::No(format!("{MEMBERS_MOST} members at the most"));
+            if members.len() >= MAX_MEMBERS {
+                return Way::No(format!("{MAX_MEMBERS} members at the most"));
             }
-            if seen.iter().any(|s| !s.votes) {
+            if seen.iter().any(|s| !s.is_voter) {
                 return Way::No("another instance is still catching up: one at a time".to_owned());
             }
             Way::AsLearner(new.clone())
         }
-        Change::Remove(id) => {
+        MembershipChange::Remove(id) => {
             if !members.iter().any(|m| m.id == *id) {
                 return Way::Already;
             }
             if *id == me {
                 return Way::No("it leads: transfer the lead first".to_owned());
             }
-            let rest: Vec<&Seen> = seen.iter().filter(|s| s.votes && s.id != *id).collect();
-            let living = rest.iter().filter(|s| s.living).count();
+            let rest: Vec<&PeerProgress> = seen.iter().filter(|s| s.is_voter && s.id != *id).collect();
+            let living = rest.iter().filter(|s| s.recently_active).count();
             if living < rest.len() / 2 + 1 {
                 return Way::No(format!(
                     "{living} of the {} that would be left are heard from: too few to decide anything",
@@ -103,8 +108,10 @@
 
 /// A learner that may vote from now on: it lives and holds all but the last few entries. One that holds nothing yet
 /// never does, however short the log: as a voter it would stand for a quorum that can't be had.
-pub(crate) fn caught_up(seen: &[Seen], last: u64, slack: u64) -> Option<InstanceId> {
-    seen.iter().find(|s| !s.votes && s.living && s.matched > 0 && s.matched + slack >= last).map(|s| s.id)
+pub(crate) fn caught_up(seen: &[PeerProgress], last: u64, slack: u64) -> Option<InstanceId> {
+    seen.iter()
+        .find(|s| !s.is_voter && s.recently_active && s.matched > 0 && s.matched + slack >= last)
+        .map(|s| s.id)
 }
 
 #[cfg(test)]
@@ -115,8 +122,8 @@
         Member { id: InstanceId(id), name: name.into(), address: "127.0.0.1:1".into() }
     }
 
-    fn seen(id: u64, votes: bool, living: bool, matched: u64) -> Seen {
-        Seen { id: InstanceId(id), votes, living, matched }
+    fn seen(id: u64, votes: bool, living: bool, matched: u64) -> PeerProgress {
+        PeerProgress { id: InstanceId(id), is_voter: votes, recently_active: living, matched }
     }
 
     #[test]
@@ -124,20 +131,26 @@
         let members = [member(1, "a"), member(2, "b")];
         let all = [seen(1, true, true, 9), seen(2, true, false, 3)];
         let way = |change| way(&change, InstanceId(1), &members, &all);
-        assert!(matches!(way(Change::Add(member(7, "b"))), Way::No(why) if why.contains("remove")));
-        assert!(matches!(way(Change::Add(member(2, "c"))), Way::No(_)));
-        assert_eq!(way(Change::Add(member(2, "b"))), Way::Already);
-        assert_eq!(way(Change::Add(member(7, "c"))), Way::AsLearner(member(7, "c")));
-        assert_eq!(way(Change::Remove(InstanceId(9))), Way::Already);
-        assert_eq!(way(Change::Remove(InstanceId(2))), Way::Out(InstanceId(2)), "the dead one may go");
-        assert!(matches!(way(Change::Remove(InstanceId(1))), Way::No(why) if why.contains("transfer")));
+        assert!(matches!(way(MembershipChange::Add(member(7, "b"))), Way::No(why) if why.contains("remove")));
+        assert!(matches!(way(MembershipChange::Add(member(2, "c"))), Way::No(_)));
+        assert_eq!(way(MembershipChange::Add(member(2, "b"))), Way::Already);
+        assert_eq!(way(MembershipChange::Add(member(7, "c"))), Way::AsLearner(member(7, "c")));
+        assert_eq!(way(MembershipChange::Remove(InstanceId(9))), Way::Already);
+        assert_eq!(
+            way(MembershipChange::Remove(InstanceId(2))),
+            Way::Out(InstanceId(2)),
+            "the dead one may go"
+        );
+        assert!(
+            matches!(way(MembershipChange::Remove(InstanceId(1))), Way::No(why) if why.contains("transfer"))
+        );
     }
 
     #[test]
     fn a_member_beyond_a_thousand_is_the_first_that_is_refused() {
         let members: Vec<_> = (1..=1024).map(|id| member(id, &format!("m{id}"))).collect();
         let all: Vec<_> = (1..=1024).map(|id| seen(id, true, true, 9)).collect();
-        let add = Change::Add(member(2000, "new"));
+        let add = MembershipChange::Add(member(2000, "new"));
         let among = |n: usize| way(&add, InstanceId(1), &members[..n], &all[..n]);
         assert_eq!(among(1023), Way::AsLearner(member(2000, "new")));
         assert!(matches!(among(1024), Way::No(why) if why.contains("at the most")));
@@ -147,7 +160,7 @@
     fn a_change_that_leaves_no_living_quorum_is_refused() {
         let members = [member(1, "a"), member(2, "b"), member(3, "c")];
         let all = [seen(1, true, true, 9), seen(2, true, true, 9), seen(3, true, false, 3)];
-        let way = |id| way(&Change::Remove(InstanceId(id)), InstanceId(1), &members, &all);
+        let way = |id| way(&MembershipChange::Remove(InstanceId(id)), InstanceId(1), &members, &all);
         assert!(matches!(way(2), Way::No(why) if why.contains("1 of the 2")));
         assert_eq!(way(3), Way::Out(InstanceId(3)));
     }
--- a/crates/consensus/src/desk.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{InstanceId, Sequence, SessionId, Ticket, Ticks};
-use crate::ledger::{Command, Proposal, Reply};
+use crate::replicated_state::{Command, Proposal, Reply};
 
 /// The one answer to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -12,15 +12,15 @@
     /// It was applied, with this reply.
     Applied(Reply),
     /// A read may be answered from the ledger as it stands now.
-    Readable,
+    ReadReady,
     /// The change of membership is done.
-    Changed,
+    MembershipChanged,
     /// Its time is up and it was never handed to the others: this proposal decides nothing.
     NotProposed,
     /// Its time is up and it may yet be decided. Sent again in the same session it is the same proposal.
-    MayYet,
+    Indeterminate,
     /// The read's time is up.
-    Unread,
+    ReadTimedOut,
     /// Too much waits already; nothing was done.
     Busy,
     /// The store is nearly full: nothing new is taken on.
@@ -28,27 +28,27 @@
     /// Only the leader does this; it is the one named, as far as is known.
     NotLeader(Option<InstanceId>),
     /// It makes no sense as it stands.
-    Refused(String),
+    Rejected(String),
 }
 
 /// What tells a proposal when it is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Mark {
+pub(crate) enum ProposalKey {
     Opening(u64),
     Within(SessionId, Sequence),
 }
 
-impl Mark {
+impl ProposalKey {
     pub(crate) fn of(proposal: &Proposal) -> Self {
         match proposal.command {
-            Command::Open { nonce } => Mark::Opening(nonce),
-            _ => Mark::Within(proposal.session, proposal.sequence),
+            Command::OpenSession { nonce } => ProposalKey::Opening(nonce),
+            _ => ProposalKey::Within(proposal.session, proposal.sequence),
         }
     }
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     proposal: Proposal,
     until: Ticks,
     next: Ticks,
@@ -57,11 +57,11 @@
 
 /// All that waits at one instance.
 #[derive(Debug)]
-pub(crate) struct Desk {
+pub(crate) struct PendingRequests {
     most: usize,
     again: u64,
-    proposals: BTreeMap<Ticket, Waiting>,
-    marks: BTreeMap<Mark, BTreeSet<Ticket>>,
+    proposals: BTreeMap<Ticket, PendingRequest>,
+    marks: BTreeMap<ProposalKey, BTreeSet<Ticket>>,
     reads: BTreeMap<Ticket, Ticks>,
     /// Reads that the round under way answers, with its context and when it is given up.
     round: Option<(Vec<u8>, BTreeSet<Ticket>, Ticks)>,
@@ -69,7 +69,7 @@
     answers: Vec<(Ticket, Answer)>,
 }
 
-impl Desk {
+impl PendingRequests {
     pub(crate) fn new(most: usize, again: u64) -> Self {
         Self {
             most,
@@ -105,8 +105,8 @@
 
     pub(crate) fn propose(&mut self, ticket: Ticket, proposal: Proposal, now: Ticks, until: Ticks) {
         if self.room(ticket) {
-            self.marks.entry(Mark::of(&proposal)).or_default().insert(ticket);
-            self.proposals.insert(ticket, Waiting { proposal, until, next: now, handed_on: false });
+            self.marks.entry(ProposalKey::of(&proposal)).or_default().insert(ticket);
+            self.proposals.insert(ticket, PendingRequest { proposal, until, next: now, handed_on: false });
         }
     }
 
@@ -141,9 +141,9 @@
         }
     }
 
-    fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
+    fn remove(&mut self, ticket: Ticket) -> Option<PendingRequest> {
         let waiting = self.proposals.remove(&ticket)?;
-        let mark = Mark::of(&waiting.proposal);
+        let mark = ProposalKey::of(&waiting.proposal);
         if let Some(tickets) = self.marks.get_mut(&mark) {
             tickets.remove(&ticket);
             if tickets.is_empty() {
@@ -154,7 +154,7 @@
     }
 
     /// A proposal was applied: whoever waits for it here hears so.
-    pub(crate) fn applied(&mut self, mark: Mark, reply: &Reply) {
+    pub(crate) fn applied(&mut self, mark: ProposalKey, reply: &Reply) {
         for ticket in self.marks.get(&mark).cloned().unwrap_or_default() {
             self.remove(ticket);
             self.answer(ticket, Answer::Applied(reply.clone()));
@@ -192,7 +192,7 @@
         self.ready = later;
         for ticket in now.into_iter().flat_map(|(_, tickets)| tickets) {
             if self.reads.remove(&ticket).is_some() {
-                self.answer(ticket, Answer::Readable);
+                self.answer(ticket, Answer::ReadReady);
             }
         }
     }
@@ -203,7 +203,7 @@
             self.proposals.iter().filter(|(_, w)| w.until <= now).map(|(t, _)| *t).collect();
         for ticket in over {
             if let Some(waiting) = self.remove(ticket) {
-                let answer = if waiting.handed_on { Answer::MayYet } else { Answer::NotProposed };
+                let answer = if waiting.handed_on { Answer::Indeterminate } else { Answer::NotProposed };
                 self.answer(ticket, answer);
             }
         }
@@ -211,7 +211,7 @@
             self.reads.iter().filter(|(_, until)| **until <= now).map(|(t, _)| *t).collect();
         for ticket in over {
             self.reads.remove(&ticket);
-            self.answer(ticket, Answer::Unread);
+            self.answer(ticket, Answer::ReadTimedOut);
         }
     }
 }
@@ -221,13 +221,13 @@
     use super::*;
 
     fn proposal(sequence: u64) -> Proposal {
-        let command = Command::Retire { space: "s".into(), below: 1 };
+        let command = Command::RetireSubjects { space: "s".into(), below: 1 };
         Proposal { session: SessionId(3), sequence: Sequence(sequence), command }
     }
 
     #[test]
     fn each_caller_hears_once_and_whether_it_may_yet_be_decided() {
-        let mut desk = Desk::new(3, 10);
+        let mut desk = PendingRequests::new(3, 10);
         desk.propose(Ticket(1), proposal(1), Ticks(0), Ticks(50));
         desk.propose(Ticket(2), proposal(2), Ticks(0), Ticks(50));
         desk.propose(Ticket(3), proposal(2), Ticks(0), Ticks(90));
@@ -237,16 +237,19 @@
         assert!(desk.due(Ticks(9)).is_empty());
         desk.handed_on(Ticket(2));
         desk.expire(Ticks(50));
-        assert_eq!(desk.take_answers(), [(Ticket(1), Answer::NotProposed), (Ticket(2), Answer::MayYet)]);
-        desk.applied(Mark::of(&proposal(2)), &Reply::Done);
-        desk.applied(Mark::of(&proposal(2)), &Reply::Done);
+        assert_eq!(
+            desk.take_answers(),
+            [(Ticket(1), Answer::NotProposed), (Ticket(2), Answer::Indeterminate)]
+        );
+        desk.applied(ProposalKey::of(&proposal(2)), &Reply::Done);
+        desk.applied(ProposalKey::of(&proposal(2)), &Reply::Done);
         assert_eq!(desk.take_answers(), [(Ticket(3), Answer::Applied(Reply::Done))]);
         assert_eq!((desk.waiting(), desk.marks.len()), (0, 0));
     }
 
     #[test]
     fn a_read_is_answered_by_a_round_that_began_after_it_and_once_enough_is_applied() {
-        let mut desk = Desk::new(9, 10);
+        let mut desk = PendingRequests::new(9, 10);
         desk.read(Ticket(1), Ticks(100));
         let first = desk.begin_round(Ticks(0), || vec![1]).unwrap();
         desk.read(Ticket(2), Ticks(100));
@@ -256,7 +259,7 @@
         desk.reads_up_to(6);
         assert!(desk.take_answers().is_empty());
         desk.reads_up_to(7);
-        assert_eq!(desk.take_answers(), [(Ticket(1), Answer::Readable)]);
+        assert_eq!(desk.take_answers(), [(Ticket(1), Answer::ReadReady)]);
         let second = desk.begin_round(Ticks(2), || vec![2]).unwrap();
         assert_eq!(
             desk.begin_round(Ticks(12), || vec![3]),
@@ -267,6 +270,6 @@
         desk.reads_up_to(7);
         assert!(desk.take_answers().is_empty(), "the old round's answer counts for nothing");
         desk.expire(Ticks(100));
-        assert_eq!(desk.take_answers(), [(Ticket(2), Answer::Unread)]);
+        assert_eq!(desk.take_answers(), [(Ticket(2), Answer::ReadTimedOut)]);
     }
 }
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposal_queue.rs
@@ -3,30 +3,30 @@
 
 use std::collections::VecDeque;
 
-use crate::desk::Answer;
 use crate::ids::{Sequence, SessionId};
-use crate::ledger::{Command, Proposal, Reply};
+use crate::pending_requests::Answer;
+use crate::replicated_state::{Command, Proposal, Reply};
 
 /// What to send now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Send {
+pub enum NextProposal {
     /// Ask for a session.
-    Open,
+    OpenSession,
     /// This proposal.
     Propose(Proposal),
 }
 
 /// What became of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ProposalOutcome {
     /// Applied once, with this reply.
     Applied(Reply),
     /// The session was lost: it may have been applied once or not at all, and won't be from here on.
     Unknown,
     /// Given up; it is not applied after any later command of this proposer.
-    GivenUp,
+    Abandoned,
     /// Refused without effect, and why.
-    Refused(String),
+    Rejected(String),
 }
 
 #[derive(Debug)]
@@ -38,7 +38,7 @@
 
 /// A session and the commands that wait for it. `K` tells commands apart for the caller.
 #[derive(Debug)]
-pub struct Proposer<K> {
+pub struct ProposalQueue<K> {
     session: Option<SessionId>,
     sequence: Sequence,
     queue: VecDeque<Queued<K>>,
@@ -47,7 +47,7 @@
     tries: u32,
 }
 
-impl<K> Proposer<K> {
+impl<K> ProposalQueue<K> {
     /// A proposer that holds `most` commands and sends each at most `tries` times.
     pub fn new(most: usize, tries: u32) -> Self {
         Self { session: None, sequence: Sequence(1), queue: VecDeque::new(), under_way: false, most, tries }
@@ -66,48 +66,52 @@
     }
 
     /// Commands that wait, the one under way among them.
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.queue.len()
     }
 
     /// What to send now, if anything; its answer goes to [`Proposer::answered`].
-    pub fn to_send(&mut self) -> Option<Send> {
+    pub fn next_proposal(&mut self) -> Option<NextProposal> {
         if self.under_way {
             return None;
         }
         let first = self.queue.front_mut()?;
         self.under_way = true;
-        let Some(session) = self.session else { return Some(Send::Open) };
+        let Some(session) = self.session else { return Some(NextProposal::OpenSession) };
         first.tries += 1;
-        Some(Send::Propose(Proposal { session, sequence: self.sequence, command: first.command.clone() }))
+        Some(NextProposal::Propose(Proposal {
+            session,
+            sequence: self.sequence,
+            command: first.command.clone(),
+        }))
     }
 
-    fn end(&mut self, outcome: Outcome) -> Option<(K, Outcome)> {
+    fn end(&mut self, outcome: ProposalOutcome) -> Option<(K, ProposalOutcome)> {
         self.sequence.0 += 1;
         self.queue.pop_front().map(|queued| (queued.key, outcome))
     }
 
     /// The answer to what was sent; what became of a command, if that is known now.
-    pub fn answered(&mut self, answer: Answer) -> Option<(K, Outcome)> {
+    pub fn on_answer(&mut self, answer: Answer) -> Option<(K, ProposalOutcome)> {
         if !std::mem::take(&mut self.under_way) {
             return None;
         }
         match answer {
-            Answer::Applied(Reply::Opened(session)) => {
+            Answer::Applied(Reply::SessionOpened(session)) => {
                 self.session = Some(session);
                 self.sequence = Sequence(1);
                 None
             }
-            Answer::Applied(Reply::SessionLost) => {
+            Answer::Applied(Reply::SessionExpired) => {
                 // Even one that was sent once: its instance hands a proposal on again when a leader goes, and an
                 // earlier copy may have come before the session's end.
                 self.session = None;
-                self.end(Outcome::Unknown)
+                self.end(ProposalOutcome::Unknown)
             }
-            Answer::Applied(reply) => self.end(Outcome::Applied(reply)),
-            Answer::Refused(why) => self.end(Outcome::Refused(why)),
+            Answer::Applied(reply) => self.end(ProposalOutcome::Applied(reply)),
+            Answer::Rejected(why) => self.end(ProposalOutcome::Rejected(why)),
             _ if self.queue.front().is_some_and(|first| first.tries >= self.tries) => {
-                self.end(Outcome::GivenUp)
+                self.end(ProposalOutcome::Abandoned)
             }
             _ => None,
         }
@@ -119,60 +123,63 @@
     use super::*;
 
     fn retire(below: u64) -> Command {
-        Command::Retire { space: "s".into(), below }
+        Command::RetireSubjects { space: "s".into(), below }
     }
 
-    fn opened(p: &mut Proposer<u8>) {
-        assert_eq!(p.to_send(), Some(Send::Open));
-        assert_eq!(p.answered(Answer::Applied(Reply::Opened(SessionId(5)))), None);
+    fn opened(p: &mut ProposalQueue<u8>) {
+        assert_eq!(p.next_proposal(), Some(NextProposal::OpenSession));
+        assert_eq!(p.on_answer(Answer::Applied(Reply::SessionOpened(SessionId(5)))), None);
     }
 
-    fn sequence(p: &mut Proposer<u8>) -> u64 {
-        match p.to_send() {
-            Some(Send::Propose(proposal)) => proposal.sequence.0,
+    fn sequence(p: &mut ProposalQueue<u8>) -> u64 {
+        match p.next_proposal() {
+            Some(NextProposal::Propose(proposal)) => proposal.sequence.0,
             other => panic!("{other:?}"),
         }
     }
 
     #[test]
     fn a_command_keeps_its_number_until_it_is_answered() {
-        let mut p = Proposer::new(2, 9);
-        assert_eq!(p.to_send(), None, "no session without a command");
+        let mut p = ProposalQueue::new(2, 9);
+        assert_eq!(p.next_proposal(), None, "no session without a command");
         p.submit(1, retire(1)).unwrap();
         p.submit(2, retire(2)).unwrap();
         assert_eq!(p.submit(3, retire(3)), Err(3));
         opened(&mut p);
         assert_eq!(sequence(&mut p), 1);
-        assert_eq!(p.to_send(), None, "one at a time");
-        assert_eq!(p.answered(Answer::MayYet), None);
+        assert_eq!(p.next_proposal(), None, "one at a time");
+        assert_eq!(p.on_answer(Answer::Indeterminate), None);
         assert_eq!(sequence(&mut p), 1);
-        assert_eq!(p.answered(Answer::Applied(Reply::Done)), Some((1, Outcome::Applied(Reply::Done))));
-        assert_eq!(p.answered(Answer::Applied(Reply::Done)), None, "an answer to nothing");
+        assert_eq!(
+            p.on_answer(Answer::Applied(Reply::Done)),
+            Some((1, ProposalOutcome::Applied(Reply::Done)))
+        );
+        assert_eq!(p.on_answer(Answer::Applied(Reply::Done)), None, "an answer to nothing");
         assert_eq!(sequence(&mut p), 2);
     }
 
     #[test]
     fn with_the_session_lost_a_command_is_unknown_and_the_next_opens_another() {
-        let mut p = Proposer::new(2, 9);
+        let mut p = ProposalQueue::new(2, 9);
         p.submit(1, retire(1)).unwrap();
         p.submit(2, retire(2)).unwrap();
         opened(&mut p);
         sequence(&mut p);
-        assert_eq!(p.answered(Answer::Applied(Reply::SessionLost)), Some((1, Outcome::Unknown)));
+        assert_eq!(p.on_answer(Answer::Applied(Reply::SessionExpired)), Some((1, ProposalOutcome::Unknown)));
         opened(&mut p);
         assert_eq!(sequence(&mut p), 1);
     }
 
     #[test]
     fn one_that_is_given_up_is_overtaken_by_the_next() {
-        let mut p = Proposer::new(2, 2);
+        let mut p = ProposalQueue::new(2, 2);
         p.submit(1, retire(1)).unwrap();
         p.submit(2, retire(2)).unwrap();
         opened(&mut p);
         assert_eq!(sequence(&mut p), 1);
-        assert_eq!(p.answered(Answer::NotProposed), None);
+        assert_eq!(p.on_answer(Answer::NotProposed), None);
         assert_eq!(sequence(&mut p), 1);
-        assert_eq!(p.answered(Answer::MayYet), Some((1, Outcome::GivenUp)));
+        assert_eq!(p.on_answer(Answer::Indeterminate), Some((1, ProposalOutcome::Abandoned)));
         assert_eq!(sequence(&mut p), 2);
     }
 }
--- a/crates/consensus/src/journal.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -82,9 +82,9 @@
 
 /// The log in memory. Clones are the same log: the library owns one, the node the other.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Journal(Rc<RefCell<Inner>>);
+pub(crate) struct RaftLog(Rc<RefCell<Inner>>);
 
-impl Journal {
+impl RaftLog {
     /// What the store holds; none if it is of a form that this program can't read.
     pub(crate) fn restore(loaded: store::Loaded) -> Option<Self> {
         let mut inner = Inner {
@@ -175,7 +175,7 @@
     }
 }
 
-impl raft::Storage for Journal {
+impl raft::Storage for RaftLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
         let inner = self.0.borrow();
         let conf = inner.snapshot.get_metadata().get_conf_state().clone();
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -12,48 +12,48 @@
 use raft::{RawNode, StateRole};
 use serde::Serialize;
 
-use crate::desk::{Answer, Desk, Mark};
 use crate::ids::{Index, InstanceId, Sequence, SessionId, Term, Ticket, Ticks};
-use crate::journal::{self, Journal};
-use crate::ledger::{Command, Ledger, Member, Proposal};
-use crate::members::{self, Change, Noted, Seen, Way};
+use crate::membership::{self, MembershipChange, Noted, PeerProgress, Way};
+use crate::pending_requests::{Answer, PendingRequests, ProposalKey};
+use crate::raft_log::{self, RaftLog};
+use crate::replicated_state::{Command, Member, Proposal, ReplicatedState};
 
 pub use raft::eraftpb::Message;
 
 /// How an instance behaves. All instances of a cluster should have the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Settings {
+pub struct RaftSettings {
     /// Ticks without a leader after which one stands for election; drawn between this and twice as many.
-    pub election: usize,
+    pub election_ticks: usize,
     /// Ticks between two signs of life of a leader.
-    pub heartbeat: usize,
+    pub heartbeat_ticks: usize,
     /// Ticks after which a proposal or a read that got no answer is handed on again.
-    pub again: u64,
+    pub retry_ticks: u64,
     /// Proposals and reads that wait here at the most.
-    pub waiting_most: usize,
+    pub max_pending_requests: usize,
     /// Entries applied before they are folded into a snapshot.
-    pub fold_every: u64,
+    pub compact_every: u64,
     /// Entries kept in memory behind a snapshot, for instances a little behind.
-    pub keep_behind: u64,
+    pub retained_entries: u64,
     /// Bytes of entries in one message at the most (one entry goes whatever its size).
-    pub message_most: u64,
+    pub max_message_bytes: u64,
     /// Bytes of entries proposed and not yet decided, at the leader, at the most.
-    pub undecided_most: u64,
+    pub max_uncommitted_bytes: u64,
     /// Seed of the election time-outs; another at each instance.
     pub seed: u64,
 }
 
-impl Default for Settings {
+impl Default for RaftSettings {
     fn default() -> Self {
         Self {
-            election: 10,
-            heartbeat: 2,
-            again: 10,
-            waiting_most: 4096,
-            fold_every: 10_000,
-            keep_behind: 1_000,
-            message_most: 1024 * 1024,
-            undecided_most: 16 * 1024 * 1024,
+            election_ticks: 10,
+            heartbeat_ticks: 2,
+            retry_ticks: 10,
+            max_pending_requests: 4096,
+            compact_every: 10_000,
+            retained_entries: 1_000,
+            max_message_bytes: 1024 * 1024,
+            max_uncommitted_bytes: 16 * 1024 * 1024,
             seed: 0,
         }
     }
@@ -61,7 +61,7 @@
 
 /// Why an instance can't take part.
 #[derive(Debug, thiserror::Error)]
-pub enum NodeError {
+pub enum RaftNodeError {
     /// What the store holds can't be what this instance wrote.
     #[error("the store's state makes no sense: {0}")]
     State(String),
@@ -72,27 +72,27 @@
 
 /// Whether the store has room for more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Room {
+pub enum StorageHeadroom {
     /// It has.
     #[default]
-    Enough,
+    Sufficient,
     /// Only for what must be kept to stay safe: votes and terms.
-    Scarce,
+    Low,
 }
 
 /// What is to be done now: write `batch` durably, send `send` at any time, then call [`Node::written`].
 #[derive(Debug, Default)]
-pub struct Work {
+pub struct Ready {
     /// To be durable before [`Node::written`]; may be empty.
     pub batch: store::Batch,
     /// Messages that need not wait for the write.
-    pub send: Vec<Message>,
+    pub messages: Vec<Message>,
 }
 
 /// What an instance is at the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum NodeRole {
     /// Follows a leader, or waits for one.
     Follower,
     /// Asks whether an election would be won.
@@ -105,11 +105,12 @@
 
 /// Figures for operators.
 #[derive(Debug, Clone, Serialize)]
-pub struct Status {
+pub struct NodeStatus {
     /// This instance.
     pub id: InstanceId,
     /// What it is.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub role: NodeRole,
     /// The leader, as far as it knows.
     pub leader: Option<InstanceId>,
     /// The term.
@@ -119,13 +120,17 @@
     /// The last index applied here.
     pub applied: Index,
     /// The last index held here.
-    pub last: Index,
+    #[serde(rename = "last")]
+    pub last_index: Index,
     /// Entries held in memory.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub log_entries: usize,
     /// Proposals and reads that wait here.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub pending_requests: usize,
     /// Whether the store has room.
-    pub scarce: bool,
+    #[serde(rename = "scarce")]
+    pub storage_low: bool,
 }
 
 /// Work that was given out and is not durable yet.
@@ -142,18 +147,18 @@
 }
 
 /// One instance.
-pub struct Node {
-    raw: RawNode<Journal>,
-    journal: Journal,
-    ledger: Ledger,
+pub struct RaftNode {
+    raw: RawNode<RaftLog>,
+    journal: RaftLog,
+    state: ReplicatedState,
     conf: ConfState,
-    desk: Desk,
-    settings: Settings,
+    desk: PendingRequests,
+    settings: RaftSettings,
     me: InstanceId,
     run: u64,
     counter: u64,
     now: Ticks,
-    room: Room,
+    room: StorageHeadroom,
     outstanding: Option<Outstanding>,
     fold: Option<store::Snapshot>,
     asked: Option<Asked>,
@@ -164,14 +169,14 @@
 }
 
 /// The first state of a cluster that begins with these voters: every one of them starts from the same.
-pub fn founding(members: &[Member]) -> store::Batch {
+pub fn initial_state(members: &[Member]) -> store::Batch {
     let ids: Vec<u64> = members.iter().map(|m| m.id.0).collect();
     let conf = ConfState { voters: ids, ..ConfState::default() };
     let snapshot = store::Snapshot {
         index: 1,
         term: 1,
         members: conf.write_to_bytes().unwrap_or_default(),
-        data: encode(&Ledger::founded(members.iter().cloned())),
+        data: encode(&ReplicatedState::with_members(members.iter().cloned())),
     };
     let hard = store::HardState { term: 1, vote: 0, commit: 1 };
     store::Batch { hard: Some(hard), snapshot: Some(snapshot), ..store::Batch::default() }
@@ -190,57 +195,57 @@
     x ^ (x >> 31)
 }
 
-impl Node {
+impl RaftNode {
     /// An instance that goes on from what its store holds. `run`: how many times the store was opened, this time
     /// counted. One whose store holds nothing waits until it is made a member.
     ///
     /// # Errors
     /// What the store holds is not what an instance writes.
     pub fn start(
-        settings: Settings,
+        settings: RaftSettings,
         me: InstanceId,
         run: u64,
         loaded: store::Loaded,
-    ) -> Result<Self, NodeError> {
-        let state = |what: &str| NodeError::State(what.to_owned());
+    ) -> Result<Self, RaftNodeError> {
+        let state = |what: &str| RaftNodeError::State(what.to_owned());
         let covered = loaded.snapshot.as_ref().map_or(0, |s| s.index);
         let last = loaded.entries.last().map_or(covered, |e| e.index);
         if loaded.hard.commit > last {
             let commit = loaded.hard.commit;
-            return Err(NodeError::State(format!(
+            return Err(RaftNodeError::State(format!(
                 "entries up to {commit} were decided, those up to {last} are held"
             )));
         }
-        let journal = Journal::restore(loaded).ok_or_else(|| state("an entry of an unknown kind"))?;
+        let journal = RaftLog::restore(loaded).ok_or_else(|| state("an entry of an unknown kind"))?;
         let (index, data) = journal.snapshot_data();
         let ledger = if index == 0 {
-            Ledger::default()
+            ReplicatedState::default()
         } else {
-            let mut ledger: Ledger =
-                postcard::from_bytes(&data).map_err(|e| NodeError::State(e.to_string()))?;
+            let mut ledger: ReplicatedState =
+                postcard::from_bytes(&data).map_err(|e| RaftNodeError::State(e.to_string()))?;
             ledger.skip(Index(index));
             ledger
         };
         let config = raft::Config {
             id: me.0,
-            election_tick: settings.election,
-            heartbeat_tick: settings.heartbeat,
+            election_tick: settings.election_ticks,
+            heartbeat_tick: settings.heartbeat_ticks,
             applied: index,
-            max_size_per_msg: settings.message_most,
+            max_size_per_msg: settings.max_message_bytes,
             max_inflight_msgs: 64,
             check_quorum: true,
             pre_vote: true,
-            max_uncommitted_size: settings.undecided_most,
-            max_committed_size_per_ready: 4 * settings.message_most,
+            max_uncommitted_size: settings.max_uncommitted_bytes,
+            max_committed_size_per_ready: 4 * settings.max_message_bytes,
             ..raft::Config::default()
         };
         let conf = journal.conf_state();
         let raw = RawNode::new(&config, journal.clone(), &slog::Logger::root(slog::Discard, slog::o!()))?;
-        let desk = Desk::new(settings.waiting_most, settings.again);
+        let desk = PendingRequests::new(settings.max_pending_requests, settings.retry_ticks);
         let mut node = Self {
             raw,
             journal,
-            ledger,
+            state: ledger,
             conf,
             desk,
             settings,
@@ -248,7 +253,7 @@
             run,
             counter: 0,
             now: Ticks(0),
-            room: Room::Enough,
+            room: StorageHeadroom::Sufficient,
             outstanding: None,
             fold: None,
             asked: None,
@@ -263,7 +268,7 @@
     /// The library draws election time-outs from the system's random numbers; runs must be the same for the same
     /// seed, so they are set from it, anew in each term.
     fn seed_election(&mut self) {
-        let least = self.settings.election;
+        let least = self.settings.election_ticks;
         let drawn = mix(self.settings.seed ^ mix(self.me.0) ^ mix(self.raw.raft.term)) as usize % least;
         self.raw.raft.set_randomized_election_timeout(least + drawn);
     }
@@ -286,7 +291,7 @@
         if self.asked.as_ref().is_some_and(|asked| asked.until <= self.now)
             && let Some(asked) = self.asked.take()
         {
-            self.desk.answer(asked.ticket, Answer::MayYet);
+            self.desk.answer(asked.ticket, Answer::Indeterminate);
         }
         self.desk.expire(self.now);
     }
@@ -302,7 +307,7 @@
     pub fn receive(&mut self, message: Message) {
         // A store that is nearly full takes no more entries; whoever sends them takes this instance for slow.
         let grows = !message.get_entries().is_empty() || message.get_msg_type() == MessageType::MsgSnapshot;
-        if self.room == Room::Scarce && grows {
+        if self.room == StorageHeadroom::Low && grows {
             return;
         }
         if raft_local(message.get_msg_type()) || message.to != self.me.0 || self.installing() {
@@ -321,7 +326,7 @@
     /// A snapshot on its way to a member gets no answer if it is lost, and the library sends that member nothing else
     /// until it is told: after some elections' time it is taken for lost, and the member is probed anew.
     fn watch_snapshots(&mut self) {
-        let patience = 5 * self.settings.election as u64;
+        let patience = 5 * self.settings.election_ticks as u64;
         let sent: Vec<u64> = (self.raw.raft.prs().iter())
             .filter(|(_, progress)| progress.state == raft::ProgressState::Snapshot)
             .map(|(id, _)| *id)
@@ -337,11 +342,14 @@
     }
 
     /// Whether the store has room for entries.
-    pub fn set_room(&mut self, room: Room) {
-        if room == Room::Scarce && self.room == Room::Enough && self.leads() {
+    pub fn set_storage_headroom(&mut self, room: StorageHeadroom) {
+        if room == StorageHeadroom::Low && self.room == StorageHeadroom::Sufficient && self.is_leader() {
             // A leader that can't take entries stops everyone; another may have room.
-            if let Some(id) =
-                self.seen().iter().find(|s| s.votes && s.living && s.id != self.me).map(|s| s.id)
+            if let Some(id) = self
+                .peer_progress()
+                .iter()
+                .find(|s| s.is_voter && s.recently_active && s.id != self.me)
+                .map(|s| s.id)
             {
                 self.raw.transfer_leader(id.0);
             }
@@ -357,7 +365,7 @@
 
     /// Proposes; the answer comes within `within` ticks.
     pub fn propose(&mut self, ticket: Ticket, proposal: Proposal, within: u64) {
-        if self.room == Room::Scarce {
+        if self.room == StorageHeadroom::Low {
             self.desk.answer(ticket, Answer::StoreFull);
             return;
         }
@@ -367,8 +375,8 @@
     }
 
     /// Opens a session for a proposer.
-    pub fn open(&mut self, ticket: Ticket, within: u64) {
-        let command = Command::Open { nonce: self.nonce() };
+    pub fn open_session(&mut self, ticket: Ticket, within: u64) {
+        let command = Command::OpenSession { nonce: self.nonce() };
         self.propose(ticket, Proposal { session: SessionId(0), sequence: Sequence(0), command }, within);
     }
 
@@ -379,27 +387,27 @@
     }
 
     /// Asks for a change of membership; only the leader does.
-    pub fn change(&mut self, ticket: Ticket, change: Change, within: u64) {
-        if !self.leads() {
+    pub fn change_membership(&mut self, ticket: Ticket, change: MembershipChange, within: u64) {
+        if !self.is_leader() {
             self.desk.answer(ticket, Answer::NotLeader(self.leader()));
             return;
         }
         if self.asked.is_some() || self.raw.raft.has_pending_conf() {
             self.desk
-                .answer(ticket, Answer::Refused("another change is under way: one at a time".to_owned()));
+                .answer(ticket, Answer::Rejected("another change is under way: one at a time".to_owned()));
             return;
         }
-        let members: Vec<Member> = self.ledger.members().cloned().collect();
-        let (kind, id) = match members::way(&change, self.me, &members, &self.seen()) {
-            Way::Already => return self.desk.answer(ticket, Answer::Changed),
-            Way::No(why) => return self.desk.answer(ticket, Answer::Refused(why)),
+        let members: Vec<Member> = self.state.members().cloned().collect();
+        let (kind, id) = match membership::way(&change, self.me, &members, &self.peer_progress()) {
+            Way::Already => return self.desk.answer(ticket, Answer::MembershipChanged),
+            Way::No(why) => return self.desk.answer(ticket, Answer::Rejected(why)),
             Way::AsLearner(member) => (ConfChangeType::AddLearnerNode, member.id),
             Way::Out(id) => (ConfChangeType::RemoveNode, id),
         };
         let noted = Noted { asked: (self.me, self.run, ticket), change };
         match self.propose_change(kind, id, Some(&noted)) {
             Ok(()) => self.asked = Some(Asked { ticket, until: Ticks(self.now.0 + within.max(1)) }),
-            Err(error) => self.desk.answer(ticket, Answer::Refused(error.to_string())),
+            Err(error) => self.desk.answer(ticket, Answer::Rejected(error.to_string())),
         }
     }
 
@@ -417,35 +425,35 @@
 
     /// Hands the lead over. The answer says that it was begun.
     pub fn transfer(&mut self, ticket: Ticket, to: InstanceId) {
-        let answer = if !self.leads() {
+        let answer = if !self.is_leader() {
             Answer::NotLeader(self.leader())
         } else if !self.conf.voters.contains(&to.0) {
-            Answer::Refused(format!("{:016x} does not vote", to.0))
+            Answer::Rejected(format!("{:016x} does not vote", to.0))
         } else {
             self.raw.transfer_leader(to.0);
-            Answer::Changed
+            Answer::MembershipChanged
         };
         self.desk.answer(ticket, answer);
     }
 
     /// Folds what is applied into a snapshot now.
-    pub fn fold_now(&mut self) {
-        let index = self.ledger.applied().0;
+    pub fn compact_now(&mut self) {
+        let index = self.state.applied().0;
         if index > self.journal.snapshot_data().0 {
-            let data = encode(&self.ledger);
-            let fold = self.journal.fold(index, self.conf.clone(), data, self.settings.keep_behind);
-            self.fold = fold.as_ref().map(journal::to_stored);
+            let data = encode(&self.state);
+            let fold = self.journal.fold(index, self.conf.clone(), data, self.settings.retained_entries);
+            self.fold = fold.as_ref().map(raft_log::to_stored);
         }
     }
 
     /// A learner that has caught up votes from now on.
     fn promote(&mut self) {
-        let due = self.now.0.is_multiple_of(self.settings.heartbeat as u64);
-        if !due || self.conf.learners.is_empty() || !self.leads() || self.raw.raft.has_pending_conf() {
+        let due = self.now.0.is_multiple_of(self.settings.heartbeat_ticks as u64);
+        if !due || self.conf.learners.is_empty() || !self.is_leader() || self.raw.raft.has_pending_conf() {
             return;
         }
         let slack = 16;
-        if let Some(id) = members::caught_up(&self.seen(), self.journal.last(), slack) {
+        if let Some(id) = membership::caught_up(&self.peer_progress(), self.journal.last(), slack) {
             // If it is not taken now it is tried again at the next heartbeat.
             drop(self.propose_change(ConfChangeType::AddNode, id, None));
         }
@@ -472,27 +480,27 @@
     ///
     /// # Errors
     /// What was decided can't be read: this instance can't go on.
-    pub fn work(&mut self) -> Result<Option<Work>, NodeError> {
+    pub fn ready(&mut self) -> Result<Option<Ready>, RaftNodeError> {
         if self.outstanding.is_some() {
             return Ok(None);
         }
-        let mut work = Work { send: std::mem::take(&mut self.to_send), ..Work::default() };
+        let mut work = Ready { messages: std::mem::take(&mut self.to_send), ..Ready::default() };
         if !self.raw.has_ready() {
             work.batch.snapshot = self.fold.take();
-            let some = !work.batch.is_empty() || !work.send.is_empty();
+            let some = !work.batch.is_empty() || !work.messages.is_empty();
             self.outstanding = some.then(Outstanding::default);
             return Ok(some.then_some(work));
         }
         let mut ready = self.raw.ready();
-        work.send.extend(ready.take_messages());
+        work.messages.extend(ready.take_messages());
         work.batch.snapshot = self.fold.take();
         let mut outstanding = Outstanding { number: ready.number(), ..Outstanding::default() };
         if !ready.snapshot().is_empty() {
-            work.batch.snapshot = Some(journal::to_stored(ready.snapshot()));
+            work.batch.snapshot = Some(raft_log::to_stored(ready.snapshot()));
             outstanding.installed = Some(ready.snapshot().clone());
             self.journal.install(ready.snapshot().clone());
         }
-        work.batch.entries = ready.entries().iter().map(journal::to_record).collect();
+        work.batch.entries = ready.entries().iter().map(raft_log::to_record).collect();
         self.journal.append(ready.entries());
         work.batch.hard =
             ready.hs().map(|hs| store::HardState { term: hs.term, vote: hs.vote, commit: hs.commit });
@@ -516,80 +524,80 @@
     ///
     /// # Errors
     /// A snapshot that can't be read: this instance can't go on.
-    pub fn written(&mut self) -> Result<(), NodeError> {
+    pub fn on_persisted(&mut self) -> Result<(), RaftNodeError> {
         let Some(outstanding) = self.outstanding.take() else { return Ok(()) };
         if outstanding.number > 0 {
             self.raw.on_persist_ready(outstanding.number);
         }
         if let Some(snapshot) = outstanding.installed {
-            let mut ledger: Ledger =
-                postcard::from_bytes(&snapshot.data).map_err(|e| NodeError::State(e.to_string()))?;
+            let mut ledger: ReplicatedState =
+                postcard::from_bytes(&snapshot.data).map_err(|e| RaftNodeError::State(e.to_string()))?;
             let index = snapshot.get_metadata().index;
             ledger.skip(Index(index));
-            self.ledger = ledger;
+            self.state = ledger;
             self.conf = snapshot.get_metadata().get_conf_state().clone();
             self.raw.advance_apply_to(index);
             self.desk.reads_up_to(index);
         }
         self.to_send.extend(outstanding.after_write);
         self.seed_election();
-        if self.ledger.applied().0 >= self.journal.snapshot_data().0 + self.settings.fold_every {
-            self.fold_now();
+        if self.state.applied().0 >= self.journal.snapshot_data().0 + self.settings.compact_every {
+            self.compact_now();
         }
         Ok(())
     }
 
-    fn apply(&mut self, entries: Vec<Entry>) -> Result<(), NodeError> {
+    fn apply(&mut self, entries: Vec<Entry>) -> Result<(), RaftNodeError> {
         for entry in entries {
             let index = Index(entry.index);
             self.applied.push((index, entry.term));
             match entry.get_entry_type() {
-                EntryType::EntryNormal if entry.data.is_empty() => self.ledger.skip(index),
+                EntryType::EntryNormal if entry.data.is_empty() => self.state.skip(index),
                 EntryType::EntryNormal => match postcard::from_bytes::<Proposal>(&entry.data) {
                     Ok(proposal) => {
-                        let reply = self.ledger.apply(index, &proposal);
-                        self.desk.applied(Mark::of(&proposal), &reply);
+                        let reply = self.state.apply(index, &proposal);
+                        self.desk.applied(ProposalKey::of(&proposal), &reply);
                     }
                     // Every instance must skip the same entries: one that can't be read here may be of a later
                     // version, and going on without it would be another history.
-                    Err(error) => return Err(NodeError::State(format!("entry {index}: {error}"))),
+                    Err(error) => return Err(RaftNodeError::State(format!("entry {index}: {error}"))),
                 },
                 EntryType::EntryConfChange => self.apply_change(index, &entry)?,
                 EntryType::EntryConfChangeV2 => {
-                    return Err(NodeError::State(format!(
+                    return Err(RaftNodeError::State(format!(
                         "entry {index}: a change of several members at once"
                     )));
                 }
             }
             self.raw.advance_apply_to(index.0);
         }
-        self.desk.reads_up_to(self.ledger.applied().0);
+        self.desk.reads_up_to(self.state.applied().0);
         Ok(())
     }
 
-    fn apply_change(&mut self, index: Index, entry: &Entry) -> Result<(), NodeError> {
-        let unread = |e: &dyn std::fmt::Display| NodeError::State(format!("entry {index}: {e}"));
+    fn apply_change(&mut self, index: Index, entry: &Entry) -> Result<(), RaftNodeError> {
+        let unread = |e: &dyn std::fmt::Display| RaftNodeError::State(format!("entry {index}: {e}"));
         let mut change = ConfChange::default();
         change.merge_from_bytes(&entry.data).map_err(|e| unread(&e))?;
         self.conf = self.raw.apply_conf_change(&change)?;
-        self.ledger.skip(index);
+        self.state.skip(index);
         if change.context.is_empty() {
             return Ok(());
         }
         let noted: Noted = postcard::from_bytes(&change.context).map_err(|e| unread(&e))?;
         match noted.change {
-            Change::Add(member) => {
-                self.ledger.add_member(index, member);
+            MembershipChange::Add(member) => {
+                self.state.add_member(index, member);
                 // The newcomer takes no snapshot that does not name it, and an older one is all there is yet.
-                self.fold_now();
+                self.compact_now();
             }
-            Change::Remove(id) => self.ledger.remove_member(index, id),
+            MembershipChange::Remove(id) => self.state.remove_member(index, id),
         }
         let (asker, run, ticket) = noted.asked;
         if (asker, run) == (self.me, self.run)
             && let Some(asked) = self.asked.take_if(|asked| asked.ticket == ticket)
         {
-            self.desk.answer(asked.ticket, Answer::Changed);
+            self.desk.answer(asked.ticket, Answer::MembershipChanged);
         }
         Ok(())
     }
@@ -605,12 +613,12 @@
     }
 
     /// The ledger as it stands here. Answer a read from it only at [`Answer::Readable`].
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn state(&self) -> &ReplicatedState {
+        &self.state
     }
 
     /// Whether this instance believes that it leads. For speed and for show: nothing is safe because of it.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader
     }
 
@@ -620,15 +628,15 @@
     }
 
     /// Voters and learners as the leader sees them; empty elsewhere.
-    pub fn seen(&self) -> Vec<Seen> {
-        if !self.leads() {
+    pub fn peer_progress(&self) -> Vec<PeerProgress> {
+        if !self.is_leader() {
             return Vec::new();
         }
-        let mut all: Vec<Seen> = (self.raw.raft.prs().iter())
-            .map(|(id, progress)| Seen {
+        let mut all: Vec<PeerProgress> = (self.raw.raft.prs().iter())
+            .map(|(id, progress)| PeerProgress {
                 id: InstanceId(*id),
-                votes: self.conf.voters.contains(id),
-                living: *id == self.me.0 || progress.recent_active,
+                is_voter: self.conf.voters.contains(id),
+                recently_active: *id == self.me.0 || progress.recent_active,
                 matched: progress.matched,
             })
             .collect();
@@ -637,28 +645,28 @@
     }
 
     /// Whether an instance votes.
-    pub fn votes(&self, id: InstanceId) -> bool {
+    pub fn is_voter(&self, id: InstanceId) -> bool {
         self.conf.voters.contains(&id.0)
     }
 
     /// Figures for operators.
-    pub fn status(&self) -> Status {
-        Status {
+    pub fn status(&self) -> NodeStatus {
+        NodeStatus {
             id: self.me,
-            standing: match self.raw.raft.state {
-                StateRole::Follower => Standing::Follower,
-                StateRole::PreCandidate => Standing::PreCandidate,
-                StateRole::Candidate => Standing::Candidate,
-                StateRole::Leader => Standing::Leader,
+            role: match self.raw.raft.state {
+                StateRole::Follower => NodeRole::Follower,
+                StateRole::PreCandidate => NodeRole::PreCandidate,
+                StateRole::Candidate => NodeRole::Candidate,
+                StateRole::Leader => NodeRole::Leader,
             },
             leader: self.leader(),
             term: Term(self.raw.raft.term),
             committed: Index(self.raw.raft.raft_log.committed),
-            applied: self.ledger.applied(),
-            last: Index(self.journal.last()),
-            held: self.journal.len(),
-            waiting: self.desk.waiting(),
-            scarce: self.room == Room::Scarce,
+            applied: self.state.applied(),
+            last_index: Index(self.journal.last()),
+            log_entries: self.journal.len(),
+            pending_requests: self.desk.waiting(),
+            storage_low: self.room == StorageHeadroom::Low,
         }
     }
 }
@@ -670,7 +678,7 @@
 }
 
 /// A message as bytes.
-pub fn to_bytes(message: &Message) -> Vec<u8> {
+pub fn encode_message(message: &Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
 
@@ -678,7 +686,7 @@
 ///
 /// # Errors
 /// They are none.
-pub fn from_bytes(bytes: &[u8]) -> Result<Message, String> {
+pub fn decode_message(bytes: &[u8]) -> Result<Message, String> {
     let mut message = Message::default();
     message.merge_from_bytes(bytes).map_err(|e| e.to_string())?;
     Ok(message)
@@ -695,7 +703,7 @@
     }
 
     fn loaded() -> store::Loaded {
-        let founding = founding(&members());
+        let founding = initial_state(&members());
         store::Loaded {
             hard: founding.hard.unwrap_or_default(),
             snapshot: founding.snapshot,
@@ -703,13 +711,13 @@
         }
     }
 
-    fn node(loaded: store::Loaded) -> Result<Node, NodeError> {
-        Node::start(Settings::default(), InstanceId(1), 1, loaded)
+    fn node(loaded: store::Loaded) -> Result<RaftNode, RaftNodeError> {
+        RaftNode::start(RaftSettings::default(), InstanceId(1), 1, loaded)
     }
 
-    fn goes_on(node: &mut Node) {
-        while node.work().expect("work").is_some() {
-            node.written().expect("written");
+    fn goes_on(node: &mut RaftNode) {
+        while node.ready().expect("work").is_some() {
+            node.on_persisted().expect("written");
         }
     }
 
@@ -735,33 +743,35 @@
         goes_on(&mut behind);
         let mut message = Message { from: 2, to: 1, term: 1, ..Message::default() };
         message.set_msg_type(MessageType::MsgSnapshot);
-        let mut snapshot =
-            Snapshot { data: encode(&Ledger::founded(members())).into(), ..Snapshot::default() };
+        let mut snapshot = Snapshot {
+            data: encode(&ReplicatedState::with_members(members())).into(),
+            ..Snapshot::default()
+        };
         snapshot.mut_metadata().index = 20;
         snapshot.mut_metadata().term = 1;
         snapshot.mut_metadata().set_conf_state(behind.conf.clone());
         message.set_snapshot(snapshot);
         behind.receive(message);
-        assert!(behind.work().expect("work").is_some_and(|work| work.batch.snapshot.is_some()));
+        assert!(behind.ready().expect("work").is_some_and(|work| work.batch.snapshot.is_some()));
         for _ in 0..200 {
             behind.tick();
         }
         let mut now = Message { from: 2, to: 1, term: 1, ..Message::default() };
         now.set_msg_type(MessageType::MsgTimeoutNow);
         behind.receive(now);
-        assert_eq!(behind.status().standing, Standing::Follower);
-        behind.written().expect("written");
-        assert_eq!(behind.ledger().applied(), Index(20));
+        assert_eq!(behind.status().role, NodeRole::Follower);
+        behind.on_persisted().expect("written");
+        assert_eq!(behind.state().applied(), Index(20));
         (0..200).for_each(|_| behind.tick());
-        assert_ne!(behind.status().standing, Standing::Follower, "after it, elections go on");
+        assert_ne!(behind.status().role, NodeRole::Follower, "after it, elections go on");
     }
 
     #[test]
     fn without_room_nothing_new_is_taken_on_and_votes_are_still_given() {
         let mut full = node(loaded()).expect("a node");
         goes_on(&mut full);
-        full.set_room(Room::Scarce);
-        full.open(Ticket(1), 10);
+        full.set_storage_headroom(StorageHeadroom::Low);
+        full.open_session(Ticket(1), 10);
         assert_eq!(full.take_answers(), [(Ticket(1), Answer::StoreFull)]);
         let mut append =
             Message { from: 2, to: 1, term: 1, index: 1, log_term: 1, commit: 1, ..Message::default() };
@@ -769,18 +779,18 @@
         append.set_entries(vec![Entry { index: 2, term: 1, ..Entry::default() }].into());
         full.receive(append.clone());
         goes_on(&mut full);
-        assert_eq!(full.status().last, Index(1));
+        assert_eq!(full.status().last_index, Index(1));
         let mut vote = Message { from: 3, to: 1, term: 2, index: 1, log_term: 1, ..Message::default() };
         vote.set_msg_type(MessageType::MsgRequestVote);
         full.receive(vote);
-        let work = full.work().expect("work").expect("a vote to keep");
+        let work = full.ready().expect("work").expect("a vote to keep");
         assert_eq!(work.batch.hard.map(|hard| (hard.term, hard.vote)), Some((2, 3)));
-        full.written().expect("written");
-        full.set_room(Room::Enough);
+        full.on_persisted().expect("written");
+        full.set_storage_headroom(StorageHeadroom::Sufficient);
         append.term = 2;
         full.receive(append);
         goes_on(&mut full);
-        assert_eq!(full.status().last, Index(2));
+        assert_eq!(full.status().last_index, Index(2));
     }
 
     #[test]
@@ -794,6 +804,6 @@
             message.set_msg_type(kind);
             node.receive(message);
         }
-        assert_eq!((node.status().term, node.status().standing), (Term(1), Standing::Follower));
+        assert_eq!((node.status().term, node.status().role), (Term(1), NodeRole::Follower));
     }
 }
