--- a/crates/consensus/src/ledger.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -15,17 +15,17 @@
 use crate::ids::{Epoch, Index, InstanceId, Role, Sequence, SessionId, Subject};
 
 /// Sessions kept; the one used longest ago goes first.
-pub const SESSIONS_MOST: usize = 4096;
+pub const MAX_SESSIONS: usize = 4096;
 /// Subjects kept. Beyond that new ones are refused until old ones are retired: a decision is never dropped by itself.
-pub const SUBJECTS_MOST: usize = 1_000_000;
+pub const MAX_SUBJECTS: usize = 1_000_000;
 /// Roles kept.
-pub const ROLES_MOST: usize = 256;
+pub const MAX_ROLES: usize = 256;
 /// Spaces that have a floor.
-pub const SPACES_MOST: usize = 1024;
+pub const MAX_SPACES: usize = 1024;
 /// Boards on which a member may have a notice.
-pub const BOARDS_MOST: usize = 64;
+pub const MAX_TOPICS: usize = 64;
 /// Longest value of a decision or a notice, in bytes.
-pub const VALUE_MOST: usize = 4096;
+pub const MAX_VALUE_BYTES: usize = 4096;
 
 /// An instance that takes part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -42,7 +42,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// A new session; its number is the reply. `nonce` only tells two proposers' commands apart.
-    Open {
+    #[serde(rename = "Open")]
+    OpenSession {
         /// Any number.
         nonce: u64,
     },
@@ -54,34 +55,41 @@
         value: Vec<u8>,
     },
     /// Take a role whose epoch is `expect`, or was never held (0).
-    Take {
+    #[serde(rename = "Take")]
+    AcquireLease {
         /// Which.
         role: Role,
         /// For whom.
         holder: InstanceId,
         /// The epoch that the proposer saw: another one in between wins.
-        expect: Epoch,
+        #[serde(rename = "expect")]
+        expected_epoch: Epoch,
         /// How long a holder that can't renew goes on at the most, in its own ticks: advice, for speed.
-        life: u32,
+        #[serde(rename = "life")]
+        ttl: u32,
     },
     /// A holder's sign of life.
-    Renew {
+    #[serde(rename = "Renew")]
+    RenewLease {
         /// Which.
         role: Role,
         /// Under which epoch it holds it.
         epoch: Epoch,
     },
     /// A holder gives a role up, or passes it on; either way its own epoch is over.
-    Leave {
+    #[serde(rename = "Leave")]
+    ReleaseLease {
         /// Which.
         role: Role,
         /// Under which epoch it held it.
         epoch: Epoch,
         /// To whom; none: whoever takes it.
-        to: Option<InstanceId>,
+        #[serde(rename = "to")]
+        successor: Option<InstanceId>,
     },
     /// Hand an order out, before it is sent.
-    Hand {
+    #[serde(rename = "Hand")]
+    DispatchOrder {
         /// The role that hands out.
         role: Role,
         /// Under which epoch.
@@ -90,7 +98,8 @@
         order: Subject,
     },
     /// The gate's word on an order handed out, asked after the gate was shown `epoch`.
-    Settle {
+    #[serde(rename = "Settle")]
+    ResolveOrder {
         /// The role that hands out.
         role: Role,
         /// The epoch that the gate had been shown when it was asked.
@@ -98,19 +107,23 @@
         /// The order.
         order: Subject,
         /// Whether it ran. If not, it may be handed out again: the gate lets no older epoch through any more.
-        ran: bool,
+        #[serde(rename = "ran")]
+        executed: bool,
     },
     /// A member's notice on a board, in place of its last one: what it thinks at the moment, not a decision.
-    Post {
+    #[serde(rename = "Post")]
+    PublishNotice {
         /// Whose.
         from: InstanceId,
         /// Which board.
-        board: String,
+        #[serde(rename = "board")]
+        topic: String,
         /// What it says; none takes it off.
         value: Option<Vec<u8>>,
     },
     /// Forget subjects of a space below a number; they can't be decided any more.
-    Retire {
+    #[serde(rename = "Retire")]
+    RetireSubjects {
         /// The space.
         space: String,
         /// The lowest number that stays.
@@ -131,13 +144,14 @@
 
 /// Who holds a role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct Lease {
     /// The holder; none after it left.
     pub holder: Option<InstanceId>,
     /// The epoch; it only grows.
     pub epoch: Epoch,
     /// The holder's own limit without renewal, in its ticks.
-    pub life: u32,
+    #[serde(rename = "life")]
+    pub ttl: u32,
     /// The index of its latest sign of life.
     pub renewed: Index,
 }
@@ -146,7 +160,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// The session is open.
-    Opened(SessionId),
+    #[serde(rename = "Opened")]
+    SessionOpened(SessionId),
     /// It is decided so; `first` if this proposal decided it.
     Decided {
         /// The value that counts.
@@ -155,17 +170,21 @@
         first: bool,
     },
     /// The role is held under this epoch from here on.
-    Granted(Epoch),
+    #[serde(rename = "Granted")]
+    LeaseAcquired(Epoch),
     /// The sign of life counts, the role was left, the order settled, the space retired.
     Done,
     /// The order is handed out under this epoch and may be sent once.
-    Handed(Epoch),
+    #[serde(rename = "Handed")]
+    Dispatched(Epoch),
     /// The order was handed out under this epoch before; whether it ran is the gate's to say.
     InDoubt(Epoch),
     /// The order ran under this epoch.
-    Ran(Epoch),
+    #[serde(rename = "Ran")]
+    Executed(Epoch),
     /// The epoch shown is not the present one.
-    Stale {
+    #[serde(rename = "Stale")]
+    StaleEpoch {
         /// The present one.
         current: Epoch,
     },
@@ -175,24 +194,30 @@
         below: u64,
     },
     /// The session is not known (any more): the proposal was not applied now, and may have been earlier.
-    SessionLost,
+    #[serde(rename = "SessionLost")]
+    SessionExpired,
     /// A later proposal of the same session came first: this one was not applied and never will be.
-    Overtaken,
+    #[serde(rename = "Overtaken")]
+    Superseded,
     /// The ledger holds as much as it may.
-    Full,
+    #[serde(rename = "Full")]
+    CapacityExceeded,
     /// The command makes no sense as it stands.
-    Refused(String),
+    #[serde(rename = "Refused")]
+    Rejected(String),
 }
 
 /// How a subject stands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum SubjectState {
     /// Decided.
     Decided(Vec<u8>),
     /// An order that was handed out under an epoch.
-    Handed(Epoch),
+    #[serde(rename = "Handed")]
+    Dispatched(Epoch),
     /// An order that ran, handed out under an epoch.
-    Ran(Epoch),
+    #[serde(rename = "Ran")]
+    Executed(Epoch),
 }
 
 /// What a member has on a board.
@@ -201,7 +226,8 @@
     /// What it says.
     pub value: Vec<u8>,
     /// When it was last posted.
-    pub posted: Index,
+    #[serde(rename = "posted")]
+    pub published_at: Index,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -213,19 +239,19 @@
 
 /// The replicated state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ledger {
+pub struct ReplicatedState {
     applied: Index,
-    subjects: BTreeMap<Subject, Standing>,
+    subjects: BTreeMap<Subject, SubjectState>,
     floors: BTreeMap<String, u64>,
-    roles: BTreeMap<Role, Grant>,
+    roles: BTreeMap<Role, Lease>,
     sessions: BTreeMap<SessionId, Session>,
     members: BTreeMap<InstanceId, Member>,
     notices: BTreeMap<String, BTreeMap<InstanceId, Notice>>,
 }
 
-impl Ledger {
+impl ReplicatedState {
     /// The ledger of a cluster that begins with these members.
-    pub fn founded(members: impl IntoIterator<Item = Member>) -> Self {
+    pub fn with_members(members: impl IntoIterator<Item = Member>) -> Self {
         Self { members: members.into_iter().map(|m| (m.id, m)).collect(), ..Self::default() }
     }
 
@@ -235,7 +261,7 @@
     }
 
     /// How a subject stands, if it does.
-    pub fn standing(&self, subject: &Subject) -> Option<&Standing> {
+    pub fn subject_state(&self, subject: &Subject) -> Option<&SubjectState> {
         self.subjects.get(subject)
     }
 
@@ -244,14 +270,14 @@
         &'a self,
         space: &str,
         from: u64,
-    ) -> impl Iterator<Item = (&'a Subject, &'a Standing)> {
+    ) -> impl Iterator<Item = (&'a Subject, &'a SubjectState)> {
         let first = Subject::new(space, from);
         let space = space.to_owned();
         self.subjects.range(first..).take_while(move |(subject, _)| subject.space == space)
     }
 
     /// All subjects in order, after one.
-    pub fn subjects_after(&self, after: Option<&Subject>) -> impl Iterator<Item = (&Subject, &Standing)> {
+    pub fn subjects_after(&self, after: Option<&Subject>) -> impl Iterator<Item = (&Subject, &SubjectState)> {
         use std::ops::Bound::{Excluded, Unbounded};
         self.subjects.range((after.map_or(Unbounded, Excluded), Unbounded))
     }
@@ -267,12 +293,12 @@
     }
 
     /// Who holds a role.
-    pub fn grant(&self, role: &Role) -> Option<&Grant> {
+    pub fn lease(&self, role: &Role) -> Option<&Lease> {
         self.roles.get(role)
     }
 
     /// All roles that were ever held.
-    pub fn grants(&self) -> impl Iterator<Item = (&Role, &Grant)> {
+    pub fn leases(&self) -> impl Iterator<Item = (&Role, &Lease)> {
         self.roles.iter()
     }
 
@@ -318,21 +344,21 @@
     /// Applies the proposal at this index of the log.
     pub fn apply(&mut self, index: Index, proposal: &Proposal) -> Reply {
         self.applied = index;
-        if let Command::Open { .. } = proposal.command {
+        if let Command::OpenSession { .. } = proposal.command {
             let id = SessionId(index.0);
-            let reply = Reply::Opened(id);
+            let reply = Reply::SessionOpened(id);
             self.make_room_for_a_session();
             self.sessions.insert(id, Session { sequence: Sequence(0), reply: reply.clone(), used: index });
             return reply;
         }
         // A copy that comes after its session has gone could be a second application: it gets no effect.
-        let Some(session) = self.sessions.get_mut(&proposal.session) else { return Reply::SessionLost };
+        let Some(session) = self.sessions.get_mut(&proposal.session) else { return Reply::SessionExpired };
         session.used = index;
         if proposal.sequence == session.sequence {
             return session.reply.clone();
         }
         if proposal.sequence < session.sequence {
-            return Reply::Overtaken;
+            return Reply::Superseded;
         }
         let reply = self.run(index, &proposal.command);
         if let Some(session) = self.sessions.get_mut(&proposal.session) {
@@ -343,7 +369,7 @@
     }
 
     fn make_room_for_a_session(&mut self) {
-        if self.sessions.len() < SESSIONS_MOST {
+        if self.sessions.len() < MAX_SESSIONS {
             return;
         }
         if let Some(oldest) = self.sessions.iter().min_by_key(|(id, s)| (s.used, **id)).map(|(id, _)| *id) {
@@ -353,30 +379,36 @@
 
     fn run(&mut self, index: Index, command: &Command) -> Reply {
         match command {
-            Command::Open { .. } => Reply::Refused("a session opens without one".to_owned()),
+            Command::OpenSession { .. } => Reply::Rejected("a session opens without one".to_owned()),
             Command::Decide { subject, value } => self.decide(subject, value),
-            Command::Take { role, holder, expect, life } => self.take(index, role, *holder, *expect, *life),
-            Command::Renew { role, epoch } => match self.held(role, *epoch) {
+            Command::AcquireLease { role, holder, expected_epoch: expect, ttl: life } => {
+                self.take(index, role, *holder, *expect, *life)
+            }
+            Command::RenewLease { role, epoch } => match self.held(role, *epoch) {
                 Ok(grant) => {
                     grant.renewed = index;
                     Reply::Done
                 }
                 Err(reply) => reply,
             },
-            Command::Leave { role, epoch, to } => self.leave(index, role, *epoch, *to),
-            Command::Hand { role, epoch, order } => self.hand(role, *epoch, order),
-            Command::Settle { role, epoch, order, ran } => self.settle(role, *epoch, order, *ran),
-            Command::Post { from, board, value } => self.post(index, *from, board, value.as_deref()),
-            Command::Retire { space, below } => self.retire(space, *below),
+            Command::ReleaseLease { role, epoch, successor: to } => self.leave(index, role, *epoch, *to),
+            Command::DispatchOrder { role, epoch, order } => self.hand(role, *epoch, order),
+            Command::ResolveOrder { role, epoch, order, executed: ran } => {
+                self.settle(role, *epoch, order, *ran)
+            }
+            Command::PublishNotice { from, topic: board, value } => {
+                self.post(index, *from, board, value.as_deref())
+            }
+            Command::RetireSubjects { space, below } => self.retire(space, *below),
         }
     }
 
     /// The grant of a role that is held under just this epoch.
-    fn held(&mut self, role: &Role, epoch: Epoch) -> Result<&mut Grant, Reply> {
+    fn held(&mut self, role: &Role, epoch: Epoch) -> Result<&mut Lease, Reply> {
         match self.roles.get_mut(role) {
             Some(grant) if grant.epoch == epoch && grant.holder.is_some() => Ok(grant),
-            Some(grant) => Err(Reply::Stale { current: grant.epoch }),
-            None => Err(Reply::Stale { current: Epoch(0) }),
+            Some(grant) => Err(Reply::StaleEpoch { current: grant.epoch }),
+            None => Err(Reply::StaleEpoch { current: Epoch(0) }),
         }
     }
 
@@ -385,23 +417,23 @@
         if subject.number < below {
             return Err(Reply::Retired { below });
         }
-        if self.subjects.len() >= SUBJECTS_MOST {
-            return Err(Reply::Full);
+        if self.subjects.len() >= MAX_SUBJECTS {
+            return Err(Reply::CapacityExceeded);
         }
         Ok(())
     }
 
     fn decide(&mut self, subject: &Subject, value: &[u8]) -> Reply {
-        if value.len() > VALUE_MOST {
-            return Reply::Refused(format!("a value has {VALUE_MOST} bytes at the most"));
+        if value.len() > MAX_VALUE_BYTES {
+            return Reply::Rejected(format!("a value has {MAX_VALUE_BYTES} bytes at the most"));
         }
         match self.subjects.get(subject) {
-            Some(Standing::Decided(value)) => Reply::Decided { value: value.clone(), first: false },
-            Some(_) => Reply::Refused(format!("{subject} is an order")),
+            Some(SubjectState::Decided(value)) => Reply::Decided { value: value.clone(), first: false },
+            Some(_) => Reply::Rejected(format!("{subject} is an order")),
             None => match self.room(subject) {
                 Err(reply) => reply,
                 Ok(()) => {
-                    self.subjects.insert(subject.clone(), Standing::Decided(value.to_vec()));
+                    self.subjects.insert(subject.clone(), SubjectState::Decided(value.to_vec()));
                     Reply::Decided { value: value.to_vec(), first: true }
                 }
             },
@@ -410,25 +442,25 @@
 
     fn take(&mut self, index: Index, role: &Role, holder: InstanceId, expect: Epoch, life: u32) -> Reply {
         if !self.members.contains_key(&holder) {
-            return Reply::Refused(format!("{holder} is no member"));
+            return Reply::Rejected(format!("{holder} is no member"));
         }
         let current = self.roles.get(role).map_or(Epoch(0), |grant| grant.epoch);
         if current != expect {
-            return Reply::Stale { current };
+            return Reply::StaleEpoch { current };
         }
-        if current == Epoch(0) && self.roles.len() >= ROLES_MOST {
-            return Reply::Full;
+        if current == Epoch(0) && self.roles.len() >= MAX_ROLES {
+            return Reply::CapacityExceeded;
         }
         let epoch = Epoch(current.0 + 1);
-        self.roles.insert(role.clone(), Grant { holder: Some(holder), epoch, life, renewed: index });
-        Reply::Granted(epoch)
+        self.roles.insert(role.clone(), Lease { holder: Some(holder), epoch, ttl: life, renewed: index });
+        Reply::LeaseAcquired(epoch)
     }
 
     fn leave(&mut self, index: Index, role: &Role, epoch: Epoch, to: Option<InstanceId>) -> Reply {
         if let Some(to) = to
             && !self.members.contains_key(&to)
         {
-            return Reply::Refused(format!("{to} is no member"));
+            return Reply::Rejected(format!("{to} is no member"));
         }
         match self.held(role, epoch) {
             Ok(grant) => {
@@ -446,15 +478,15 @@
             return reply;
         }
         match self.subjects.get(order) {
-            Some(Standing::Decided(_)) => Reply::Refused(format!("{order} is no order")),
+            Some(SubjectState::Decided(_)) => Reply::Rejected(format!("{order} is no order")),
             // Also under the same epoch: the one that handed it out may have sent it and crashed.
-            Some(Standing::Handed(epoch)) => Reply::InDoubt(*epoch),
-            Some(Standing::Ran(epoch)) => Reply::Ran(*epoch),
+            Some(SubjectState::Dispatched(epoch)) => Reply::InDoubt(*epoch),
+            Some(SubjectState::Executed(epoch)) => Reply::Executed(*epoch),
             None => match self.room(order) {
                 Err(reply) => reply,
                 Ok(()) => {
-                    self.subjects.insert(order.clone(), Standing::Handed(epoch));
-                    Reply::Handed(epoch)
+                    self.subjects.insert(order.clone(), SubjectState::Dispatched(epoch));
+                    Reply::Dispatched(epoch)
                 }
             },
         }
@@ -465,36 +497,38 @@
             return reply;
         }
         match self.subjects.get(order) {
-            Some(Standing::Handed(handed)) if ran => {
+            Some(SubjectState::Dispatched(handed)) if ran => {
                 let handed = *handed;
-                self.subjects.insert(order.clone(), Standing::Ran(handed));
+                self.subjects.insert(order.clone(), SubjectState::Executed(handed));
                 Reply::Done
             }
             // The gate's word covers older epochs alone: what this epoch handed out may still be on its way there.
-            Some(Standing::Handed(handed)) if *handed < epoch => {
+            Some(SubjectState::Dispatched(handed)) if *handed < epoch => {
                 self.subjects.remove(order);
                 Reply::Done
             }
-            Some(Standing::Handed(handed)) => Reply::InDoubt(*handed),
-            Some(Standing::Ran(handed)) => Reply::Ran(*handed),
-            Some(Standing::Decided(_)) => Reply::Refused(format!("{order} is no order")),
-            None => Reply::Refused(format!("{order} was not handed out")),
+            Some(SubjectState::Dispatched(handed)) => Reply::InDoubt(*handed),
+            Some(SubjectState::Executed(handed)) => Reply::Executed(*handed),
+            Some(SubjectState::Decided(_)) => Reply::Rejected(format!("{order} is no order")),
+            None => Reply::Rejected(format!("{order} was not handed out")),
         }
     }
 
     fn post(&mut self, index: Index, from: InstanceId, board: &str, value: Option<&[u8]>) -> Reply {
         if !self.members.contains_key(&from) {
-            return Reply::Refused(format!("{from} is no member"));
+            return Reply::Rejected(format!("{from} is no member"));
         }
-        if value.is_some_and(|value| value.len() > VALUE_MOST) || board.len() > 64 {
-            return Reply::Refused(format!("a notice has {VALUE_MOST} bytes at the most, a board's name 64"));
+        if value.is_some_and(|value| value.len() > MAX_VALUE_BYTES) || board.len() > 64 {
+            return Reply::Rejected(format!(
+                "a notice has {MAX_VALUE_BYTES} bytes at the most, a board's name 64"
+            ));
         }
-        if !self.notices.contains_key(board) && self.notices.len() >= BOARDS_MOST {
-            return Reply::Full;
+        if !self.notices.contains_key(board) && self.notices.len() >= MAX_TOPICS {
+            return Reply::CapacityExceeded;
         }
         let notices = self.notices.entry(board.to_owned()).or_default();
         match value {
-            Some(value) => drop(notices.insert(from, Notice { value: value.to_vec(), posted: index })),
+            Some(value) => drop(notices.insert(from, Notice { value: value.to_vec(), published_at: index })),
             None => drop(notices.remove(&from)),
         }
         if notices.is_empty() {
@@ -505,8 +539,8 @@
 
     fn retire(&mut self, space: &str, below: u64) -> Reply {
         let present = self.floors.get(space).copied();
-        if present.is_none() && self.floors.len() >= SPACES_MOST {
-            return Reply::Full;
+        if present.is_none() && self.floors.len() >= MAX_SPACES {
+            return Reply::CapacityExceeded;
         }
         if present.is_none_or(|present| present < below) {
             self.floors.insert(space.to_owned(), below);
@@ -529,7 +563,7 @@
     }
 
     struct Run {
-        ledger: Ledger,
+        ledger: ReplicatedState,
         index: u64,
         session: SessionId,
         sequence: u64,
@@ -537,13 +571,13 @@
 
     impl Run {
         fn new() -> Self {
-            let mut ledger = Ledger::founded([member(1), member(2)]);
+            let mut ledger = ReplicatedState::with_members([member(1), member(2)]);
             let open = Proposal {
                 session: SessionId(0),
                 sequence: Sequence(0),
-                command: Command::Open { nonce: 1 },
+                command: Command::OpenSession { nonce: 1 },
             };
-            assert_eq!(ledger.apply(Index(1), &open), Reply::Opened(SessionId(1)));
+            assert_eq!(ledger.apply(Index(1), &open), Reply::SessionOpened(SessionId(1)));
             Self { ledger, index: 1, session: SessionId(1), sequence: 0 }
         }
 
@@ -567,15 +601,25 @@
     }
 
     fn take(holder: u64, expect: u64) -> Command {
-        Command::Take { role: orders(), holder: InstanceId(holder), expect: Epoch(expect), life: 100 }
+        Command::AcquireLease {
+            role: orders(),
+            holder: InstanceId(holder),
+            expected_epoch: Epoch(expect),
+            ttl: 100,
+        }
     }
 
     fn hand(epoch: u64, number: u64) -> Command {
-        Command::Hand { role: orders(), epoch: Epoch(epoch), order: Subject::new("order", number) }
+        Command::DispatchOrder { role: orders(), epoch: Epoch(epoch), order: Subject::new("order", number) }
     }
 
     fn settle(epoch: u64, number: u64, ran: bool) -> Command {
-        Command::Settle { role: orders(), epoch: Epoch(epoch), order: Subject::new("order", number), ran }
+        Command::ResolveOrder {
+            role: orders(),
+            epoch: Epoch(epoch),
+            order: Subject::new("order", number),
+            executed: ran,
+        }
     }
 
     #[test]
@@ -590,33 +634,37 @@
     #[test]
     fn a_proposal_sent_again_is_the_same_proposal() {
         let mut run = Run::new();
-        assert_eq!(run.go(take(1, 0)), Reply::Granted(Epoch(1)));
-        assert_eq!(run.again(1, &take(1, 0)), Reply::Granted(Epoch(1)), "a copy gets the first one's reply");
-        assert_eq!(run.ledger.grant(&orders()).unwrap().epoch, Epoch(1));
-        run.go(Command::Renew { role: orders(), epoch: Epoch(1) });
-        assert_eq!(run.again(1, &take(1, 0)), Reply::Overtaken);
+        assert_eq!(run.go(take(1, 0)), Reply::LeaseAcquired(Epoch(1)));
+        assert_eq!(
+            run.again(1, &take(1, 0)),
+            Reply::LeaseAcquired(Epoch(1)),
+            "a copy gets the first one's reply"
+        );
+        assert_eq!(run.ledger.lease(&orders()).unwrap().epoch, Epoch(1));
+        run.go(Command::RenewLease { role: orders(), epoch: Epoch(1) });
+        assert_eq!(run.again(1, &take(1, 0)), Reply::Superseded);
         run.session = SessionId(999);
-        assert_eq!(run.again(9, &take(1, 1)), Reply::SessionLost);
-        assert_eq!(run.ledger.grant(&orders()).unwrap().epoch, Epoch(1), "no effect without a session");
+        assert_eq!(run.again(9, &take(1, 1)), Reply::SessionExpired);
+        assert_eq!(run.ledger.lease(&orders()).unwrap().epoch, Epoch(1), "no effect without a session");
     }
 
     #[test]
     fn an_epoch_deposes_all_lower_ones() {
         let mut run = Run::new();
         run.go(take(1, 0));
-        assert_eq!(run.go(hand(1, 5)), Reply::Handed(Epoch(1)));
+        assert_eq!(run.go(hand(1, 5)), Reply::Dispatched(Epoch(1)));
         assert_eq!(
             run.go(take(2, 0)),
-            Reply::Stale { current: Epoch(1) },
+            Reply::StaleEpoch { current: Epoch(1) },
             "two who both saw nobody: one wins"
         );
-        assert_eq!(run.go(take(2, 1)), Reply::Granted(Epoch(2)));
-        assert_eq!(run.go(hand(1, 6)), Reply::Stale { current: Epoch(2) });
+        assert_eq!(run.go(take(2, 1)), Reply::LeaseAcquired(Epoch(2)));
+        assert_eq!(run.go(hand(1, 6)), Reply::StaleEpoch { current: Epoch(2) });
         assert_eq!(
-            run.go(Command::Renew { role: orders(), epoch: Epoch(1) }),
-            Reply::Stale { current: Epoch(2) }
+            run.go(Command::RenewLease { role: orders(), epoch: Epoch(1) }),
+            Reply::StaleEpoch { current: Epoch(2) }
         );
-        assert_eq!(run.go(settle(1, 5, false)), Reply::Stale { current: Epoch(2) });
+        assert_eq!(run.go(settle(1, 5, false)), Reply::StaleEpoch { current: Epoch(2) });
     }
 
     #[test]
@@ -629,17 +677,17 @@
         run.go(take(2, 1));
         assert_eq!(run.go(hand(2, 5)), Reply::InDoubt(Epoch(1)));
         assert_eq!(run.go(settle(2, 5, false)), Reply::Done);
-        assert_eq!(run.go(hand(2, 5)), Reply::Handed(Epoch(2)));
+        assert_eq!(run.go(hand(2, 5)), Reply::Dispatched(Epoch(2)));
         assert_eq!(run.go(settle(2, 6, true)), Reply::Done);
-        assert_eq!(run.go(hand(2, 6)), Reply::Ran(Epoch(1)));
+        assert_eq!(run.go(hand(2, 6)), Reply::Executed(Epoch(1)));
     }
 
     #[test]
     fn a_notice_is_its_members_last_word_and_goes_with_it() {
         let mut run = Run::new();
-        let post = |from, value: Option<u8>| Command::Post {
+        let post = |from, value: Option<u8>| Command::PublishNotice {
             from: InstanceId(from),
-            board: "trust".into(),
+            topic: "trust".into(),
             value: value.map(|v| vec![v]),
         };
         assert_eq!(run.go(post(1, Some(1))), Reply::Done);
@@ -653,7 +701,7 @@
         run.index += 1;
         run.ledger.remove_member(Index(run.index), InstanceId(2));
         assert!(held(&run).is_empty());
-        assert!(matches!(run.go(post(2, Some(1))), Reply::Refused(_)));
+        assert!(matches!(run.go(post(2, Some(1))), Reply::Rejected(_)));
     }
 
     #[test]
@@ -662,10 +710,10 @@
         let decide = |n| Command::Decide { subject: Subject::new("condemned", n), value: vec![] };
         run.go(decide(3));
         run.go(decide(9));
-        assert_eq!(run.go(Command::Retire { space: "condemned".into(), below: 5 }), Reply::Done);
+        assert_eq!(run.go(Command::RetireSubjects { space: "condemned".into(), below: 5 }), Reply::Done);
         assert_eq!(run.go(decide(3)), Reply::Retired { below: 5 });
         assert_eq!(run.ledger.subjects("condemned", 0).count(), 1);
-        run.go(Command::Retire { space: "condemned".into(), below: 2 });
+        run.go(Command::RetireSubjects { space: "condemned".into(), below: 2 });
         assert_eq!(run.go(decide(3)), Reply::Retired { below: 5 }, "a floor never sinks");
     }
 
@@ -675,27 +723,27 @@
         run.go(take(2, 0));
         run.index += 1;
         run.ledger.remove_member(Index(run.index), InstanceId(2));
-        assert_eq!(run.go(hand(1, 5)), Reply::Stale { current: Epoch(2) });
-        assert!(matches!(run.go(take(2, 2)), Reply::Refused(_)));
-        assert_eq!(run.go(take(1, 2)), Reply::Granted(Epoch(3)));
+        assert_eq!(run.go(hand(1, 5)), Reply::StaleEpoch { current: Epoch(2) });
+        assert!(matches!(run.go(take(2, 2)), Reply::Rejected(_)));
+        assert_eq!(run.go(take(1, 2)), Reply::LeaseAcquired(Epoch(3)));
     }
 
     #[test]
     fn sessions_have_an_end_and_the_used_ones_stay() {
         let mut run = Run::new();
         run.go(take(1, 0));
-        for n in 0..SESSIONS_MOST as u64 + 10 {
+        for n in 0..MAX_SESSIONS as u64 + 10 {
             run.index += 1;
             let open = Proposal {
                 session: SessionId(0),
                 sequence: Sequence(0),
-                command: Command::Open { nonce: n },
+                command: Command::OpenSession { nonce: n },
             };
             run.ledger.apply(Index(run.index), &open);
             if n % 100 == 0 {
-                assert_eq!(run.go(Command::Renew { role: orders(), epoch: Epoch(1) }), Reply::Done);
+                assert_eq!(run.go(Command::RenewLease { role: orders(), epoch: Epoch(1) }), Reply::Done);
             }
         }
-        assert_eq!(run.ledger.session_count(), SESSIONS_MOST);
+        assert_eq!(run.ledger.session_count(), MAX_SESSIONS);
     }
 }
--- a/crates/consensus/tests/linear.rs
+++ b/crates/consensus/tests/linearizability.rs
@@ -1,6 +1,6 @@
 //! The quick check of histories against a general one that tries every order.
 
-use garnetcrank_test_support::history::History;
+use garnetcrank_test_support::linearizability::History;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use garnetcrank_consensus::gate::{Gate, Passage};
+use garnetcrank_consensus::fencing::{FencingDecision, FencingGate};
 use garnetcrank_consensus::ids::{Epoch, Role, Subject};
 use stateright::{Checker, Model, Property};
 
@@ -21,7 +21,7 @@
     epoch: u64,
     handed: Option<u64>,
     settled: bool,
-    gate: Gate,
+    gate: FencingGate,
     /// Each holder's own idea: the epoch it was granted, whether the gate has seen it, the epoch it was told it may
     /// send the order under. Nobody ever hears of being deposed here: all are frozen whenever that hurts.
     granted: [u64; HOLDERS],
@@ -61,7 +61,7 @@
             epoch: 0,
             handed: None,
             settled: false,
-            gate: Gate::default(),
+            gate: FencingGate::default(),
             granted: [0; HOLDERS],
             shown: [false; HOLDERS],
             told: [None; HOLDERS],
@@ -90,7 +90,7 @@
                 next.shown[h] = false;
             }
             Act::Show(h) if last.granted[h] > 0 && !last.shown[h] => {
-                let shown = next.gate.show(&role(), Epoch(last.granted[h])).is_ok();
+                let shown = next.gate.observe_epoch(&role(), Epoch(last.granted[h])).is_ok();
                 next.shown[h] = shown || !self.fenced;
             }
             Act::Hand(h) if holds(h) && last.shown[h] && last.handed.is_none() && !last.settled => {
@@ -101,19 +101,19 @@
                 next.under_way.insert(last.told[h]?);
             }
             Act::Arrive(epoch) => {
-                let passage = next.gate.pass(&role(), Epoch(epoch), &order());
+                let passage = next.gate.admit(&role(), Epoch(epoch), &order());
                 let open = match passage {
-                    Passage::Open => true,
-                    Passage::Stale { .. } => !self.fenced && last.effects == 0,
-                    Passage::Repeat { .. } | Passage::Full => false,
+                    FencingDecision::Admit => true,
+                    FencingDecision::StaleEpoch { .. } => !self.fenced && last.effects == 0,
+                    FencingDecision::Duplicate { .. } | FencingDecision::Full => false,
                 };
                 if open {
                     next.effects += 1;
-                    next.stale = epoch < last.gate.newest(&role()).0;
+                    next.stale = epoch < last.gate.current_epoch(&role()).0;
                 }
             }
             Act::Reclaim(h) if holds(h) && last.shown[h] && last.handed.is_some_and(|e| e < last.epoch) => {
-                match last.gate.ran(&role(), Epoch(last.epoch), &order()) {
+                match last.gate.was_executed(&role(), Epoch(last.epoch), &order()) {
                     Ok(true) => next.settled = true,
                     Ok(false) => next.handed = None,
                     Err(_) => return None,
@@ -121,7 +121,7 @@
             }
             Act::Settle(h) if holds(h) && last.effects > 0 && last.handed == Some(last.epoch) => {
                 next.settled = true;
-                next.gate.settled(&role(), &order());
+                next.gate.mark_resolved(&role(), &order());
             }
             _ => return None,
         }
--- a/crates/consensus/tests/ledger.rs
+++ b/crates/consensus/tests/replicated_state.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Role, Sequence, SessionId, Subject};
-use garnetcrank_consensus::ledger::{Command, Ledger, Member, Proposal, Reply, Standing};
+use garnetcrank_consensus::replicated_state::{
+    Command, Member, Proposal, ReplicatedState, Reply, SubjectState,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -17,36 +19,36 @@
     prop_oneof![
         (number.clone(), any::<u8>())
             .prop_map(|(n, v)| Command::Decide { subject: Subject::new("subject", n), value: vec![v] }),
-        (instance.clone(), epoch.clone()).prop_map(|(holder, expect)| Command::Take {
+        (instance.clone(), epoch.clone()).prop_map(|(holder, expect)| Command::AcquireLease {
             role: role(),
             holder: InstanceId(holder),
-            expect: Epoch(expect),
-            life: 10,
+            expected_epoch: Epoch(expect),
+            ttl: 10,
         }),
-        epoch.clone().prop_map(|e| Command::Renew { role: role(), epoch: Epoch(e) }),
-        (epoch.clone(), prop::option::of(instance.clone())).prop_map(|(e, to)| Command::Leave {
+        epoch.clone().prop_map(|e| Command::RenewLease { role: role(), epoch: Epoch(e) }),
+        (epoch.clone(), prop::option::of(instance.clone())).prop_map(|(e, to)| Command::ReleaseLease {
             role: role(),
             epoch: Epoch(e),
-            to: to.map(InstanceId),
+            successor: to.map(InstanceId),
         }),
-        (epoch.clone(), number.clone()).prop_map(move |(e, n)| Command::Hand {
+        (epoch.clone(), number.clone()).prop_map(move |(e, n)| Command::DispatchOrder {
             role: role(),
             epoch: Epoch(e),
             order: order(n)
         }),
-        (epoch, number.clone(), any::<bool>()).prop_map(move |(e, n, ran)| Command::Settle {
+        (epoch, number.clone(), any::<bool>()).prop_map(move |(e, n, ran)| Command::ResolveOrder {
             role: role(),
             epoch: Epoch(e),
             order: order(n),
-            ran,
+            executed: ran,
         }),
-        (instance, prop::option::of(any::<u8>())).prop_map(|(from, value)| Command::Post {
+        (instance, prop::option::of(any::<u8>())).prop_map(|(from, value)| Command::PublishNotice {
             from: InstanceId(from),
-            board: "board".into(),
+            topic: "board".into(),
             value: value.map(|v| vec![v]),
         }),
         (prop_oneof![Just("subject"), Just("order")], number)
-            .prop_map(|(space, below)| Command::Retire { space: space.into(), below }),
+            .prop_map(|(space, below)| Command::RetireSubjects { space: space.into(), below }),
     ]
 }
 
@@ -55,11 +57,11 @@
     prop::collection::vec((0usize..3, command(), prop::option::weighted(0.3, 0usize..4)), 1..80)
 }
 
-fn founded() -> Ledger {
+fn founded() -> ReplicatedState {
     let member = |id| Member { id: InstanceId(id), name: format!("n{id}"), address: String::new() };
-    let mut ledger = Ledger::founded((1..=3).map(member));
+    let mut ledger = ReplicatedState::with_members((1..=3).map(member));
     for index in 1..=3 {
-        let command = Command::Open { nonce: index };
+        let command = Command::OpenSession { nonce: index };
         ledger.apply(Index(index), &Proposal { session: SessionId(0), sequence: Sequence(0), command });
     }
     ledger
@@ -83,15 +85,15 @@
         for (session, command, copy_of) in steps {
             index += 1;
             let before = ledger.clone();
-            let epoch_before = ledger.grant(&role()).map_or(Epoch(0), |g| g.epoch);
+            let epoch_before = ledger.lease(&role()).map_or(Epoch(0), |g| g.epoch);
             if let Some(back) = copy_of {
                 let Some(at) = sent[session].len().checked_sub(back + 1) else { continue };
                 let (proposal, first) = sent[session][at].clone();
                 let reply = ledger.apply(Index(index), &proposal);
                 twin.apply(Index(index), &proposal);
                 // The last one's copy gets its reply, older ones' are told that they come too late.
-                prop_assert_eq!(&reply, if back == 0 { &first } else { &Reply::Overtaken });
-                prop_assert_eq!(ledger.grant(&role()), before.grant(&role()));
+                prop_assert_eq!(&reply, if back == 0 { &first } else { &Reply::Superseded });
+                prop_assert_eq!(ledger.lease(&role()), before.lease(&role()));
                 prop_assert!(ledger.subjects_after(None).eq(before.subjects_after(None)));
                 prop_assert!(ledger.notices("board").eq(before.notices("board")));
                 continue;
@@ -102,7 +104,7 @@
             prop_assert_eq!(&reply, &twin.apply(Index(index), &proposal), "the same on every instance");
             sent[session].push((proposal, reply.clone()));
 
-            let epoch = ledger.grant(&role()).map_or(Epoch(0), |g| g.epoch);
+            let epoch = ledger.lease(&role()).map_or(Epoch(0), |g| g.epoch);
             prop_assert!(epoch == epoch_before || epoch.0 == epoch_before.0 + 1);
             match (&command, &reply) {
                 (Command::Decide { subject, value }, Reply::Decided { value: held, first }) => {
@@ -111,15 +113,15 @@
                     prop_assert!(!first || value == held);
                     prop_assert!(subject.number >= floors.get("subject").copied().unwrap_or(0));
                 }
-                (Command::Hand { epoch: shown, order, .. }, Reply::Handed(under)) => {
+                (Command::DispatchOrder { epoch: shown, order, .. }, Reply::Dispatched(under)) => {
                     prop_assert_eq!((*shown, *under), (epoch, epoch), "only the present holder hands out");
                     // Again only under a later epoch than before: the gate lets the older one through no more.
                     prop_assert!(handed_under.insert(order.number, *under).is_none_or(|older| older < *under));
                 }
-                (Command::Take { expect, .. }, Reply::Granted(under)) => {
+                (Command::AcquireLease { expected_epoch: expect, .. }, Reply::LeaseAcquired(under)) => {
                     prop_assert_eq!((*expect, *under), (epoch_before, epoch));
                 }
-                (Command::Retire { space, below }, Reply::Done) => {
+                (Command::RetireSubjects { space, below }, Reply::Done) => {
                     let floor = floors.entry(space.clone()).or_default();
                     *floor = (*floor).max(*below);
                 }
@@ -127,17 +129,17 @@
             }
             for (subject, standing) in ledger.subjects_after(None) {
                 prop_assert!(subject.number >= floors.get(&subject.space).copied().unwrap_or(0));
-                if let Standing::Decided(value) = standing {
+                if let SubjectState::Decided(value) = standing {
                     prop_assert_eq!(decided.get(&subject.number), Some(value));
                 }
-                if let Some(Standing::Ran(_)) = before.standing(subject) {
-                    prop_assert!(matches!(standing, Standing::Ran(_)), "what ran has run");
+                if let Some(SubjectState::Executed(_)) = before.subject_state(subject) {
+                    prop_assert!(matches!(standing, SubjectState::Executed(_)), "what ran has run");
                 }
             }
         }
         // What a snapshot carries is all there is.
         let bytes = postcard::to_stdvec(&ledger).expect("bytes");
-        let back: Ledger = postcard::from_bytes(&bytes).expect("a ledger");
+        let back: ReplicatedState = postcard::from_bytes(&bytes).expect("a ledger");
         prop_assert_eq!(&back, &ledger);
         prop_assert_eq!(&twin, &ledger);
     }
--- a/crates/proxy/benches/cores.rs
+++ b/crates/proxy/benches/cores.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use garnetcrank_test_support::front::Running;
-use garnetcrank_test_support::load::{self, Heard, clients, processor_time};
+use garnetcrank_test_support::load_generator::{self, LoadReport, processor_time, run_clients};
+use garnetcrank_test_support::scripted_servers::RunningProxy;
 
 fn value(name: &str, default: f64) -> f64 {
     let mut args = std::env::args().skip_while(|arg| arg != name).skip(1);
@@ -13,15 +13,15 @@
 }
 
 /// The clients' view, and the front's processor time in seconds.
-fn run(cores: u64, machines: usize, count: usize, gap: Option<Duration>, seconds: f64) -> (Heard, f64) {
-    let machines: Vec<_> = (0..machines).map(|_| load::machine()).collect();
-    let (_discovery, _platform, mut plan) = load::around(&machines);
-    plan.extras = Some(format!(r#"{{"cores":{cores}}}"#));
-    let front = Running::start(&plan);
+fn run(cores: u64, machines: usize, count: usize, gap: Option<Duration>, seconds: f64) -> (LoadReport, f64) {
+    let machines: Vec<_> = (0..machines).map(|_| load_generator::machine()).collect();
+    let (_discovery, _platform, mut plan) = load_generator::around(&machines);
+    plan.features = Some(format!(r#"{{"cores":{cores}}}"#));
+    let front = RunningProxy::start(&plan);
     // Connections are made and buffers grown before anything counts.
-    clients(front.address, count, gap, Duration::from_secs_f64(seconds / 4.0));
+    run_clients(front.address, count, gap, Duration::from_secs_f64(seconds / 4.0));
     let before = processor_time(front.process());
-    let heard = clients(front.address, count, gap, Duration::from_secs_f64(seconds));
+    let heard = run_clients(front.address, count, gap, Duration::from_secs_f64(seconds));
     (heard, processor_time(front.process()) - before)
 }
 
@@ -57,9 +57,9 @@
     row(1, 400, 128, None);
     // 140 requests a second in all.
     row(1, 8, 14, Some(Duration::from_millis(100)));
-    let machines: Vec<_> = (0..8).map(|_| load::machine()).collect();
-    let (_discovery, _platform, plan) = load::around(&machines);
-    let front = Running::start(&plan);
+    let machines: Vec<_> = (0..8).map(|_| load_generator::machine()).collect();
+    let (_discovery, _platform, plan) = load_generator::around(&machines);
+    let front = RunningProxy::start(&plan);
     std::thread::sleep(Duration::from_secs(1));
     let before = processor_time(front.process());
     std::thread::sleep(Duration::from_secs_f64(seconds));
--- a/crates/proxy/src/cores.rs
+++ b/crates/proxy/src/cores.rs
@@ -8,7 +8,7 @@
 
 use calloop::ping::{Ping, PingSource, make_ping};
 use garnetcrank_policy::api::{Build, Event, Micros, RequestId};
-use garnetcrank_shared_policy::{Decisions, Stamp, Standing};
+use garnetcrank_shared_policy::{DecisionStamp, SharedPolicy, StampStatus};
 
 use crate::clock::MS;
 use crate::counters::Counters;
@@ -52,7 +52,7 @@
 
 /// All that is shared.
 pub struct Shared {
-    driver: Decisions<Driver>,
+    driver: SharedPolicy<Driver>,
     desks: Vec<Desk>,
     reached: Mutex<Reached>,
 }
@@ -78,7 +78,7 @@
             });
         }
         let shared = Shared {
-            driver: Decisions::new(driver, cores, LATE),
+            driver: SharedPolicy::new(driver, cores, LATE),
             desks,
             reached: Mutex::new(Reached::Starting),
         };
@@ -105,12 +105,12 @@
 
     /// News for the decisions. Placements decided before it are decided anew, unless they are on their way.
     pub fn tell(&self, event: Event) {
-        self.driver.tell(|driver| driver.news(event));
+        self.driver.update(|driver| driver.news(event));
     }
 
     /// Whether what was decided under a stamp may still be sent. One thread alone sends in the turn of its decision.
-    pub fn may_send(&self, stamp: Stamp, now: Micros) -> bool {
-        self.driver.standing(stamp, now) == Standing::Good
+    pub fn may_send(&self, stamp: DecisionStamp, now: Micros) -> bool {
+        self.driver.stamp_status(stamp, now) == StampStatus::Current
     }
 
     /// Whose thread a request is on.
@@ -194,22 +194,22 @@
     #[test]
     fn what_was_decided_before_news_or_long_ago_is_not_sent() {
         let shared = shared(3);
-        let stamp = Stamp { news: 0, at: 1_000 * MS };
+        let stamp = DecisionStamp { updates: 0, decided_at: 1_000 * MS };
         assert!(shared.may_send(stamp, 1_000 * MS + LATE));
         assert!(!shared.may_send(stamp, 1_001 * MS + LATE), "its thread did not run");
         shared.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
         assert!(!shared.may_send(stamp, 1_000 * MS), "it was decided without the news");
-        let unheard = Stamp { news: 0, at: 1_000 * MS };
+        let unheard = DecisionStamp { updates: 0, decided_at: 1_000 * MS };
         assert!(!shared.may_send(unheard, 1_000 * MS), "news that waits is not known yet");
         shared.driver().step(1_000 * MS, &mut Vec::new());
-        assert!(shared.may_send(Stamp { news: 1, at: 1_000 * MS }, 1_000 * MS));
+        assert!(shared.may_send(DecisionStamp { updates: 1, decided_at: 1_000 * MS }, 1_000 * MS));
     }
 
     #[test]
     fn one_thread_alone_sends_whatever_it_decided() {
         let shared = shared(1);
         shared.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
-        assert!(shared.may_send(Stamp { news: 0, at: 0 }, 9_000 * MS));
+        assert!(shared.may_send(DecisionStamp { updates: 0, decided_at: 0 }, 9_000 * MS));
     }
 
     #[test]
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -8,7 +8,7 @@
 use garnetcrank_policy::Policy;
 use garnetcrank_policy::api::*;
 use garnetcrank_settings::Settings;
-use garnetcrank_shared_policy::Stamp;
+use garnetcrank_shared_policy::DecisionStamp;
 use rustc_hash::FxHashMap;
 
 use crate::clock::MS;
@@ -34,7 +34,7 @@
         /// When to stop waiting.
         until: Micros,
         /// What it was decided by.
-        stamp: Stamp,
+        stamp: DecisionStamp,
     },
     /// Call an attempt off.
     Withdraw {
@@ -369,7 +369,7 @@
                 if !allowed || !held.owed || held.begun.is_some() {
                     return self.not_started(id, attempt, Outcome::NotSent);
                 }
-                let stamp = Stamp { news: self.news_told, at: now };
+                let stamp = DecisionStamp { updates: self.news_told, decided_at: now };
                 Command::Place { id, attempt, machine, until, stamp }
             }
             Action::Cancel { id, attempt } => Command::Withdraw { id, attempt },
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -8,8 +8,8 @@
 use calloop::ping::PingSource;
 use garnetcrank_http::{Bad, Headers};
 use garnetcrank_policy::api::*;
-use garnetcrank_shared_policy::Stamp;
-use garnetcrank_vote_router::{Origin, Step, Vote};
+use garnetcrank_shared_policy::DecisionStamp;
+use garnetcrank_vote_router::{RouterAction, Vote, VoteOrigin};
 use rustix::process::{Resource, getrlimit};
 use tracing::{info, warn};
 
@@ -365,18 +365,20 @@
     }
 
     /// Carries out what the link leaves to the platform and to the decisions.
-    fn ballots(&mut self, steps: Vec<Step>, now: Micros) {
+    fn ballots(&mut self, steps: Vec<RouterAction>, now: Micros) {
         for step in steps {
             match step {
-                Step::Cast(vote, origin) => self.cast(vote, origin, now),
-                Step::Answer(ballot) => self.shared.driver().event(Event::VoteCompleted(ballot, None)),
-                Step::News(stage) => self.tell(Event::RolloutUpdated(stage)),
-                Step::Tell(_) => {} // sent by the link itself
+                RouterAction::CastVote(vote, origin) => self.cast(vote, origin, now),
+                RouterAction::VoteCompleted(ballot) => {
+                    self.shared.driver().event(Event::VoteCompleted(ballot, None))
+                }
+                RouterAction::RolloutUpdated(stage) => self.tell(Event::RolloutUpdated(stage)),
+                RouterAction::SendToAgent(_) => {} // sent by the link itself
             }
         }
     }
 
-    fn cast(&mut self, vote: Vote, origin: Origin, now: Micros) {
+    fn cast(&mut self, vote: Vote, origin: VoteOrigin, now: Micros) {
         let Some(news) = &mut self.news else { return };
         self.counters.votes += 1;
         let event = news.platform.vote(&self.handle, &mut self.ids, now, vote, origin);
@@ -837,7 +839,7 @@
             }
             Command::Vote(build, stage, verdict) => {
                 match self.news.as_mut().and_then(|news| news.link.as_mut()) {
-                    None => self.cast((build, stage, verdict), Origin::Own, now),
+                    None => self.cast((build, stage, verdict), VoteOrigin::Own, now),
                     Some(link) => {
                         let steps = link.votes(&self.handle, &mut self.ids, now, (build, stage, verdict));
                         self.ballots(steps, now);
@@ -853,7 +855,7 @@
         (id, attempt): (RequestId, usize),
         machine: EndpointId,
         until: Micros,
-        stamp: Stamp,
+        stamp: DecisionStamp,
         now: Micros,
     ) {
         // Its client may have left since the decision.
--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/link.rs
@@ -6,7 +6,7 @@
 
 use calloop::Readiness;
 use garnetcrank_policy::api::*;
-use garnetcrank_vote_router::{Ballots, Line, Step, Vote};
+use garnetcrank_vote_router::{AgentUpdate, RouterAction, Vote, VoteRouter};
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 
@@ -83,14 +83,14 @@
     opinion: Option<Opinion>,
 }
 
-impl From<Told> for Line {
-    fn from(told: Told) -> Line {
-        Line {
+impl From<Told> for AgentUpdate {
+    fn from(told: Told) -> AgentUpdate {
+        AgentUpdate {
             condemned: told.condemned.into_iter().map(Build).collect::<BTreeSet<_>>(),
             cast: told
                 .cast
                 .map(|cast| cast.opinion.map(|o| o.vote()).filter(|vote| vote.2 != Verdict::Abstain)),
-            together: told.together,
+            has_quorum: told.together,
         }
     }
 }
@@ -102,7 +102,7 @@
     wait: Micros,
     watch: Watch,
     calls: Vec<(Call, Vote)>,
-    ballots: Ballots,
+    ballots: VoteRouter,
     /// Connections made anew.
     pub reconnects: u64,
     /// Verdicts that the agent has passed on.
@@ -124,7 +124,7 @@
                 seed,
             ),
             calls: Vec::new(),
-            ballots: Ballots::new(vote_life),
+            ballots: VoteRouter::new(vote_life),
             reconnects: 0,
             passed_on: 0,
         }
@@ -137,20 +137,32 @@
 
     /// News of the newest build, as the decisions are told it.
     pub fn news(&mut self, now: Micros, stage: RolloutStatus) -> RolloutStatus {
-        self.ballots.news(now, stage)
+        self.ballots.on_rollout_update(now, stage)
     }
 
     /// The decisions vote; what remains to be done.
-    pub fn votes(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros, vote: Vote) -> Vec<Step> {
-        let step = self.ballots.votes(vote);
+    pub fn votes(
+        &mut self,
+        handle: &Handle,
+        ids: &mut ConnIds,
+        now: Micros,
+        vote: Vote,
+    ) -> Vec<RouterAction> {
+        let step = self.ballots.on_vote(vote);
         self.tell(handle, ids, now, vec![step])
     }
 
     /// Sends what goes to the agent; what remains goes elsewhere.
-    fn tell(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros, steps: Vec<Step>) -> Vec<Step> {
+    fn tell(
+        &mut self,
+        handle: &Handle,
+        ids: &mut ConnIds,
+        now: Micros,
+        steps: Vec<RouterAction>,
+    ) -> Vec<RouterAction> {
         let mut rest = Vec::new();
         for step in steps {
-            let Step::Tell(vote) = step else {
+            let RouterAction::SendToAgent(vote) = step else {
                 rest.push(step);
                 continue;
             };
@@ -173,14 +185,14 @@
                 Ok(call) => self.calls.push((call, vote)),
                 Err(e) => {
                     warn!("agent: a verdict could not be sent: {e}");
-                    rest.extend(self.ballots.told(vote, false));
+                    rest.extend(self.ballots.on_agent_reply(vote, false));
                 }
             }
         }
         rest
     }
 
-    fn ended(&mut self, end: CallEnd, vote: Vote) -> Option<Step> {
+    fn ended(&mut self, end: CallEnd, vote: Vote) -> Option<RouterAction> {
         let passed_on = match end {
             CallEnd::Answer(response) if response.status == 200 => {
                 serde_json::from_slice::<Heard>(&response.body).is_ok_and(|answer| answer.heard)
@@ -188,11 +200,11 @@
             CallEnd::Answer(_) | CallEnd::NeverSent | CallEnd::Doubtful => false,
         };
         self.passed_on += u64::from(passed_on);
-        self.ballots.told(vote, passed_on)
+        self.ballots.on_agent_reply(vote, passed_on)
     }
 
     fn log_change(&self, before: bool) {
-        match (before, self.ballots.joined()) {
+        match (before, self.ballots.uses_agent()) {
             (false, true) => info!("agent: verdicts go to the others from here on"),
             (true, false) => warn!("agent: away or without the others; this front votes alone"),
             _ => {}
@@ -200,8 +212,8 @@
     }
 
     /// Connects where that is due and gives up what is late; what remains to be done.
-    pub fn tend(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<Step> {
-        let before = self.ballots.joined();
+    pub fn tend(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<RouterAction> {
+        let before = self.ballots.uses_agent();
         let mut steps = Vec::new();
         let name = &self.name;
         let heard = self.watch.tend(handle, ids, Who::Agent, now, || format!("/v1/watch?front={name}"));
@@ -211,11 +223,11 @@
         if !late.is_empty() {
             self.calls.retain(|(call, _)| call.late(now).is_none());
             // One that does not answer in time is as good as frozen: nothing waits for it twice.
-            steps.extend(self.ballots.silent(now));
+            steps.extend(self.ballots.on_agent_lost(now));
             self.watch.lose(now, "a verdict got no answer");
             steps.extend(late.into_iter().filter_map(|(end, vote)| self.ended(end, vote)));
         }
-        steps.extend(self.ballots.tend(now));
+        steps.extend(self.ballots.on_tick(now));
         self.log_change(before);
         self.tell(handle, ids, now, steps)
     }
@@ -228,8 +240,8 @@
         id: ConnId,
         readiness: Readiness,
         now: Micros,
-    ) -> Vec<Step> {
-        let before = self.ballots.joined();
+    ) -> Vec<RouterAction> {
+        let before = self.ballots.uses_agent();
         let mut steps = Vec::new();
         if let Some(at) = self.calls.iter().position(|(call, _)| call.id == id) {
             if let Some(end) = self.calls[at].0.ready(readiness) {
@@ -244,11 +256,11 @@
         self.tell(handle, ids, now, steps)
     }
 
-    fn heard(&mut self, heard: watch::Heard, now: Micros, steps: &mut Vec<Step>) {
+    fn heard(&mut self, heard: watch::Heard, now: Micros, steps: &mut Vec<RouterAction>) {
         let mut lost = heard.lost;
         for line in heard.told() {
             match serde_json::from_slice::<Told>(line) {
-                Ok(told) => steps.extend(self.ballots.heard(now, told.into())),
+                Ok(told) => steps.extend(self.ballots.on_agent_update(now, told.into())),
                 Err(e) => {
                     self.watch.lose(now, &format!("a line that can't be read: {e}"));
                     lost = true;
@@ -258,7 +270,7 @@
         }
         if lost {
             self.reconnects += 1;
-            steps.extend(self.ballots.silent(now));
+            steps.extend(self.ballots.on_agent_lost(now));
         }
     }
 }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -4,7 +4,7 @@
 
 use calloop::Readiness;
 use garnetcrank_policy::api::*;
-use garnetcrank_vote_router::{Origin, Vote};
+use garnetcrank_vote_router::{Vote, VoteOrigin};
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
@@ -86,7 +86,7 @@
 pub struct Platform {
     address: SocketAddr,
     watch: Watch,
-    votes: Vec<(Call, Origin)>,
+    votes: Vec<(Call, VoteOrigin)>,
     vote_wait: Micros,
     known: Option<(State, Micros)>, // with the moment when it came to stand so
     unread: bool,
@@ -150,7 +150,7 @@
         ids: &mut ConnIds,
         now: Micros,
         vote: Vote,
-        origin: Origin,
+        origin: VoteOrigin,
     ) -> Option<Event> {
         let (build, stage, verdict) = vote;
         let ruling = match verdict {
@@ -176,7 +176,7 @@
             }
             Err(e) => {
                 warn!("platform: a vote could not be sent: {e}");
-                (origin == Origin::Own).then_some(Event::VoteCompleted(VoteResult::Failed, None))
+                (origin == VoteOrigin::Own).then_some(Event::VoteCompleted(VoteResult::Failed, None))
             }
         }
     }
@@ -241,9 +241,9 @@
     }
 
     /// The end of a vote, as far as the decisions hear of it: of one that they did not cast, the news alone.
-    fn answered(&mut self, end: CallEnd, origin: Origin, now: Micros) -> Option<Event> {
+    fn answered(&mut self, end: CallEnd, origin: VoteOrigin, now: Micros) -> Option<Event> {
         match (self.voted(end, now), origin) {
-            (Event::VoteCompleted(_, stage), Origin::All) => stage.map(Event::RolloutUpdated),
+            (Event::VoteCompleted(_, stage), VoteOrigin::Cluster) => stage.map(Event::RolloutUpdated),
             (event, _) => Some(event),
         }
     }
--- a/crates/proxy/tests/cores/mod.rs
+++ b/crates/proxy/tests/cores/mod.rs
@@ -2,18 +2,18 @@
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use garnetcrank_test_support::front::*;
+use garnetcrank_test_support::scripted_servers::*;
 
 use super::{around, ok, on_trial};
 
 const THREADS: usize = 4;
 
-fn on_threads(plan: Plan) -> Plan {
-    Plan { extras: Some(format!(r#"{{"cores":{THREADS}}}"#)), ..plan }
+fn on_threads(plan: ProxySetup) -> ProxySetup {
+    ProxySetup { features: Some(format!(r#"{{"cores":{THREADS}}}"#)), ..plan }
 }
 
 /// Clients that ask over and over, each on its own connection, until `done` says so; how many answers were 200.
-fn ask(front: &Running, clients: usize, done: impl Fn() -> bool) -> usize {
+fn ask(front: &RunningProxy, clients: usize, done: impl Fn() -> bool) -> usize {
     let stop = AtomicBool::new(false);
     std::thread::scope(|threads| {
         let run = || {
@@ -25,16 +25,16 @@
             served
         };
         let all: Vec<_> = (0..clients).map(|_| threads.spawn(run)).collect();
-        until("what the clients ask for", done);
+        wait_until("what the clients ask for", done);
         stop.store(true, Ordering::SeqCst);
         all.into_iter().map(|thread| thread.join().expect("a client")).sum()
     })
 }
 
-fn counter(front: &Running, name: &str) -> usize {
+fn counter(front: &RunningProxy, name: &str) -> usize {
     let before = front.log().matches("counters ").count();
     front.signal("USR1");
-    until("the counters", || front.log().matches("counters ").count() > before);
+    wait_until("the counters", || front.log().matches("counters ").count() > before);
     let log = front.log();
     let line = log.lines().rev().find(|line| line.contains("counters ")).unwrap_or_default().to_owned();
     let value =
@@ -44,25 +44,25 @@
 
 #[test]
 fn every_request_is_answered_once_and_counted_whatever_thread_has_it() {
-    let machines = [Machine::start(ok("one")), Machine::start(ok("two"))];
+    let machines = [ScriptedEndpoint::start(ok("one")), ScriptedEndpoint::start(ok("two"))];
     let (_discovery, _platform, plan) = around(&machines.each_ref().map(|m| m.address));
-    let front = Running::start(&on_threads(plan));
+    let front = RunningProxy::start(&on_threads(plan));
     let sent = || machines.iter().map(|m| m.requests().len()).sum::<usize>();
     let served = ask(&front, 16, || sent() > 2_000);
     assert_eq!(served, sent(), "each was sent once and answered once");
     // Each thread tells its own part at the end of a turn.
-    until("all are counted", || counter(&front, "passed") == served);
+    wait_until("all are counted", || counter(&front, "passed") == served);
     assert!(front.log().contains("4 threads"));
 }
 
 #[test]
 fn the_cap_on_a_build_on_trial_is_one_for_all_threads() {
-    let (old, new) = (Machine::start(ok("old")), Machine::start(ok("new")));
+    let (old, new) = (ScriptedEndpoint::start(ok("old")), ScriptedEndpoint::start(ok("new")));
     let (_discovery, _platform, plan) = on_trial(&old, &new);
     let news = state(5, 0, "IN_PROGRESS", 0.2);
-    let plan = on_threads(Plan { news: news.clone(), ..plan });
-    _platform.tell(&progress(&news), &progress(&news));
-    let front = Running::start(&plan);
+    let plan = on_threads(ProxySetup { news: news.clone(), ..plan });
+    _platform.publish(&progress(&news), &progress(&news));
+    let front = RunningProxy::start(&plan);
     let began = std::time::Instant::now();
     ask(&front, 12, || new.requests().len() > 100);
     let (at_new, all) = (new.requests().len(), old.requests().len() + new.requests().len());
@@ -74,16 +74,16 @@
 
 #[test]
 fn a_cap_that_falls_to_nothing_binds_all_threads_at_once() {
-    let (old, new) = (Machine::start(ok("old")), Machine::start(ok("new")));
+    let (old, new) = (ScriptedEndpoint::start(ok("old")), ScriptedEndpoint::start(ok("new")));
     let (_discovery, platform, plan) = on_trial(&old, &new);
-    let front = Running::start(&on_threads(plan));
+    let front = RunningProxy::start(&on_threads(plan));
     let told = AtomicBool::new(false);
     let mut sent = 0;
     let since = std::sync::Mutex::new(None);
     ask(&front, 12, || {
         if !told.load(Ordering::SeqCst) && new.requests().len() > 50 {
             let lower = progress(&state(5, 0, "ROLLING_BACK", 0.0));
-            platform.tell(&lower, &lower);
+            platform.publish(&lower, &lower);
             told.store(true, Ordering::SeqCst);
         }
         let mut since = since.lock().expect("a lock");
@@ -102,10 +102,13 @@
 
 #[test]
 fn one_vote_an_instance_not_one_a_thread() {
-    let (old, new) = (Machine::start(ok("old")), Machine::start(Does::Answer(500, "", Vec::new())));
+    let (old, new) = (
+        ScriptedEndpoint::start(ok("old")),
+        ScriptedEndpoint::start(EndpointBehavior::Respond(500, "", Vec::new())),
+    );
     let (_discovery, platform, plan) = on_trial(&old, &new);
     platform.answer_votes(200, &plan.news);
-    let front = Running::start(&on_threads(plan));
+    let front = RunningProxy::start(&on_threads(plan));
     ask(&front, 8, || platform.votes().iter().any(|vote| vote.contains("ROLLBACK")));
     let holds = platform.votes().iter().filter(|vote| vote.contains("HOLD")).count();
     assert!((1..=2).contains(&holds), "{holds} votes to hold in three seconds: {:?}", platform.votes());
@@ -113,20 +116,20 @@
 
 #[test]
 fn told_to_stop_it_finishes_what_all_threads_hold_and_exits_well() {
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let mut front = Running::start(&on_threads(plan));
-    let clients: Vec<Client> = (0..12)
+    let mut front = RunningProxy::start(&on_threads(plan));
+    let clients: Vec<TestClient> = (0..12)
         .map(|_| {
             let mut client = front.client();
             assert!(client.send(&request("GET", "/look", 9000, "")));
             client
         })
         .collect();
-    until("all are at the machine", || machine.requests().len() == 12);
+    wait_until("all are at the machine", || machine.requests().len() == 12);
     front.signal("TERM");
-    until("it drains", || front.log().contains("draining"));
-    machine.now_does(ok("late"));
+    wait_until("it drains", || front.log().contains("draining"));
+    machine.set_behavior(ok("late"));
     (0..12).for_each(|_| machine.release());
     for mut client in clients {
         assert_eq!(client.read().expect("an answer").status(), 200);
--- a/crates/proxy/tests/front.rs
+++ b/crates/proxy/tests/front.rs
@@ -6,30 +6,30 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Output};
 
-use garnetcrank_test_support::front::*;
+use garnetcrank_test_support::scripted_servers::*;
 
-fn ok(body: &str) -> Does {
-    Does::Answer(200, "X-Made-By: machine\r\n", body.as_bytes().to_vec())
+fn ok(body: &str) -> EndpointBehavior {
+    EndpointBehavior::Respond(200, "X-Made-By: machine\r\n", body.as_bytes().to_vec())
 }
 
 /// Discovery, a platform and a plan for these machines, of a released build.
-fn around(machines: &[SocketAddr]) -> (Source, Source, Plan) {
+fn around(machines: &[SocketAddr]) -> (ScriptedStream, ScriptedStream, ProxySetup) {
     let members: Vec<String> =
         machines.iter().enumerate().map(|(i, a)| member(&format!("s-{i}"), *a, 4, "Ready")).collect();
     standing(&members, state(4, 1, "COMPLETE", 1.0))
 }
 
 /// The same for a machine of the released build and one of a build on trial that may take everything.
-fn on_trial(old: &Machine, new: &Machine) -> (Source, Source, Plan) {
+fn on_trial(old: &ScriptedEndpoint, new: &ScriptedEndpoint) -> (ScriptedStream, ScriptedStream, ProxySetup) {
     let members = [member("s-0", old.address, 4, "Ready"), member("s-1", new.address, 5, "Ready")];
     standing(&members, state(5, 0, "IN_PROGRESS", 1.0))
 }
 
-fn standing(members: &[String], news: String) -> (Source, Source, Plan) {
+fn standing(members: &[String], news: String) -> (ScriptedStream, ScriptedStream, ProxySetup) {
     let known = list(1, true, members);
-    let discovery = Source::start(&known);
-    let platform = Source::start(&progress(&news));
-    let plan = Plan::new(&known, news, &discovery, &platform);
+    let discovery = ScriptedStream::start(&known);
+    let platform = ScriptedStream::start(&progress(&news));
+    let plan = ProxySetup::new(&known, news, &discovery, &platform);
     (discovery, platform, plan)
 }
 
@@ -44,7 +44,7 @@
 
 /// The same on a file of extras beside a whole configuration.
 fn refuses_with(extras: &str) -> Output {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, plan) = around(&[machine.address]);
     let (path, extras) = (config_file(&plan.config(free_address())), config_file(extras));
     let output = Command::new(program())
@@ -60,13 +60,13 @@
 
 #[test]
 fn a_calm_exchange_passes_everything_through_unchanged() {
-    let machine = Machine::start(ok("an answer\0with any bytes"));
+    let machine = ScriptedEndpoint::start(ok("an answer\0with any bytes"));
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     for round in 0..3 {
         let text = request("POST", "/book/7?x=%20y", 5000, "body & more");
-        let answer = client.say(&text).expect("an answer");
+        let answer = client.exchange(&text).expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"an answer\0with any bytes"[..]));
         assert_eq!(answer.header("x-made-by"), Some("machine"));
         let got = machine.requests().pop().expect("a request");
@@ -83,9 +83,9 @@
 
 #[test]
 fn a_request_may_come_in_pieces_and_the_next_one_right_behind_it() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     let (first, second) = (request("POST", "/book", 9000, "one"), request("POST", "/book", 9000, "two"));
     for byte in first.chars() {
@@ -100,9 +100,9 @@
 
 #[test]
 fn what_cannot_be_understood_gets_a_4xx_a_closed_connection_and_no_machine() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let good = request("GET", "/look", 1000, "");
     let long = format!("GET /look HTTP/1.1\r\nHost: x\r\nX: {}\r\n\r\n", "y".repeat(20_000));
     for (text, status) in [
@@ -129,47 +129,52 @@
         (long, 431),
     ] {
         let mut client = front.client();
-        let answer = client.say(&text).unwrap_or_else(|| panic!("no answer to {text:?}"));
+        let answer = client.exchange(&text).unwrap_or_else(|| panic!("no answer to {text:?}"));
         assert_eq!(answer.status(), status, "{text:?}");
-        assert!(client.ended(), "still open after {text:?}");
+        assert!(client.is_closed(), "still open after {text:?}");
     }
     assert!(machine.requests().is_empty());
-    assert_eq!(front.client().say(&good).expect("an answer").status(), 200, "it serves on");
+    assert_eq!(front.client().exchange(&good).expect("an answer").status(), 200, "it serves on");
 }
 
 #[test]
 fn a_request_that_never_comes_whole_is_given_up() {
     let (_discovery, _platform, plan) = around(&[]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
-    let answer = client.say("POST /book HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf");
+    let answer = client.exchange("POST /book HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf");
     assert_eq!(answer.expect("an answer").status(), 408);
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 #[test]
 fn each_way_in_which_an_attempt_can_end_is_told_apart() {
     // Where an attempt may have run, a request that must not run twice is failed and never sent again.
     for (does, status) in [
-        (Does::Answer(500, "", Vec::new()), 502),
-        (Does::Answer(503, "", Vec::new()), 502),
-        (Does::Close, 502),
-        (Does::Say(b"no such protocol\r\n\r\n".to_vec()), 502),
-        (Does::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on".to_vec()), 502),
-        (Does::Say(b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello".to_vec()), 502),
-        (Does::Say([b"HTTP/1.1 200 OK\r\nX: ".to_vec(), vec![b'y'; 20_000]].concat()), 502),
-        (Does::Say(b"HTTP/1.1 103 Early Hints\r\n\r\n".repeat(50)), 502),
+        (EndpointBehavior::Respond(500, "", Vec::new()), 502),
+        (EndpointBehavior::Respond(503, "", Vec::new()), 502),
+        (EndpointBehavior::Close, 502),
+        (EndpointBehavior::SendRaw(b"no such protocol\r\n\r\n".to_vec()), 502),
+        (
+            EndpointBehavior::SendRaw(
+                b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on".to_vec(),
+            ),
+            502,
+        ),
+        (EndpointBehavior::SendRaw(b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello".to_vec()), 502),
+        (EndpointBehavior::SendRaw([b"HTTP/1.1 200 OK\r\nX: ".to_vec(), vec![b'y'; 20_000]].concat()), 502),
+        (EndpointBehavior::SendRaw(b"HTTP/1.1 103 Early Hints\r\n\r\n".repeat(50)), 502),
         // Cut short, it would look whole: nothing says how long it is.
-        (Does::SayAndClose("HTTP/1.1 200 OK\r\n\r\nhalf an ans"), 502),
-        (Does::SayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf an ans"), 502),
-        (Does::Answer(200, "", vec![b'x'; 70_000]), 502),
-        (Does::Answer(503, "Not-Started: 1\r\n", Vec::new()), 503),
-        (Does::Answer(504, "Not-Started: 1\r\n", Vec::new()), 503),
+        (EndpointBehavior::SendRawAndClose("HTTP/1.1 200 OK\r\n\r\nhalf an ans"), 502),
+        (EndpointBehavior::SendRawAndClose("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf an ans"), 502),
+        (EndpointBehavior::Respond(200, "", vec![b'x'; 70_000]), 502),
+        (EndpointBehavior::Respond(503, "Not-Started: 1\r\n", Vec::new()), 503),
+        (EndpointBehavior::Respond(504, "Not-Started: 1\r\n", Vec::new()), 503),
     ] {
-        let machine = Machine::start(does.clone());
+        let machine = ScriptedEndpoint::start(does.clone());
         let (_discovery, _platform, plan) = around(&[machine.address]);
-        let front = Running::start(&plan);
-        let answer = front.client().say(&request("POST", "/pay", 5000, "x")).expect("an answer");
+        let front = RunningProxy::start(&plan);
+        let answer = front.client().exchange(&request("POST", "/pay", 5000, "x")).expect("an answer");
         assert_eq!(answer.status(), status, "{does:?}");
         let sent = machine.requests().len();
         let expected = if status == 502 { 1..=1 } else { 1..=3 };
@@ -184,39 +189,39 @@
     let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
     let dead = held.local_addr().expect("an address").as_socket().expect("with a port");
-    let alive = Machine::start(ok("yes"));
+    let alive = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, plan) = around(&[dead, alive.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     for _ in 0..20 {
-        assert_eq!(client.say(&request("POST", "/pay", 9000, "x")).expect("an answer").status(), 200);
+        assert_eq!(client.exchange(&request("POST", "/pay", 9000, "x")).expect("an answer").status(), 200);
     }
     assert_eq!(alive.requests().len(), 20);
 }
 
 #[test]
 fn a_silent_machine_costs_a_final_answer_in_time_and_never_a_second_one() {
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
-    let answer = client.say(&request("POST", "/pay", 300, "x")).expect("an answer");
+    let answer = client.exchange(&request("POST", "/pay", 300, "x")).expect("an answer");
     assert_eq!(answer.status(), 502);
     // The late answer of the first must reach nobody, least of all the next request.
     machine.release();
-    machine.now_does(ok("the second"));
-    let answer = client.say(&request("POST", "/book", 9000, "x")).expect("an answer");
+    machine.set_behavior(ok("the second"));
+    let answer = client.exchange(&request("POST", "/book", 9000, "x")).expect("an answer");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"the second"[..]));
 }
 
 #[test]
 fn an_answer_that_came_in_time_is_passed_on_by_a_process_that_stood_still() {
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     client.send(&request("POST", "/pay", 1_000, "x"));
-    until("the request at the machine", || machine.requests().len() == 1);
+    wait_until("the request at the machine", || machine.requests().len() == 1);
     front.signal("STOP");
     machine.release();
     // The answer lies unread while the request's time runs out, and both are found in one turn.
@@ -229,18 +234,18 @@
 
 #[test]
 fn a_client_that_leaves_takes_its_attempt_along_and_holds_nothing_up() {
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     for gone in 1..=5 {
         let mut client = front.client();
         client.send(&request("GET", "/look", 20_000, ""));
-        until("the request at the machine", || machine.requests().len() == gone);
+        wait_until("the request at the machine", || machine.requests().len() == gone);
         drop(client);
     }
-    machine.now_does(ok("yes"));
+    machine.set_behavior(ok("yes"));
     assert_eq!(front.client().look().status(), 200);
-    until("five clients counted as gone", || {
+    wait_until("five clients counted as gone", || {
         front.signal("USR1");
         let log = front.log();
         log.contains(" left=5 ") && log.contains(" withdrawn=5 ")
@@ -249,9 +254,9 @@
 
 #[test]
 fn a_client_that_leaves_in_the_same_breath_is_noticed_too() {
-    let machine = Machine::start(Does::Nothing);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::Ignore);
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     for _ in 0..5 {
         // Its end comes together with its request, before the front has read either.
         front.signal("STOP");
@@ -260,7 +265,7 @@
         drop(client);
         front.signal("CONT");
     }
-    until("five clients counted as gone", || {
+    wait_until("five clients counted as gone", || {
         front.signal("USR1");
         front.log().contains(" left=5 ")
     });
@@ -268,14 +273,14 @@
 
 #[test]
 fn a_draining_machine_gets_nothing_new_and_a_new_one_its_share() {
-    let (old, new) = (Machine::start(ok("old")), Machine::start(ok("new")));
+    let (old, new) = (ScriptedEndpoint::start(ok("old")), ScriptedEndpoint::start(ok("new")));
     let (discovery, _platform, plan) = around(&[old.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     assert_eq!(client.look().body, b"old");
     let change = [member("s-0", old.address, 4, "Terminating"), member("s-9", new.address, 4, "Ready")];
-    discovery.tell(&list(2, false, &change), &list(2, true, &change));
-    until("answers from the new machine", || client.look().body == b"new");
+    discovery.publish(&list(2, false, &change), &list(2, true, &change));
+    wait_until("answers from the new machine", || client.look().body == b"new");
     let sent = old.requests().len();
     for _ in 0..20 {
         assert_eq!(client.look().body, b"new");
@@ -285,28 +290,28 @@
 
 #[test]
 fn a_machine_that_moves_is_found_at_its_new_address() {
-    let (before, after) = (Machine::start(ok("before")), Machine::start(ok("after")));
+    let (before, after) = (ScriptedEndpoint::start(ok("before")), ScriptedEndpoint::start(ok("after")));
     let (discovery, _platform, plan) = around(&[before.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     assert_eq!(client.look().body, b"before");
     let change = [member("s-0", after.address, 4, "Ready")];
-    discovery.tell(&list(2, false, &change), &list(2, true, &change));
-    until("answers from the new address", || client.look().body == b"after");
+    discovery.publish(&list(2, false, &change), &list(2, true, &change));
+    wait_until("answers from the new address", || client.look().body == b"after");
 }
 
 #[test]
 fn a_cap_of_nothing_keeps_requests_off_a_build_on_trial() {
-    let (old, new) = (Machine::start(ok("old")), Machine::start(ok("new")));
+    let (old, new) = (ScriptedEndpoint::start(ok("old")), ScriptedEndpoint::start(ok("new")));
     let (_discovery, platform, plan) = on_trial(&old, &new);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
-    until("the build on trial is used", || {
-        client.say(&request("GET", "/look", 9000, "")).is_some() && !new.requests().is_empty()
+    wait_until("the build on trial is used", || {
+        client.exchange(&request("GET", "/look", 9000, "")).is_some() && !new.requests().is_empty()
     });
     let lower = progress(&state(5, 0, "ROLLING_BACK", 0.0));
-    platform.tell(&lower, &lower);
-    until("the lower cap is known", || front.log().contains("GoingBack"));
+    platform.publish(&lower, &lower);
+    wait_until("the lower cap is known", || front.log().contains("GoingBack"));
     let sent = new.requests().len();
     for _ in 0..20 {
         assert_eq!(client.look().body, b"old");
@@ -316,13 +321,16 @@
 
 #[test]
 fn a_failing_build_is_voted_back_and_the_answer_is_news() {
-    let (old, new) = (Machine::start(ok("old")), Machine::start(Does::Answer(500, "", Vec::new())));
+    let (old, new) = (
+        ScriptedEndpoint::start(ok("old")),
+        ScriptedEndpoint::start(EndpointBehavior::Respond(500, "", Vec::new())),
+    );
     let (_discovery, platform, plan) = on_trial(&old, &new);
     platform.answer_votes(200, &plan.news);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     let voted = |ruling: &str| platform.votes().iter().any(|v| v.contains(ruling));
-    until("a vote to hold, then one back", || {
+    wait_until("a vote to hold, then one back", || {
         client.look();
         if voted("HOLD") {
             platform.answer_votes(200, &state(5, 0, "ROLLING_BACK", 0.0));
@@ -330,124 +338,126 @@
         voted("ROLLBACK")
     });
     assert!(platform.votes()[0].contains(r#""release":5,"tranche":0,"ruling":"HOLD""#));
-    until("the answer is taken as news", || front.log().contains("GoingBack"));
+    wait_until("the answer is taken as news", || front.log().contains("GoingBack"));
 }
 
 #[test]
 fn silent_discovery_and_platform_are_noticed_and_made_anew() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (discovery, platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
-    discovery.silence(true);
-    platform.silence(true);
-    until("both are found silent", || {
+    let front = RunningProxy::start(&plan);
+    discovery.set_silent(true);
+    platform.set_silent(true);
+    wait_until("both are found silent", || {
         let log = front.log();
         log.contains("discovery: no sign of life") && log.contains("platform: no sign of life")
     });
     let mut client = front.client();
     assert_eq!(client.look().status(), 200);
-    discovery.silence(false);
-    platform.silence(false);
-    discovery.cut();
-    platform.cut();
-    until("both are connected again", || {
+    discovery.set_silent(false);
+    platform.set_silent(false);
+    discovery.disconnect_all();
+    platform.disconnect_all();
+    wait_until("both are connected again", || {
         front.log().matches("discovery: connected").count() > 1
             && front.log().matches("platform: connected").count() > 1
     });
-    assert!(discovery.asked().iter().all(|t| t.starts_with("/v1/servers?stream=1&index=")));
+    assert!(discovery.requested_targets().iter().all(|t| t.starts_with("/v1/servers?stream=1&index=")));
 }
 
 #[test]
 fn news_that_cannot_be_read_is_logged_and_the_connection_made_anew() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (discovery, platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
-    let (asked, heard) = (discovery.asked().len(), platform.asked().len());
-    discovery.tell("{\"revision\":", &plan.known);
-    platform.tell("][", &progress(&plan.news));
-    until("new connections", || discovery.asked().len() > asked && platform.asked().len() > heard);
+    let front = RunningProxy::start(&plan);
+    let (asked, heard) = (discovery.requested_targets().len(), platform.requested_targets().len());
+    discovery.publish("{\"revision\":", &plan.known);
+    platform.publish("][", &progress(&plan.news));
+    wait_until("new connections", || {
+        discovery.requested_targets().len() > asked && platform.requested_targets().len() > heard
+    });
     assert!(front.log().contains("can't be read"));
     assert_eq!(front.client().look().status(), 200);
 }
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (discovery, _platform, mut plan) = around(&[machine.address]);
     plan.known = list(0, true, &[]);
     plan.settings["registryMode"] = "on_request".into();
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
-    until("an answer from a machine of the list", || {
-        client.say(&request("GET", "/look", 9000, "")).is_some_and(|a| a.status() == 200)
+    wait_until("an answer from a machine of the list", || {
+        client.exchange(&request("GET", "/look", 9000, "")).is_some_and(|a| a.status() == 200)
     });
-    assert!(!discovery.asked().is_empty());
+    assert!(!discovery.requested_targets().is_empty());
 }
 
 #[test]
 fn the_word_to_stop_loses_nothing_that_was_taken() {
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let mut front = Running::start(&plan);
+    let mut front = RunningProxy::start(&plan);
     let (mut held, mut kept) = (front.client(), front.client());
     held.send(&request("GET", "/look", 25_000, ""));
-    until("the request at the machine", || machine.requests().len() == 1);
+    wait_until("the request at the machine", || machine.requests().len() == 1);
     front.signal("TERM");
-    until("the front drains", || front.log().contains("draining"));
+    wait_until("the front drains", || front.log().contains("draining"));
     // Clients still come, on kept connections and on new ones; one kept idle stays open for a while.
-    machine.now_does(ok("still here"));
+    machine.set_behavior(ok("still here"));
     std::thread::sleep(std::time::Duration::from_millis(100));
-    let answer = kept.say(&request("GET", "/look", 9000, "")).expect("an answer");
+    let answer = kept.exchange(&request("GET", "/look", 9000, "")).expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(kept.ended());
+    assert!(kept.is_closed());
     machine.release();
     assert_eq!(held.read().expect("an answer").body, b"late");
     assert!(front.exit().success());
-    until("its counters", || front.log().contains("counters requests="));
+    wait_until("its counters", || front.log().contains("counters requests="));
     assert!(front.log().contains("counters requests=2 passed=2 "), "{}", front.log());
 }
 
 #[test]
 fn half_a_request_at_the_word_to_stop_is_read_and_answered_before_the_exit() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let mut front = Running::start(&plan);
+    let mut front = RunningProxy::start(&plan);
     let mut client = front.client();
     let text = request("POST", "/book", 9000, "a body that comes in two halves");
     let (half, rest) = text.split_at(text.len() - 10);
     client.send(half);
     front.signal("TERM");
-    until("nobody is taken any more", || TcpStream::connect(front.address).is_err());
+    wait_until("nobody is taken any more", || TcpStream::connect(front.address).is_err());
     // A front that takes half a request for none is gone within a few sweeps; time alone lets no sound one fail.
     std::thread::sleep(std::time::Duration::from_millis(200));
     client.send(rest);
     let answer = client.read().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(client.ended() && front.exit().success());
-    until("its last words", || front.log().contains("counters requests="));
+    assert!(client.is_closed() && front.exit().success());
+    wait_until("its last words", || front.log().contains("counters requests="));
     assert!(!front.log().contains("with requests unanswered"), "{}", front.log());
 }
 
 #[test]
 fn a_request_that_no_machine_answers_gets_its_answer_before_the_process_may_be_killed() {
-    let machine = Machine::start(Does::Nothing);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::Ignore);
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let mut front = Running::start(&plan);
+    let mut front = RunningProxy::start(&plan);
     let mut client = front.client();
     client.send(&request("POST", "/pay", 25_000, "x"));
-    until("the request at the machine", || machine.requests().len() == 1);
+    wait_until("the request at the machine", || machine.requests().len() == 1);
     front.signal("TERM");
     // Long before its own time, for it is not what the process is given.
     assert_eq!(client.read().expect("an answer").status(), 504);
-    assert!(client.ended() && front.exit().success());
-    until("its counters", || front.log().contains("counters requests="));
+    assert!(client.is_closed() && front.exit().success());
+    wait_until("its counters", || front.log().contains("counters requests="));
     assert!(front.log().contains(" overdue=1 "), "{}", front.log());
     assert_eq!(machine.requests().len(), 1, "what may have run was sent again");
 }
 
 #[test]
 fn signals_while_the_configuration_is_read_end_nothing() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, plan) = around(&[machine.address]);
     let text = plan.config(free_address());
     // A pipe holds the reader until the test writes.
@@ -478,43 +488,43 @@
 
 #[test]
 fn a_client_whose_idle_connection_is_closed_at_the_end_comes_again_and_is_answered() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, plan) = around(&[machine.address]);
     // It has a tenth of a second to come again, which a busy host may take from it; not ten times in a row.
     let answered = (0..10).any(|_| {
-        let front = Running::start(&plan);
+        let front = RunningProxy::start(&plan);
         let mut client = front.client();
         assert_eq!(client.look().status(), 200);
         front.signal("TERM");
-        assert!(client.ended(), "an answer to no request");
+        assert!(client.is_closed(), "an answer to no request");
         let Ok(again) = TcpStream::connect(front.address) else { return false };
-        Client::on(again).say(&request("GET", "/look", 9000, "")).is_some_and(|a| a.status() == 200)
+        TestClient::on(again).exchange(&request("GET", "/look", 9000, "")).is_some_and(|a| a.status() == 200)
     });
     assert!(answered, "nobody listens any more once idle connections are closed");
 }
 
 #[test]
 fn it_starts_again_at_once_under_the_same_address() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, mut plan) = around(&[machine.address]);
-    let first = Running::start(&plan);
+    let first = RunningProxy::start(&plan);
     plan.listen = Some(first.address);
     let mut client = first.client();
     assert_eq!(client.look().status(), 200);
     first.signal("KILL");
-    assert!(client.ended());
+    assert!(client.is_closed());
     drop(first);
-    let second = Running::start(&plan);
+    let second = RunningProxy::start(&plan);
     assert_eq!(second.client().look().status(), 200);
 }
 
 #[test]
 fn with_descriptors_running_out_it_refuses_and_lives() {
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, mut plan) = around(&[machine.address]);
     plan.sockets = 64;
-    let front = Running::start(&plan);
-    let mut clients: Vec<Client> = (0..120).map(|_| front.client()).collect();
+    let front = RunningProxy::start(&plan);
+    let mut clients: Vec<TestClient> = (0..120).map(|_| front.client()).collect();
     for client in &mut clients {
         client.send(&request("GET", "/look", 1500, ""));
     }
@@ -526,24 +536,24 @@
         refused += usize::from(status == 503);
     }
     assert!(refused > 0);
-    machine.now_does(ok("yes"));
+    machine.set_behavior(ok("yes"));
     drop(clients);
-    until("it serves again", || {
-        front.client().say(&request("GET", "/look", 9000, "")).is_some_and(|a| a.status() == 200)
+    wait_until("it serves again", || {
+        front.client().exchange(&request("GET", "/look", 9000, "")).is_some_and(|a| a.status() == 200)
     });
 }
 
 #[test]
 fn a_streamed_answer_is_passed_on_as_it_comes() {
-    let machine = Machine::start(Does::Stream(vec!["one", "two"], true));
+    let machine = ScriptedEndpoint::start(EndpointBehavior::Stream(vec!["one", "two"], true));
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     client.send(&request("GET", "/tail", 5000, ""));
     machine.release();
     let mut seen = Vec::new();
     while !seen.windows(3).any(|w| w == b"one") {
-        let part = client.part(1000);
+        let part = client.read_at_most(1000);
         assert!(!part.is_empty(), "ended early");
         seen.extend(part);
     }
@@ -551,7 +561,7 @@
     machine.release();
     machine.release();
     while !seen.ends_with(b"0\r\n\r\n") {
-        let part = client.part(1000);
+        let part = client.read_at_most(1000);
         assert!(!part.is_empty(), "ended early");
         seen.extend(part);
     }
@@ -559,9 +569,9 @@
 
 #[test]
 fn a_stream_that_breaks_is_seen_to_be_incomplete() {
-    let machine = Machine::start(Does::Stream(vec!["one"], false));
+    let machine = ScriptedEndpoint::start(EndpointBehavior::Stream(vec!["one"], false));
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     client.send(&request("GET", "/tail", 5000, ""));
     machine.release();
@@ -612,70 +622,74 @@
 
 #[test]
 fn a_new_configuration_moves_discovery_and_platform_under_load_and_undoes_nothing() {
-    let (first, second) = (Machine::start(ok("first")), Machine::start(ok("second")));
+    let (first, second) = (ScriptedEndpoint::start(ok("first")), ScriptedEndpoint::start(ok("second")));
     let (discovery, platform, mut plan) = around(&[first.address]);
     // What the environment said at the start does not outlive the file.
-    let front = Running::start_with(&plan, &[("RELAY_DISCOVERY", &discovery.address.to_string())]);
+    let front = RunningProxy::start_with(&plan, &[("RELAY_DISCOVERY", &discovery.address.to_string())]);
     let mut client = front.client();
     assert_eq!(client.look().body, b"first");
     for round in 2..5 {
         let machine = if round % 2 == 0 { &second } else { &first };
         let now = list(round, true, &[member("s-0", machine.address, 4, "Ready")]);
-        let (to, platform_to) = (Source::start(&now), Source::start(&progress(&plan.news)));
+        let (to, platform_to) = (ScriptedStream::start(&now), ScriptedStream::start(&progress(&plan.news)));
         // The file itself holds the list and the state of the start, which are old by now.
         (plan.discovery, plan.platform) = (to.address, platform_to.address);
         front.reload(&plan.config(front.address));
         let expected: &[u8] = if round % 2 == 0 { b"second" } else { b"first" };
-        until("answers by the list of the new address", || client.look().body == expected);
-        until("news from the new platform", || !platform_to.asked().is_empty());
-        let asked = to.asked();
+        wait_until("answers by the list of the new address", || client.look().body == expected);
+        wait_until("news from the new platform", || !platform_to.requested_targets().is_empty());
+        let asked = to.requested_targets();
         assert!(asked[0].ends_with(&format!("index={}", round - 1)), "{asked:?}");
     }
     let older = [member("s-0", free_address(), 4, "Ready")];
     plan.known = list(1, true, &older);
     front.reload(&plan.config(front.address));
-    until("the fourth reload", || front.log().matches("reload: discovery at").count() == 4);
+    wait_until("the fourth reload", || front.log().matches("reload: discovery at").count() == 4);
     for _ in 0..20 {
         assert_eq!((client.look().status(), client.look().body), (200, b"second".to_vec()));
     }
-    assert_eq!((discovery.asked().len(), platform.asked().len()), (1, 1), "the old addresses are let go");
+    assert_eq!(
+        (discovery.requested_targets().len(), platform.requested_targets().len()),
+        (1, 1),
+        "the old addresses are let go"
+    );
 }
 
 #[test]
 fn a_mute_agent_after_a_reload_is_left_for_a_new_connection_at_once() {
-    let (old, new) = (Machine::start(ok("old")), Machine::start(ok("new")));
+    let (old, new) = (ScriptedEndpoint::start(ok("old")), ScriptedEndpoint::start(ok("new")));
     let (_discovery, _platform, mut plan) = around(&[old.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     assert_eq!(client.look().body, b"old");
-    let moved = Source::start(&list(2, true, &[member("s-9", new.address, 4, "Ready")]));
-    moved.silence(true);
+    let moved = ScriptedStream::start(&list(2, true, &[member("s-9", new.address, 4, "Ready")]));
+    moved.set_silent(true);
     plan.discovery = moved.address;
     front.reload(&plan.config(front.address));
-    until("the first connection there", || moved.asked().len() == 1);
-    moved.silence(false); // on connections to come
-    until("answers by the list of the new address", || client.look().body == b"new");
+    wait_until("the first connection there", || moved.requested_targets().len() == 1);
+    moved.set_silent(false); // on connections to come
+    wait_until("answers by the list of the new address", || client.look().body == b"new");
     assert!(front.log().contains("discovery: not a word on a new connection"), "{}", front.log());
     assert!(!front.log().contains("discovery: no sign of life"), "it waited for a sign of life");
 }
 
 #[test]
 fn a_faulty_or_missing_configuration_changes_nothing_and_is_named() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, mut plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let good = plan.config(front.address);
     front.reload(&good.replace("\"listen\"", "\"gone\""));
-    until("the missing key is named", || {
+    wait_until("the missing key is named", || {
         front.log().contains("reload: ") && front.log().contains("listen is missing")
     });
     front.reload("{\"name\"");
-    until("half a file is refused", || front.log().matches("all stays as it was").count() == 2);
+    wait_until("half a file is refused", || front.log().matches("all stays as it was").count() == 2);
     front.forget_config();
-    until("a missing file is refused", || front.log().matches("all stays as it was").count() == 3);
+    wait_until("a missing file is refused", || front.log().matches("all stays as it was").count() == 3);
     plan.sockets = 512;
     front.reload(&plan.config(front.address));
-    until("what needs a restart is named", || {
+    wait_until("what needs a restart is named", || {
         front.log().contains("limits.sockets: a new value counts from the next start on")
     });
     assert_eq!(front.client().look().status(), 200);
@@ -685,9 +699,10 @@
 fn what_a_good_answer_brings_along_reaches_nobody() {
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
     for extra in [good, "\0\x01 noise", "HTTP/1.1 500 X\r\n\r\n"] {
-        let machine = Machine::start(Does::Say(format!("{good}{extra}").into_bytes()));
+        let machine =
+            ScriptedEndpoint::start(EndpointBehavior::SendRaw(format!("{good}{extra}").into_bytes()));
         let (_discovery, _platform, plan) = around(&[machine.address]);
-        let front = Running::start(&plan);
+        let front = RunningProxy::start(&plan);
         let mut client = front.client();
         for served in 1..=3 {
             assert_eq!((client.look().status(), machine.requests().len()), (200, served), "{extra:?}");
@@ -695,31 +710,31 @@
         assert_eq!(machine.connections(), 3, "used again after {extra:?}");
     }
     let interim = format!("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 X\r\n\r\n{good}");
-    let machine = Machine::start(Does::Say(interim.into_bytes()));
+    let machine = ScriptedEndpoint::start(EndpointBehavior::SendRaw(interim.into_bytes()));
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     assert_eq!(front.client().look().body, b"good");
 }
 
 #[test]
 fn a_silent_crowd_takes_no_places_and_is_turned_away() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, mut plan) = around(&[machine.address]);
     plan.sockets = 64;
-    let front = Running::start(&plan);
-    let mut crowd: Vec<Client> = (0..80).map(|_| front.client()).collect();
+    let front = RunningProxy::start(&plan);
+    let mut crowd: Vec<TestClient> = (0..80).map(|_| front.client()).collect();
     for _ in 0..5 {
         assert_eq!(front.client().look().status(), 200);
     }
-    assert!(crowd.iter_mut().all(Client::ended), "a silent client was answered");
+    assert!(crowd.iter_mut().all(TestClient::is_closed), "a silent client was answered");
 }
 
 #[test]
 fn clients_that_ask_once_and_stay_fill_no_more_than_half_of_the_places() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, mut plan) = around(&[machine.address]);
     plan.sockets = 64;
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let (mut staying, mut closed) = (Vec::new(), 0);
     for _ in 0..60 {
         let mut client = front.client();
@@ -730,21 +745,21 @@
     }
     assert!((30..60).contains(&closed), "{closed} of 60 connections were closed with the answer");
     front.signal("USR1");
-    until("the counters", || front.log().contains("counters"));
+    wait_until("the counters", || front.log().contains("counters"));
     assert!(front.log().contains(" accepts_paused=0 "), "clients had to wait");
-    assert!(staying.iter_mut().all(Client::ended), "idle connections end by themselves");
+    assert!(staying.iter_mut().all(TestClient::is_closed), "idle connections end by themselves");
 }
 
 #[test]
 fn a_request_named_like_an_open_one_never_reaches_a_machine() {
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let (text, mut first, mut second) = (request("GET", "/look", 9000, ""), front.client(), front.client());
     first.send(&text);
-    until("the request at the machine", || machine.requests().len() == 1);
-    assert_eq!(second.say(&text).expect("an answer").status(), 409);
-    assert!(second.ended());
+    wait_until("the request at the machine", || machine.requests().len() == 1);
+    assert_eq!(second.exchange(&text).expect("an answer").status(), 409);
+    assert!(second.is_closed());
     machine.release();
     assert_eq!(first.read().expect("an answer").body, b"late");
     assert_eq!(machine.requests().len(), 1);
@@ -753,14 +768,14 @@
 #[test]
 fn dripping_is_no_progress() {
     let (_discovery, _platform, plan) = around(&[]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     client.send("GET /look HTTP/1.1\r\nHost: x\r\nX: ");
-    until("the connection ends", || {
+    wait_until("the connection ends", || {
         std::thread::sleep(std::time::Duration::from_millis(50));
         !client.send("y")
     });
-    until("it is counted as late", || {
+    wait_until("it is counted as late", || {
         front.signal("USR1");
         front.log().contains(" bad_late=1 ")
     });
@@ -768,9 +783,9 @@
 
 #[test]
 fn a_huge_body_is_turned_away_while_usual_clients_are_served() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut usual = front.client();
     for _ in 0..3 {
         let mut client = front.client();
@@ -782,7 +797,7 @@
         assert!(taken < 60, "all of it was read");
         assert_eq!(usual.look().status(), 200);
     }
-    until("they are counted as too large", || {
+    wait_until("they are counted as too large", || {
         front.signal("USR1");
         front.log().contains(" bad_large=3 ")
     });
@@ -791,73 +806,80 @@
 
 #[test]
 fn silent_clients_make_way_for_the_connections_of_held_requests() {
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, mut plan) = around(&[machine.address]);
     plan.sockets = 64;
-    let front = Running::start(&plan);
-    let _crowd: Vec<Client> = (0..31).map(|_| front.client()).collect();
-    let mut usual: Vec<Client> = (0..15).map(|_| front.client()).collect();
+    let front = RunningProxy::start(&plan);
+    let _crowd: Vec<TestClient> = (0..31).map(|_| front.client()).collect();
+    let mut usual: Vec<TestClient> = (0..15).map(|_| front.client()).collect();
     for client in &mut usual {
         client.send(&request("GET", "/look", 25_000, ""));
     }
-    until("all requests at the machine", || machine.requests().len() == 15);
+    wait_until("all requests at the machine", || machine.requests().len() == 15);
     machine.release();
     assert!(usual.iter_mut().all(|c| c.read().is_some_and(|a| a.status() == 200)));
 }
 
 #[test]
 fn a_watch_spoilt_again_and_again_still_brings_the_news() {
-    let (old, new) = (Machine::start(ok("old")), Machine::start(ok("new")));
+    let (old, new) = (ScriptedEndpoint::start(ok("old")), ScriptedEndpoint::start(ok("new")));
     let (discovery, platform, plan) = around(&[old.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     // What was whole before the noise stands, and every connection after it is spoilt from its first line on.
     let change = [member("s-0", old.address, 4, "Terminating"), member("s-9", new.address, 4, "Ready")];
-    discovery.spoil(&list(2, false, &change), "][");
-    platform.tell("][", "{\"type\":");
-    until("answers from the machine told before the noise", || client.look().body == b"new");
-    until("several connections, all spoilt", || discovery.asked().len() > 4 && platform.asked().len() > 4);
+    discovery.publish_corrupt(&list(2, false, &change), "][");
+    platform.publish("][", "{\"type\":");
+    wait_until("answers from the machine told before the noise", || client.look().body == b"new");
+    wait_until("several connections, all spoilt", || {
+        discovery.requested_targets().len() > 4 && platform.requested_targets().len() > 4
+    });
     let back = list(3, true, &[member("s-0", old.address, 4, "Ready")]);
-    discovery.tell("", &back);
-    platform.tell("", &progress(&state(5, 0, "IN_PROGRESS", 0.5)));
-    until("the list is back", || client.look().body == b"old");
-    until("the platform's news is back", || front.log().contains("build 5 stage 0: Trial"));
+    discovery.publish("", &back);
+    platform.publish("", &progress(&state(5, 0, "IN_PROGRESS", 0.5)));
+    wait_until("the list is back", || client.look().body == b"old");
+    wait_until("the platform's news is back", || front.log().contains("build 5 stage 0: Trial"));
 }
 
 #[test]
 fn odd_lists_are_taken_by_their_words_and_end_nothing() {
-    let (first, second) = (Machine::start(ok("first")), Machine::start(ok("second")));
+    let (first, second) = (ScriptedEndpoint::start(ok("first")), ScriptedEndpoint::start(ok("second")));
     let (discovery, _platform, plan) = around(&[first.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let mut client = front.client();
     assert_eq!(client.look().body, b"first");
     // An entry that stands twice: the last word counts.
     let twice = [member("s-0", first.address, 4, "Ready"), member("s-0", second.address, 4, "Ready")];
     let now = list(2, true, &twice);
-    discovery.tell(&now, &now);
-    until("the last of two words", || client.look().body == b"second");
+    discovery.publish(&now, &now);
+    wait_until("the last of two words", || client.look().body == b"second");
     // A list of nothing: there is nowhere to send to, which is said at once and harmless to try again.
     let now = list(3, true, &[]);
-    discovery.tell(&now, &now);
-    until("a refusal", || client.look().status() == 503);
+    discovery.publish(&now, &now);
+    wait_until("a refusal", || client.look().status() == 503);
     // A change of a revision that goes back says nothing; a whole list of one does, as discovery may have begun anew.
     let entry = [member("s-0", first.address, 4, "Ready")];
     let (change, whole) = (list(1, false, &entry), list(1, true, &entry));
-    discovery.tell(&change, &change);
-    discovery.tell("", &change); // a sign of life behind it, so that it has been read
+    discovery.publish(&change, &change);
+    discovery.publish("", &change); // a sign of life behind it, so that it has been read
     for _ in 0..20 {
         assert_eq!(client.look().status(), 503);
     }
-    discovery.tell(&whole, &whole);
-    until("the machine of the whole list", || client.look().body == b"first");
-    assert_eq!(discovery.asked().len(), 1, "none of these is a reason to connect anew: {}", front.log());
+    discovery.publish(&whole, &whole);
+    wait_until("the machine of the whole list", || client.look().body == b"first");
+    assert_eq!(
+        discovery.requested_targets().len(),
+        1,
+        "none of these is a reason to connect anew: {}",
+        front.log()
+    );
 }
 
 #[test]
 fn settings_of_another_deployment_at_a_reload_wait_for_the_next_start_and_mix_with_nothing() {
-    let machine = Machine::start(ok("yes"));
+    let machine = ScriptedEndpoint::start(ok("yes"));
     let (_discovery, _platform, mut plan) = around(&[machine.address]);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     // Another customer's: the classes in another order and of other names, and a tenant of another name.
     for grade in plan.settings["grades"].as_array_mut().expect("classes") {
         grade["name"] = format!("other-{}", grade["name"].as_str().expect("a name")).into();
@@ -865,37 +887,37 @@
     plan.settings["grades"].as_array_mut().expect("classes").reverse();
     plan.settings["tenants"][0]["name"] = "others".into();
     front.reload(&plan.config(front.address));
-    until("it is said", || {
+    wait_until("it is said", || {
         front.log().contains("reload: settings: a new value counts from the next start on")
     });
     let mut client = front.client();
     assert_eq!(client.look().status(), 200, "its own classes and tenants stand");
     let others = request("GET", "/other-look", 900, "").replace("Tenant: acme", "Tenant: others");
-    assert_eq!(client.say(&others).expect("an answer").status(), 404);
+    assert_eq!(client.exchange(&others).expect("an answer").status(), 404);
     let own_class = request("GET", "/look", 900, "").replace("Tenant: acme", "Tenant: others");
-    assert_eq!(front.client().say(&own_class).expect("an answer").status(), 400);
+    assert_eq!(front.client().exchange(&own_class).expect("an answer").status(), 400);
     assert_eq!(machine.requests().len(), 1, "what another deployment's settings name went to a machine");
     // The next start goes by them alone.
     drop(front);
-    let front = Running::start(&plan);
-    assert_eq!(front.client().say(&others).expect("an answer").status(), 200);
-    assert_eq!(front.client().say(&request("GET", "/look", 900, "")).expect("an answer").status(), 404);
+    let front = RunningProxy::start(&plan);
+    assert_eq!(front.client().exchange(&others).expect("an answer").status(), 200);
+    assert_eq!(front.client().exchange(&request("GET", "/look", 900, "")).expect("an answer").status(), 404);
 }
 
 #[test]
 fn requests_of_one_name_from_two_tenants_never_meet_in_one_answer() {
     // The page has a fresh id on each request; one that is open already is told so, and changes nothing for the other.
-    let machine = Machine::start(Does::Wait);
+    let machine = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _platform, mut plan) = around(&[machine.address]);
     let mut other = plan.settings["tenants"][0].clone();
     other["name"] = "others".into();
     plan.settings["tenants"].as_array_mut().expect("tenants").push(other);
-    let front = Running::start(&plan);
+    let front = RunningProxy::start(&plan);
     let (mut first, mut second) = (front.client(), front.client());
     let text = request("POST", "/pay", 9000, "of the first");
     first.send(&text);
-    until("the first at the machine", || machine.requests().len() == 1);
-    let taken = second.say(&text.replace("Tenant: acme", "Tenant: others")).expect("an answer");
+    wait_until("the first at the machine", || machine.requests().len() == 1);
+    let taken = second.exchange(&text.replace("Tenant: acme", "Tenant: others")).expect("an answer");
     assert_eq!((taken.status(), taken.header("connection")), (409, Some("close")));
     machine.release();
     assert_eq!(first.read().expect("an answer").status(), 200);
--- a/crates/shared-policy/src/lib.rs
+++ b/crates/shared-policy/src/lib.rs
@@ -19,27 +19,27 @@
 
 /// What a decision was made by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stamp {
+pub struct DecisionStamp {
     /// How much news the decisions had been told.
-    pub news: u64,
+    pub updates: u64,
     /// When, in microseconds of the caller's clock.
-    pub at: u64,
+    pub decided_at: u64,
 }
 
 /// Whether a decision may still be carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum StampStatus {
     /// It may.
-    Good,
+    Current,
     /// News has come since: it may be one that the news forbids.
-    Outdated,
+    Superseded,
     /// Its thread did not run for a while: what it was made by is old.
-    Late,
+    Expired,
 }
 
 /// Decisions of type `D`, shared.
 #[derive(Debug)]
-pub struct Decisions<D> {
+pub struct SharedPolicy<D> {
     inner: Mutex<D>,
     /// News handed to the decisions so far, whether or not they have been told of it yet.
     news: AtomicU64,
@@ -49,7 +49,7 @@
     alone: bool,
 }
 
-impl<D> Decisions<D> {
+impl<D> SharedPolicy<D> {
     /// For so many threads. A decision older than `late` microseconds is made anew.
     pub fn new(inner: D, threads: usize, late: u64) -> Self {
         Self { inner: Mutex::new(inner), news: AtomicU64::new(0), late, alone: threads == 1 }
@@ -65,21 +65,25 @@
     }
 
     /// Hands news over by `put`. Once this returns, nothing that was decided without it is carried out.
-    pub fn tell(&self, put: impl FnOnce(&mut D)) {
+    pub fn update(&self, put: impl FnOnce(&mut D)) {
         put(&mut self.lock());
         // After it is there, never before: a stamp could else count news that the decisions have not got.
         self.news.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Looks at the stamp of a decision before it is carried out.
-    pub fn standing(&self, stamp: Stamp, now: u64) -> Standing {
+    pub fn stamp_status(&self, stamp: DecisionStamp, now: u64) -> StampStatus {
         if self.alone {
-            return Standing::Good;
+            return StampStatus::Current;
         }
-        if stamp.news != self.news.load(Ordering::SeqCst) {
-            return Standing::Outdated;
+        if stamp.updates != self.news.load(Ordering::SeqCst) {
+            return StampStatus::Superseded;
+        }
+        if now > stamp.decided_at.saturating_add(self.late) {
+            StampStatus::Expired
+        } else {
+            StampStatus::Current
         }
-        if now > stamp.at.saturating_add(self.late) { Standing::Late } else { Standing::Good }
     }
 }
 
@@ -89,20 +93,26 @@
 
     #[test]
     fn what_was_decided_before_news_or_long_ago_does_not_stand() {
-        let decisions = Decisions::new(Vec::new(), 2, 20);
-        let stamp = Stamp { news: 0, at: 100 };
-        assert_eq!(decisions.standing(stamp, 120), Standing::Good);
-        assert_eq!(decisions.standing(stamp, 121), Standing::Late);
-        decisions.tell(|all| all.push("a lower cap"));
+        let decisions = SharedPolicy::new(Vec::new(), 2, 20);
+        let stamp = DecisionStamp { updates: 0, decided_at: 100 };
+        assert_eq!(decisions.stamp_status(stamp, 120), StampStatus::Current);
+        assert_eq!(decisions.stamp_status(stamp, 121), StampStatus::Expired);
+        decisions.update(|all| all.push("a lower cap"));
         assert_eq!(decisions.lock().len(), 1);
-        assert_eq!(decisions.standing(stamp, 100), Standing::Outdated);
-        assert_eq!(decisions.standing(Stamp { news: 1, at: 100 }, 100), Standing::Good);
+        assert_eq!(decisions.stamp_status(stamp, 100), StampStatus::Superseded);
+        assert_eq!(
+            decisions.stamp_status(DecisionStamp { updates: 1, decided_at: 100 }, 100),
+            StampStatus::Current
+        );
     }
 
     #[test]
     fn one_thread_alone_carries_out_what_it_decided() {
-        let decisions = Decisions::new((), 1, 20);
-        decisions.tell(|()| {});
-        assert_eq!(decisions.standing(Stamp { news: 0, at: 0 }, 1_000), Standing::Good);
+        let decisions = SharedPolicy::new((), 1, 20);
+        decisions.update(|()| {});
+        assert_eq!(
+            decisions.stamp_status(DecisionStamp { updates: 0, decided_at: 0 }, 1_000),
+            StampStatus::Current
+        );
     }
 }
--- a/crates/shared-policy/tests/model.rs
+++ b/crates/shared-policy/tests/model.rs
@@ -3,7 +3,7 @@
 //! `cargo test --locked -p garnetcrank-shared-policy --features model`.
 #![cfg(feature = "model")]
 
-use garnetcrank_shared_policy::{Decisions, Stamp, Standing};
+use garnetcrank_shared_policy::{Decisions, Stamp, StampStatus};
 use shuttle::sync::Arc;
 use shuttle::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use shuttle::thread;
@@ -45,7 +45,7 @@
             let decided = decisions.lock().decide();
             let Some((order, stamp)) = decided else { return };
             let known_to_all = told.load(Ordering::SeqCst);
-            if looks && decisions.standing(stamp, 0) != Standing::Good {
+            if looks && decisions.standing(stamp, 0) != StampStatus::Good {
                 return;
             }
             assert!(!known_to_all, "order {order} went to a build whose cap is nothing");
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,7 +1,7 @@
 //! Random batches and restarts against a model that keeps everything in a vector.
 
 use garnetcrank_store::{Batch, HardState, Identity, Record, Snapshot, Store};
-use garnetcrank_test_support::disk::Disk;
+use garnetcrank_test_support::faulty_disk::FaultyDisk;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -43,7 +43,7 @@
     #[test]
     fn what_is_read_back_is_what_was_written(steps in prop::collection::vec(step(), 1..30)) {
         let me = Identity { cluster: "c".into(), name: "n".into(), id: 1 };
-        let mut disk = Disk::new();
+        let mut disk = FaultyDisk::new();
         let mut store = Store::open_on(disk.clone(), &me).unwrap();
         let (mut hard, mut snapshot, mut log) = (HardState::default(), None::<Snapshot>, Vec::<Record>::new());
         let mut keys = std::collections::BTreeMap::new();
@@ -85,7 +85,7 @@
                 }
                 Step::Restart => {
                     drop(store);
-                    disk = Disk::holding(disk.image());
+                    disk = FaultyDisk::holding(disk.image());
                     store = Store::open_on(disk.clone(), &me).unwrap();
                     starts += 1;
                     prop_assert_eq!(store.starts(), starts);
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -1,7 +1,7 @@
 //! The power is cut at every operation of the device, with unsynced writes lost, kept or torn.
 
 use garnetcrank_store::{Batch, HardState, Identity, Loaded, Record, Snapshot, Store, StoreError};
-use garnetcrank_test_support::disk::Disk;
+use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
 fn me() -> Identity {
     Identity { cluster: "test".into(), name: "one".into(), id: 7 }
@@ -38,7 +38,7 @@
 
 /// What is held after each number of batches, from a run without faults.
 fn states() -> Vec<Held> {
-    let mut store = Store::open_on(Disk::new(), &me()).unwrap();
+    let mut store = Store::open_on(FaultyDisk::new(), &me()).unwrap();
     let mut states = vec![held(&store)];
     for batch in script() {
         store.commit(&batch).unwrap();
@@ -48,7 +48,7 @@
 }
 
 /// Runs the script until the power goes; how many batches were acknowledged.
-fn run(disk: &Disk) -> Option<usize> {
+fn run(disk: &FaultyDisk) -> Option<usize> {
     let mut store = Store::open_on(disk.clone(), &me()).ok()?;
     let mut acknowledged = 0;
     for batch in script() {
@@ -63,15 +63,15 @@
 /// The first cut after which the state is not the one before or after the batch under way.
 fn first_loss(ignore_syncs: bool) -> Option<String> {
     let states = states();
-    let whole = Disk::new();
+    let whole = FaultyDisk::new();
     run(&whole).unwrap();
     for cut in 1..whole.operations() {
         for seed in 0..3 {
-            let disk = Disk::new();
+            let disk = FaultyDisk::new();
             disk.ignore_syncs(ignore_syncs);
-            disk.cut_after(cut);
+            disk.cut_power_after(cut);
             let acknowledged = run(&disk);
-            let Ok(store) = Store::open_on(disk.after_cut(seed * 1000 + cut), &me()) else {
+            let Ok(store) = Store::open_on(disk.after_power_cut(seed * 1000 + cut), &me()) else {
                 // Before the first acknowledged batch a file may be half made; later it may not.
                 if acknowledged.is_some_and(|n| n > 0) {
                     return Some(format!("cut {cut} seed {seed}: the file does not open"));
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_failed_sync_ends_the_store_and_is_not_tried_again() {
-    let disk = Disk::new();
+    let disk = FaultyDisk::new();
     let mut store = Store::open_on(disk.clone(), &me()).unwrap();
     let batches = script();
     store.commit(&batches[0]).unwrap();
@@ -121,7 +121,7 @@
 
 #[test]
 fn a_full_device_refuses_new_entries_and_loses_none() {
-    let disk = Disk::new();
+    let disk = FaultyDisk::new();
     let mut store = Store::open_on(disk.clone(), &me()).unwrap();
     disk.set_capacity(Some(disk.image().len() + 200_000));
     let mut last = 0;
@@ -143,7 +143,7 @@
 
 #[test]
 fn flipped_bits_are_named_or_harmless_and_never_served() {
-    let disk = Disk::new();
+    let disk = FaultyDisk::new();
     run(&disk).unwrap();
     let good = states().pop().unwrap();
     let image = disk.image();
@@ -156,7 +156,7 @@
         let mut bad = image.clone();
         bad[at] ^= 1 << rng.u8(0..8);
         let found = std::panic::catch_unwind(|| {
-            let store = Store::open_on(Disk::holding(bad), &me())?;
+            let store = Store::open_on(FaultyDisk::holding(bad), &me())?;
             Ok::<_, StoreError>((store.load()?, store.keys_from("")?))
         });
         match found {
@@ -173,14 +173,14 @@
 
 #[test]
 fn a_scrub_names_the_entry_that_rotted() {
-    let disk = Disk::new();
+    let disk = FaultyDisk::new();
     run(&disk).unwrap();
     let mut image = disk.image();
     let ats: Vec<usize> = (0..image.len() - 200).filter(|&at| image[at..at + 200] == [42; 200]).collect();
     for at in ats {
         image[at] ^= 4;
     }
-    let store = Store::open_on(Disk::holding(image), &me()).unwrap();
+    let store = Store::open_on(FaultyDisk::holding(image), &me()).unwrap();
     let report = store.scrub().unwrap();
     assert!(report.corrupt.iter().any(|c| c.table == "log" && c.key == "42"), "{report:?}");
     assert!(report.sound > 3);
@@ -188,14 +188,14 @@
 
 #[test]
 fn another_instances_store_and_gaps_are_refused() {
-    let disk = Disk::new();
+    let disk = FaultyDisk::new();
     run(&disk).unwrap();
     let other = Identity { id: 8, ..me() };
-    let again = Disk::holding(disk.image());
+    let again = FaultyDisk::holding(disk.image());
     let error = Store::open_on(again, &other).unwrap_err();
     assert!(matches!(error, StoreError::Identity { .. }), "{error}");
 
-    let mut store = Store::open_on(Disk::holding(disk.image()), &me()).unwrap();
+    let mut store = Store::open_on(FaultyDisk::holding(disk.image()), &me()).unwrap();
     assert_eq!(store.starts(), 2);
     for bad in [
         Batch { entries: vec![record(45, 5)], ..Batch::default() },
--- a/crates/test-support/src/agents.rs
+++ b/crates/test-support/src/agent_cluster.rs
@@ -11,11 +11,11 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
-use crate::relay::Relay;
+use crate::fault_relay::FaultRelay;
 
 /// How the agents of a test run.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct ClusterOptions {
     /// How many.
     pub agents: usize,
     /// Length of a tick, in milliseconds.
@@ -23,16 +23,23 @@
     /// Ticks before an election.
     pub election_ticks: u64,
     /// A grant's life, in milliseconds.
-    pub life_ms: u64,
+    pub lease_ttl_ms: u64,
     /// Entries before a fold.
-    pub fold_every: u64,
+    pub compact_every: u64,
     /// Whether a relay stands in each direction between two.
     pub relays: bool,
 }
 
-impl Default for Options {
+impl Default for ClusterOptions {
     fn default() -> Self {
-        Self { agents: 3, tick_ms: 10, election_ticks: 15, life_ms: 600, fold_every: 500, relays: true }
+        Self {
+            agents: 3,
+            tick_ms: 10,
+            election_ticks: 15,
+            lease_ttl_ms: 600,
+            compact_every: 500,
+            relays: true,
+        }
     }
 }
 
@@ -41,11 +48,11 @@
     config: PathBuf,
     local: SocketAddr,
     /// To each other agent, by its place.
-    ways: Vec<Option<Relay>>,
+    ways: Vec<Option<FaultRelay>>,
 }
 
 /// A cluster of agents.
-pub struct Cluster {
+pub struct AgentCluster {
     program: PathBuf,
     agents: Vec<Agent>,
     http: ureq::Agent,
@@ -94,7 +101,7 @@
 ///
 /// # Panics
 /// It does not within half a minute.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(30);
     while !holds() {
         assert!(Instant::now() < end, "not within 30 s: {what}");
@@ -102,20 +109,20 @@
     }
 }
 
-impl Cluster {
+impl AgentCluster {
     /// Founds a cluster in an empty folder, starts all agents and waits until all of them vote.
     ///
     /// # Panics
     /// It does not come up.
-    pub fn start(program: &Path, folder: &Path, options: &Options) -> Self {
+    pub fn start(program: &Path, folder: &Path, options: &ClusterOptions) -> Self {
         let count = options.agents;
         let peers: Vec<SocketAddr> = (0..count).map(|_| address(7001)).collect();
         let agents = (0..count)
             .map(|at| {
                 let way = |to: usize| {
-                    (options.relays && to != at).then(|| Relay::start(peers[to]).expect("a relay"))
+                    (options.relays && to != at).then(|| FaultRelay::start(peers[to]).expect("a relay"))
                 };
-                let ways: Vec<Option<Relay>> = (0..count).map(way).collect();
+                let ways: Vec<Option<FaultRelay>> = (0..count).map(way).collect();
                 let via: serde_json::Map<String, Value> = (ways.iter().enumerate())
                     .filter_map(|(to, way)| {
                         Some((format!("n{to}"), json!(way.as_ref()?.address().to_string())))
@@ -127,7 +134,7 @@
                     "name": format!("n{at}"), "cluster": "test", "store": folder.join(format!("n{at}.redb")),
                     "peers": peers[at].to_string(), "local": local.to_string(), "via": via,
                     "tick_ms": options.tick_ms, "election_ticks": options.election_ticks,
-                    "life_ms": options.life_ms, "fold_every": options.fold_every,
+                    "life_ms": options.lease_ttl_ms, "fold_every": options.compact_every,
                 });
                 std::fs::write(&config, text.to_string()).expect("the configuration is written");
                 Agent { child: None, config, local, ways }
@@ -137,12 +144,12 @@
         let founded = cluster.command("found", 0).output().expect("the agent runs");
         assert!(founded.status.success(), "{founded:?}");
         for at in 0..count {
-            cluster.run(at);
+            cluster.start_agent(at);
         }
         for at in 1..count {
             cluster.add(at);
         }
-        until("all vote", || (0..count).all(|at| cluster.part(at) == "voter"));
+        wait_until("all vote", || (0..count).all(|at| cluster.role(at) == "voter"));
         cluster
     }
 
@@ -176,7 +183,7 @@
     ///
     /// # Panics
     /// It does not start.
-    pub fn run(&mut self, at: usize) {
+    pub fn start_agent(&mut self, at: usize) {
         let child = self.command("run", at).spawn().expect("the agent starts");
         self.agents[at].child = Some(child);
     }
@@ -184,23 +191,23 @@
     /// Adds an agent that waits to be added.
     pub fn add(&self, at: usize) {
         let mut me = Value::Null;
-        until("the newcomer answers", || {
+        wait_until("the newcomer answers", || {
             let answer = get(&self.http, self.local(at), "/v1/status");
             me = answer.map(|(_, status)| status["me"].clone()).unwrap_or_default();
             me["part"] == "none"
         });
         let change = json!({"add": {"id": me["id"], "name": me["name"], "address": me["address"]}});
-        until("the leader adds it", || self.lead("/v1/members", &change));
+        wait_until("the leader adds it", || self.post_to_leader("/v1/members", &change));
     }
 
     /// Has whoever leads do something; whether it was done.
-    pub fn lead(&self, path: &str, body: &Value) -> bool {
+    pub fn post_to_leader(&self, path: &str, body: &Value) -> bool {
         let done = |at| matches!(post(&self.http, self.local(at), path, body), Ok((200, v)) if v["result"] == "done");
         (0..self.len()).any(done)
     }
 
     /// `voter`, `learner`, `none`, or empty if it does not answer.
-    pub fn part(&self, at: usize) -> String {
+    pub fn role(&self, at: usize) -> String {
         let status = self.status(at);
         status["me"]["part"].as_str().unwrap_or_default().to_owned()
     }
@@ -253,12 +260,12 @@
     }
 
     /// Whether an agent was started and not killed.
-    pub fn runs(&self, at: usize) -> bool {
+    pub fn is_running(&self, at: usize) -> bool {
         self.agents[at].child.is_some()
     }
 
     /// Takes an agent's store away, as a lost disk does.
-    pub fn lose_store(&self, at: usize) {
+    pub fn delete_store(&self, at: usize) {
         let _ = std::fs::remove_file(self.agents[at].config.with_extension("redb"));
     }
 
@@ -307,7 +314,7 @@
     }
 }
 
-impl Drop for Cluster {
+impl Drop for AgentCluster {
     fn drop(&mut self) {
         for at in 0..self.len() {
             // One that is frozen takes no other signal's word for its end, but this one's.
--- a/crates/test-support/src/relay.rs
+++ b/crates/test-support/src/fault_relay.rs
@@ -8,13 +8,13 @@
 
 /// The relay; it ends with the process.
 #[derive(Debug, Clone)]
-pub struct Relay {
+pub struct FaultRelay {
     address: SocketAddr,
     cut: Arc<AtomicBool>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Relay {
+impl FaultRelay {
     /// A relay to `to`.
     ///
     /// # Errors
--- a/crates/test-support/src/disk.rs
+++ b/crates/test-support/src/faulty_disk.rs
@@ -75,9 +75,9 @@
 
 /// The disk: clones are the same disk.
 #[derive(Debug, Clone, Default)]
-pub struct Disk(Arc<Mutex<Inner>>);
+pub struct FaultyDisk(Arc<Mutex<Inner>>);
 
-impl Disk {
+impl FaultyDisk {
     /// An empty disk.
     pub fn new() -> Self {
         Self::default()
@@ -98,7 +98,7 @@
     }
 
     /// The power goes when this many operations have been done.
-    pub fn cut_after(&self, operations: u64) {
+    pub fn cut_power_after(&self, operations: u64) {
         self.inner().cut_at = Some(operations);
     }
 
@@ -119,7 +119,7 @@
 
     /// What a machine finds that starts after the power went: the synced bytes, and of each later write all,
     /// nothing or some sectors, as `seed` has it.
-    pub fn after_cut(&self, seed: u64) -> Disk {
+    pub fn after_power_cut(&self, seed: u64) -> FaultyDisk {
         let inner = self.inner();
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut image = inner.durable.clone();
@@ -130,7 +130,7 @@
                 _ => op.apply(&mut image, Some(&mut rng)),
             }
         }
-        Disk::holding(image)
+        FaultyDisk::holding(image)
     }
 
     /// The bytes as a running program sees them.
@@ -139,7 +139,7 @@
     }
 }
 
-impl StorageBackend for Disk {
+impl StorageBackend for FaultyDisk {
     fn len(&self) -> io::Result<u64> {
         let inner = self.inner();
         if inner.dead {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-ins: devices and peers that misbehave on request, for the tests and benches of all packages.
 
-pub mod agents;
-pub mod disk;
-pub mod fleet;
-pub mod front;
-pub mod history;
-pub mod load;
-pub mod relay;
+pub mod agent_cluster;
+pub mod fault_relay;
+pub mod faulty_disk;
+pub mod linearizability;
+pub mod load_generator;
+pub mod scripted_servers;
+pub mod virtual_fleet;
--- a/crates/test-support/src/history.rs
+++ b/crates/test-support/src/linearizability.rs
@@ -13,7 +13,7 @@
 
 /// An operation on one subject.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Op {
+pub struct Operation {
     /// The subject.
     pub subject: u64,
     /// The value proposed; none for a read.
@@ -28,12 +28,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct History {
     /// In the order of their beginning.
-    pub ops: Vec<Op>,
+    pub ops: Vec<Operation>,
 }
 
 impl History {
     fn begin(&mut self, subject: u64, proposes: Option<Vec<u8>>, now: u64) -> usize {
-        self.ops.push(Op { subject, proposes, begun: now, heard: Heard::Nothing });
+        self.ops.push(Operation { subject, proposes, begun: now, heard: Heard::Nothing });
         self.ops.len() - 1
     }
 
@@ -59,7 +59,7 @@
 
     /// Subjects whose decision some client has heard of.
     pub fn acknowledged(&self) -> Vec<(u64, Vec<u8>)> {
-        let heard = |op: &Op| match &op.heard {
+        let heard = |op: &Operation| match &op.heard {
             Heard::Value(Some(value), _) => Some((op.subject, value.clone())),
             _ => None,
         };
@@ -72,18 +72,18 @@
     /// proposal of that value, after the beginning of every read that saw nothing, before the end of everything
     /// that saw the value. (An unanswered proposal's interval has no end.)
     pub fn not_linearizable(&self) -> Vec<String> {
-        let mut subjects: BTreeMap<u64, Vec<&Op>> = BTreeMap::new();
+        let mut subjects: BTreeMap<u64, Vec<&Operation>> = BTreeMap::new();
         for op in &self.ops {
             subjects.entry(op.subject).or_default().push(op);
         }
-        let bad = |(subject, ops): (u64, Vec<&Op>)| {
+        let bad = |(subject, ops): (u64, Vec<&Operation>)| {
             explains(&ops).is_err().then(|| format!("subject {subject}: no order explains {ops:?}"))
         };
         subjects.into_iter().filter_map(bad).collect()
     }
 }
 
-fn explains(ops: &[&Op]) -> Result<(), ()> {
+fn explains(ops: &[&Operation]) -> Result<(), ()> {
     let mut value = None;
     let (mut after, mut before) = (0, u64::MAX);
     for op in ops {
@@ -99,10 +99,11 @@
         }
     }
     let Some(value) = value else { return Ok(()) };
-    let end = |op: &Op| match op.heard {
+    let end = |op: &Operation| match op.heard {
         Heard::Value(_, end) => end,
         Heard::Nothing => u64::MAX,
     };
-    let fits = |op: &&&Op| op.proposes.as_ref() == Some(value) && op.begun.max(after) <= end(op).min(before);
+    let fits =
+        |op: &&&Operation| op.proposes.as_ref() == Some(value) && op.begun.max(after) <= end(op).min(before);
     ops.iter().any(|op| fits(&op)).then_some(()).ok_or(())
 }
--- a/crates/test-support/src/load.rs
+++ b/crates/test-support/src/load_generator.rs
@@ -9,7 +9,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::front::{Plan, Source, list, member, progress, state};
+use crate::scripted_servers::{ProxySetup, ScriptedStream, list, member, progress, state};
 
 /// Stack of a thread here: there may be a thousand.
 const STACK: usize = 64 * 1024;
@@ -60,19 +60,19 @@
 }
 
 /// Discovery, platform and a front's plan for machines of a released build.
-pub fn around(machines: &[SocketAddr]) -> (Source, Source, Plan) {
+pub fn around(machines: &[SocketAddr]) -> (ScriptedStream, ScriptedStream, ProxySetup) {
     let members: Vec<String> =
         machines.iter().enumerate().map(|(n, at)| member(&format!("s-{n}"), *at, 4, "Ready")).collect();
     let known = list(1, true, &members);
     let news = state(4, 1, "COMPLETE", 1.0);
-    let (discovery, platform) = (Source::start(&known), Source::start(&progress(&news)));
-    let plan = Plan::new(&known, news, &discovery, &platform);
+    let (discovery, platform) = (ScriptedStream::start(&known), ScriptedStream::start(&progress(&news)));
+    let plan = ProxySetup::new(&known, news, &discovery, &platform);
     (discovery, platform, plan)
 }
 
 /// What clients got.
 #[derive(Debug)]
-pub struct Heard {
+pub struct LoadReport {
     /// Times of answers with 200, in microseconds.
     pub times: Histogram<u64>,
     /// Other answers.
@@ -85,7 +85,7 @@
 
 /// So many clients, each on one connection, one request at a time, for a while. `gap`: between two requests of one
 /// client; none: as fast as it can.
-pub fn clients(front: SocketAddr, count: usize, gap: Option<Duration>, long: Duration) -> Heard {
+pub fn run_clients(front: SocketAddr, count: usize, gap: Option<Duration>, long: Duration) -> LoadReport {
     static ID: AtomicU64 = AtomicU64::new(1 << 40);
     let stop = Arc::new(AtomicBool::new(false));
     let begun = Instant::now();
@@ -131,7 +131,7 @@
     stop.store(true, Ordering::Relaxed);
     let seconds = begun.elapsed().as_secs_f64();
     let mut heard =
-        Heard { times: Histogram::new(3).expect("a histogram"), others: 0, unanswered: 0, seconds };
+        LoadReport { times: Histogram::new(3).expect("a histogram"), others: 0, unanswered: 0, seconds };
     for thread in threads {
         let (times, others, unanswered) = thread.join().expect("a client");
         heard.times.add(times).expect("histograms add");
--- a/crates/test-support/src/front.rs
+++ b/crates/test-support/src/scripted_servers.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for any condition: far beyond what a slow machine needs.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until `condition` holds.
-pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < end, "never came: {what}");
         std::thread::sleep(Duration::from_millis(2));
@@ -84,33 +84,33 @@
 
 /// What a machine does with a request.
 #[derive(Debug, Clone)]
-pub enum Does {
+pub enum EndpointBehavior {
     /// Answers with this status, header lines and body.
-    Answer(u16, &'static str, Vec<u8>),
+    Respond(u16, &'static str, Vec<u8>),
     /// Says nothing.
-    Nothing,
+    Ignore,
     /// Closes the connection.
     Close,
     /// Says these bytes, whatever they are, and keeps the connection open.
-    Say(Vec<u8>),
+    SendRaw(Vec<u8>),
     /// Says these bytes and closes the connection.
-    SayAndClose(&'static str),
+    SendRawAndClose(&'static str),
     /// Waits for [`Machine::release`], then answers with 200.
-    Wait,
+    WaitForRelease,
     /// Streams parts, each once released, and then ends or breaks off.
     Stream(Vec<&'static str>, bool),
 }
 
 #[derive(Default)]
 struct Shared {
-    does: Option<Does>,
+    does: Option<EndpointBehavior>,
     requests: Vec<Message>,
     released: u64,
     connections: u64,
 }
 
 /// A machine.
-pub struct Machine {
+pub struct ScriptedEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<Shared>, Condvar)>,
@@ -120,9 +120,9 @@
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-impl Machine {
+impl ScriptedEndpoint {
     /// A machine that does so with every request.
-    pub fn start(does: Does) -> Machine {
+    pub fn start(does: EndpointBehavior) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let shared: Arc<(Mutex<Shared>, Condvar)> = Arc::default();
@@ -135,11 +135,11 @@
                 std::thread::spawn(move || serve(stream, &shared));
             }
         });
-        Machine { address, shared }
+        ScriptedEndpoint { address, shared }
     }
 
     /// Changes what it does with requests to come.
-    pub fn now_does(&self, does: Does) {
+    pub fn set_behavior(&self, does: EndpointBehavior) {
         lock(&self.shared.0).does = Some(does);
     }
 
@@ -177,20 +177,20 @@
             }
             steps += 1;
         };
-        let text = match does.unwrap_or(Does::Nothing) {
-            Does::Answer(status, lines, body) => answer(status, lines, &body),
-            Does::Nothing => continue,
-            Does::Close => return,
-            Does::Say(bytes) => bytes,
-            Does::SayAndClose(text) => {
+        let text = match does.unwrap_or(EndpointBehavior::Ignore) {
+            EndpointBehavior::Respond(status, lines, body) => answer(status, lines, &body),
+            EndpointBehavior::Ignore => continue,
+            EndpointBehavior::Close => return,
+            EndpointBehavior::SendRaw(bytes) => bytes,
+            EndpointBehavior::SendRawAndClose(text) => {
                 let _ = stream.write_all(text.as_bytes());
                 return;
             }
-            Does::Wait => {
+            EndpointBehavior::WaitForRelease => {
                 wait();
                 answer(200, "", b"late")
             }
-            Does::Stream(parts, whole) => {
+            EndpointBehavior::Stream(parts, whole) => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 for part in parts {
                     wait();
@@ -217,7 +217,7 @@
 }
 
 /// A source of lines in an answer that stays open: discovery, or the platform's news.
-pub struct Source {
+pub struct ScriptedStream {
     /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Mutex<SourceState>>,
@@ -235,9 +235,9 @@
     silent: bool,
 }
 
-impl Source {
+impl ScriptedStream {
     /// A source that tells `first` on each connection.
-    pub fn start(first: &str) -> Source {
+    pub fn start(first: &str) -> ScriptedStream {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let shared: Arc<Mutex<SourceState>> = Arc::default();
@@ -264,18 +264,18 @@
                 }
             }
         });
-        Source { address, shared }
+        ScriptedStream { address, shared }
     }
 
     /// Tells a line to all that listen, and to those who come later instead of what was told first.
-    pub fn tell(&self, line: &str, first: &str) {
+    pub fn publish(&self, line: &str, first: &str) {
         let mut state = lock(&self.shared);
         state.first = first.to_owned();
         state.streams.retain_mut(|s| s.write_all(&chunk(&format!("{line}\n"))).is_ok());
     }
 
     /// Tells a line with bytes right behind it that are no chunk; those who come later are told `first`.
-    pub fn spoil(&self, line: &str, first: &str) {
+    pub fn publish_corrupt(&self, line: &str, first: &str) {
         let mut state = lock(&self.shared);
         state.first = first.to_owned();
         let bytes = [chunk(&format!("{line}\n")), b"no chunk\r\n".to_vec()].concat();
@@ -283,12 +283,12 @@
     }
 
     /// Falls silent, or speaks again on connections to come.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         lock(&self.shared).silent = silent;
     }
 
     /// Cuts all its connections.
-    pub fn cut(&self) {
+    pub fn disconnect_all(&self) {
         let mut state = lock(&self.shared);
         let mute = std::mem::take(&mut state.mute);
         for stream in state.streams.drain(..).chain(mute) {
@@ -302,7 +302,7 @@
     }
 
     /// The targets that were asked for.
-    pub fn asked(&self) -> Vec<String> {
+    pub fn requested_targets(&self) -> Vec<String> {
         lock(&self.shared).asked.clone()
     }
 
@@ -364,7 +364,7 @@
 }
 
 /// How a front is to be started.
-pub struct Plan {
+pub struct ProxySetup {
     /// The list of machines that it starts with.
     pub known: String,
     /// Where the newest build stands at its start.
@@ -380,13 +380,18 @@
     /// Where it listens, if not anywhere.
     pub listen: Option<SocketAddr>,
     /// Text of a file of extras.
-    pub extras: Option<String>,
+    pub features: Option<String>,
 }
 
-impl Plan {
+impl ProxySetup {
     /// With the list and the news that these tell.
-    pub fn new(known: &str, news: String, discovery: &Source, platform: &Source) -> Plan {
-        Plan {
+    pub fn new(
+        known: &str,
+        news: String,
+        discovery: &ScriptedStream,
+        platform: &ScriptedStream,
+    ) -> ProxySetup {
+        ProxySetup {
             known: known.to_owned(),
             news,
             discovery: discovery.address,
@@ -394,7 +399,7 @@
             sockets: 1024,
             settings: serde_json::from_str(include_str!("../../proxy/tests/settings.json")).expect("JSON"),
             listen: None,
-            extras: None,
+            features: None,
         }
     }
 
@@ -432,7 +437,7 @@
 }
 
 /// The program, running.
-pub struct Running {
+pub struct RunningProxy {
     /// Where clients connect.
     pub address: SocketAddr,
     child: Child,
@@ -440,19 +445,19 @@
     log: Arc<Mutex<String>>,
 }
 
-impl Running {
+impl RunningProxy {
     /// Starts it, and waits until it says that it serves.
-    pub fn start(plan: &Plan) -> Running {
-        Running::start_with(plan, &[])
+    pub fn start(plan: &ProxySetup) -> RunningProxy {
+        RunningProxy::start_with(plan, &[])
     }
 
     /// The same, with more in its environment.
-    pub fn start_with(plan: &Plan, more: &[(&str, &str)]) -> Running {
+    pub fn start_with(plan: &ProxySetup, more: &[(&str, &str)]) -> RunningProxy {
         loop {
             let address = plan.listen.unwrap_or_else(free_address);
-            let mut running = Running::spawn(plan, more, address);
+            let mut running = RunningProxy::spawn(plan, more, address);
             let mut ended = false;
-            until("a front that serves, or ends", || {
+            wait_until("a front that serves, or ends", || {
                 ended = running.child.try_wait().expect("a child").is_some();
                 // Only once it says that it listens is it the one that answers there.
                 ended || running.log().contains("serving") && running.is_healthy()
@@ -462,16 +467,16 @@
             if !taken {
                 return running;
             }
-            until("its last words", || !running.log().is_empty());
+            wait_until("its last words", || !running.log().is_empty());
             assert!(running.log().contains("Address already in use"), "it ended: {}", running.log());
         }
     }
 
-    fn spawn(plan: &Plan, more: &[(&str, &str)], address: SocketAddr) -> Running {
+    fn spawn(plan: &ProxySetup, more: &[(&str, &str)], address: SocketAddr) -> RunningProxy {
         let config = config_file(&plan.config(address));
         // All tests of the front can be run on several threads as well.
         let cores = std::env::var("FRONT_CORES").ok().map(|cores| format!(r#"{{"cores":{cores}}}"#));
-        let extras = plan.extras.as_ref().or(cores.as_ref()).map(|text| config_file(text));
+        let extras = plan.features.as_ref().or(cores.as_ref()).map(|text| config_file(text));
         let mut child = Command::new(program())
             .env_clear()
             .env("RELAY_CONFIG", &config)
@@ -487,18 +492,20 @@
                 lock(&all).push_str(&format!("{line}\n"));
             }
         });
-        Running { address, child, config, log }
+        RunningProxy { address, child, config, log }
     }
 
     fn is_healthy(&self) -> bool {
         let ask = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         let stream = TcpStream::connect(self.address).ok();
-        stream.and_then(|s| Client { reader: BufReader::new(s) }.say(ask)).is_some_and(|a| a.status() == 200)
+        stream
+            .and_then(|s| TestClient { reader: BufReader::new(s) }.exchange(ask))
+            .is_some_and(|a| a.status() == 200)
     }
 
     /// A new connection to it.
-    pub fn client(&self) -> Client {
-        Client::on(TcpStream::connect(self.address).expect("a connection"))
+    pub fn client(&self) -> TestClient {
+        TestClient::on(TcpStream::connect(self.address).expect("a connection"))
     }
 
     /// What it has logged so far.
@@ -533,7 +540,7 @@
     /// Waits for its exit.
     pub fn exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("an exit", || {
+        wait_until("an exit", || {
             status = self.child.try_wait().expect("a child");
             status.is_some()
         });
@@ -541,7 +548,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -570,15 +577,15 @@
 }
 
 /// A client's connection.
-pub struct Client {
+pub struct TestClient {
     reader: BufReader<TcpStream>,
 }
 
-impl Client {
+impl TestClient {
     /// On a connection that stands.
-    pub fn on(stream: TcpStream) -> Client {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        Client { reader: BufReader::new(stream) }
+    pub fn on(stream: TcpStream) -> TestClient {
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
+        TestClient { reader: BufReader::new(stream) }
     }
 
     /// Sends text as it is.
@@ -592,24 +599,24 @@
     }
 
     /// Sends text and reads the answer.
-    pub fn say(&mut self, text: &str) -> Option<Message> {
+    pub fn exchange(&mut self, text: &str) -> Option<Message> {
         self.send(text);
         self.read()
     }
 
     /// Sends a request that is safe to repeat, with plenty of time, and reads the answer.
     pub fn look(&mut self) -> Message {
-        self.say(&request("GET", "/look", 9000, "")).expect("an answer")
+        self.exchange(&request("GET", "/look", 9000, "")).expect("an answer")
     }
 
     /// Whether the other side has ended the connection.
-    pub fn ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).map_or(true, |_| rest.is_empty())
     }
 
     /// Reads what comes next, up to so many bytes.
-    pub fn part(&mut self, most: usize) -> Vec<u8> {
+    pub fn read_at_most(&mut self, most: usize) -> Vec<u8> {
         let mut bytes = vec![0; most];
         let read = self.reader.read(&mut bytes).unwrap_or(0);
         bytes.truncate(read);
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/virtual_fleet.rs
@@ -37,7 +37,7 @@
 
 /// One deployment of machines with one core, and what happens to it.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
+pub struct FleetPlan {
     /// Speed of the core, over a standard one.
     pub speed: f64,
     /// Work of a new connection; every request takes one.
@@ -52,15 +52,15 @@
     pub seed: u64,
 }
 
-impl Default for Plan {
+impl Default for FleetPlan {
     fn default() -> Self {
-        Plan { speed: 1.0, handshake: 0, hints: Hints::Rough, hidden: 500 * MS, killed: 0.0, seed: 1 }
+        FleetPlan { speed: 1.0, handshake: 0, hints: Hints::Rough, hidden: 500 * MS, killed: 0.0, seed: 1 }
     }
 }
 
 /// What came of a plan.
 #[derive(Debug)]
-pub struct Came {
+pub struct FleetLoad {
     /// The most that any cold machine got in a window, over what it bears.
     pub worst: f64,
     /// Share of the requests that were sent somewhere.
@@ -108,7 +108,7 @@
 
 /// The fleet while it is played.
 struct World {
-    plan: Plan,
+    plan: FleetPlan,
     rng: Rng,
     brains: Vec<Policy>,
     /// The machines as they were, as those that restart come back, and as the others are drained.
@@ -125,7 +125,7 @@
 }
 
 /// Plays 14 s: 8 quiet ones, then machines start anew while the others are drained.
-pub fn play(plan: Plan) -> Came {
+pub fn simulate(plan: FleetPlan) -> FleetLoad {
     let mut rng = Rng::with_seed(plan.seed);
     let brains: Vec<Policy> = (0..FRONTS).map(|i| Policy::new(rng.u64(..), settings(i))).collect();
     // Some fronts see several times the mean.
@@ -159,7 +159,7 @@
             }
         }
     }
-    Came { worst: world.worst(), sent: f64::from(world.sent) / f64::from(world.asked) }
+    FleetLoad { worst: world.worst(), sent: f64::from(world.sent) / f64::from(world.asked) }
 }
 
 impl World {
--- a/crates/vote-router/src/lib.rs
+++ b/crates/vote-router/src/lib.rs
@@ -12,42 +12,42 @@
 
 /// Whose vote it is that goes to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Origin {
+pub enum VoteOrigin {
     /// The front's own decisions': they hear of its answer.
     Own,
     /// Cast for all, or again for want of an agent: the front's own decisions asked nothing and hear nothing but the
     /// news that comes with the answer.
-    All,
+    Cluster,
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Step {
+pub enum RouterAction {
     /// Cast this at the platform.
-    Cast(Vote, Origin),
+    CastVote(Vote, VoteOrigin),
     /// Tell the agent; its answer goes to [`Ballots::told`].
-    Tell(Vote),
+    SendToAgent(Vote),
     /// The front's own decisions hear this of their vote.
-    Answer(VoteResult),
+    VoteCompleted(VoteResult),
     /// The front's own decisions hear this of the newest build.
-    News(RolloutStatus),
+    RolloutUpdated(RolloutStatus),
 }
 
 /// What the agent says.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Line {
+pub struct AgentUpdate {
     /// Builds that are condemned.
     pub condemned: BTreeSet<Build>,
     /// This front casts for all; and what, if anybody says anything.
     pub cast: Option<Option<Vote>>,
     /// The agent reaches the others.
-    pub together: bool,
+    pub has_quorum: bool,
 }
 
 /// A front's ballots.
 #[derive(Debug, Default)]
-pub struct Ballots {
-    joined: bool,
+pub struct VoteRouter {
+    uses_agent: bool,
     own: Option<Vote>,
     /// What this front has standing at the platform for all, and since when.
     standing: Option<(Vote, Micros)>,
@@ -57,34 +57,42 @@
     life: Micros,
 }
 
-impl Ballots {
+impl VoteRouter {
     /// Ballots of a front whose votes stand at the platform for `life`.
     pub fn new(life: Micros) -> Self {
         Self { life, ..Self::default() }
     }
 
     /// Whether verdicts go to the agent.
-    pub fn joined(&self) -> bool {
-        self.joined
+    pub fn uses_agent(&self) -> bool {
+        self.uses_agent
     }
 
     /// The front's own decisions vote.
-    pub fn votes(&mut self, vote: Vote) -> Step {
+    pub fn on_vote(&mut self, vote: Vote) -> RouterAction {
         self.own = Some(vote);
-        if self.joined { Step::Tell(vote) } else { Step::Cast(vote, Origin::Own) }
+        if self.uses_agent {
+            RouterAction::SendToAgent(vote)
+        } else {
+            RouterAction::CastVote(vote, VoteOrigin::Own)
+        }
     }
 
     /// The agent's answer to a verdict: whether it is passed on. No answer is none.
-    pub fn told(&mut self, vote: Vote, passed_on: bool) -> Option<Step> {
+    pub fn on_agent_reply(&mut self, vote: Vote, passed_on: bool) -> Option<RouterAction> {
         // Said again when the agent came back: the decisions have had their answer.
         if self.own != Some(vote) {
-            return Some(Step::Answer(VoteResult::Counted)).filter(|_| passed_on);
+            return Some(RouterAction::VoteCompleted(VoteResult::Counted)).filter(|_| passed_on);
         }
-        Some(if passed_on { Step::Answer(VoteResult::Counted) } else { Step::Cast(vote, Origin::Own) })
+        Some(if passed_on {
+            RouterAction::VoteCompleted(VoteResult::Counted)
+        } else {
+            RouterAction::CastVote(vote, VoteOrigin::Own)
+        })
     }
 
     /// The agent says something.
-    pub fn heard(&mut self, now: Micros, line: Line) -> Vec<Step> {
+    pub fn on_agent_update(&mut self, now: Micros, line: AgentUpdate) -> Vec<RouterAction> {
         let mut steps = Vec::new();
         if line.condemned != self.condemned {
             // Grows only: a build that all have condemned is not trusted again because an agent has lost its memory.
@@ -96,23 +104,25 @@
             if let Some((stage, since)) = self.stage {
                 let told = self.as_told(stage);
                 if told.exposure_cap != stage.exposure_cap {
-                    steps.push(Step::News(RolloutStatus {
+                    steps.push(RouterAction::RolloutUpdated(RolloutStatus {
                         age: stage.age + now.saturating_sub(since),
                         ..told
                     }));
                 }
             }
         }
-        match (self.joined, line.together) {
+        match (self.uses_agent, line.has_quorum) {
             (false, true) => {
-                self.joined = true;
+                self.uses_agent = true;
                 // What was said while it was away is said to the others now.
-                steps.extend(self.own.filter(|vote| vote.2 != Verdict::Abstain).map(Step::Tell));
+                steps.extend(
+                    self.own.filter(|vote| vote.2 != Verdict::Abstain).map(RouterAction::SendToAgent),
+                );
             }
             (true, false) => steps.extend(self.part(now)),
             _ => {}
         }
-        if self.joined {
+        if self.uses_agent {
             self.wanted = line.cast.flatten();
             steps.extend(self.cast_wanted(now));
         }
@@ -120,52 +130,53 @@
     }
 
     /// The agent is not heard any more.
-    pub fn silent(&mut self, now: Micros) -> Vec<Step> {
+    pub fn on_agent_lost(&mut self, now: Micros) -> Vec<RouterAction> {
         self.part(now)
     }
 
     /// From here on this front is on its own: what its decisions have said, and believe to be counted, it casts now.
-    fn part(&mut self, now: Micros) -> Vec<Step> {
-        if !std::mem::take(&mut self.joined) {
+    fn part(&mut self, now: Micros) -> Vec<RouterAction> {
+        if !std::mem::take(&mut self.uses_agent) {
             return Vec::new();
         }
         self.wanted = None;
         match self.own.filter(|vote| vote.2 != Verdict::Abstain) {
             Some(vote) => {
                 self.standing = None;
-                vec![Step::Cast(vote, Origin::All)]
+                vec![RouterAction::CastVote(vote, VoteOrigin::Cluster)]
             }
             None => self.cast_wanted(now).into_iter().collect(),
         }
     }
 
     /// Whatever is due by now.
-    pub fn tend(&mut self, now: Micros) -> Option<Step> {
-        if self.joined { self.cast_wanted(now) } else { None }
+    pub fn on_tick(&mut self, now: Micros) -> Option<RouterAction> {
+        if self.uses_agent { self.cast_wanted(now) } else { None }
     }
 
     /// Brings what stands at the platform for all in line with what is wanted there.
-    fn cast_wanted(&mut self, now: Micros) -> Option<Step> {
+    fn cast_wanted(&mut self, now: Micros) -> Option<RouterAction> {
         match (self.wanted, self.standing) {
             (Some(wanted), Some((standing, since))) if wanted == standing && now < since + self.life / 2 => {
                 None
             }
             (Some(wanted), _) => {
                 self.standing = Some((wanted, now));
-                Some(Step::Cast(wanted, Origin::All))
+                Some(RouterAction::CastVote(wanted, VoteOrigin::Cluster))
             }
             // Another casts from here on, or nobody says anything: two votes for all would count as two instances.
             (None, Some(((build, stage, _), since))) => {
                 self.standing = None;
                 let lapsed = now >= since + self.life;
-                (!lapsed).then_some(Step::Cast((build, stage, Verdict::Abstain), Origin::All))
+                (!lapsed)
+                    .then_some(RouterAction::CastVote((build, stage, Verdict::Abstain), VoteOrigin::Cluster))
             }
             (None, None) => None,
         }
     }
 
     /// News of the newest build, as the front's own decisions are told it.
-    pub fn news(&mut self, now: Micros, stage: RolloutStatus) -> RolloutStatus {
+    pub fn on_rollout_update(&mut self, now: Micros, stage: RolloutStatus) -> RolloutStatus {
         self.stage = Some((stage, now));
         self.as_told(stage)
     }
@@ -188,8 +199,8 @@
         (Build(build), 1, verdict)
     }
 
-    fn line(together: bool, cast: Option<Option<Vote>>) -> Line {
-        Line { condemned: BTreeSet::new(), cast, together }
+    fn line(together: bool, cast: Option<Option<Vote>>) -> AgentUpdate {
+        AgentUpdate { condemned: BTreeSet::new(), cast, has_quorum: together }
     }
 
     fn stage(build: u32, phase: RolloutPhase, cap: f64) -> RolloutStatus {
@@ -198,85 +209,102 @@
 
     #[test]
     fn without_an_agent_every_vote_goes_to_the_platform_as_ever() {
-        let mut alone = Ballots::new(4 * S);
+        let mut alone = VoteRouter::new(4 * S);
         for verdict in [Verdict::Hold, Verdict::RollBack, Verdict::Abstain] {
-            assert_eq!(alone.votes(vote(42, verdict)), Step::Cast(vote(42, verdict), Origin::Own));
+            assert_eq!(
+                alone.on_vote(vote(42, verdict)),
+                RouterAction::CastVote(vote(42, verdict), VoteOrigin::Own)
+            );
         }
-        assert_eq!((alone.tend(9 * S), alone.silent(9 * S)), (None, vec![]));
-        assert!(alone.heard(S, line(false, None)).is_empty(), "an agent that reaches nobody changes nothing");
+        assert_eq!((alone.on_tick(9 * S), alone.on_agent_lost(9 * S)), (None, vec![]));
+        assert!(
+            alone.on_agent_update(S, line(false, None)).is_empty(),
+            "an agent that reaches nobody changes nothing"
+        );
         assert_eq!(
-            alone.votes(vote(42, Verdict::Advance)),
-            Step::Cast(vote(42, Verdict::Advance), Origin::Own)
+            alone.on_vote(vote(42, Verdict::Advance)),
+            RouterAction::CastVote(vote(42, Verdict::Advance), VoteOrigin::Own)
         );
     }
 
     #[test]
     fn with_an_agent_verdicts_go_to_the_others_and_one_front_casts_for_all() {
-        let mut front = Ballots::new(4 * S);
-        assert!(front.heard(S, line(true, None)).is_empty());
+        let mut front = VoteRouter::new(4 * S);
+        assert!(front.on_agent_update(S, line(true, None)).is_empty());
         let hold = vote(42, Verdict::Hold);
-        assert_eq!(front.votes(hold), Step::Tell(hold));
-        assert_eq!(front.told(hold, true), Some(Step::Answer(VoteResult::Counted)));
-        let cast = front.heard(2 * S, line(true, Some(Some(hold))));
-        assert_eq!(cast, [Step::Cast(hold, Origin::All)]);
-        assert!(front.heard(3 * S, line(true, Some(Some(hold)))).is_empty(), "it stands");
-        assert_eq!(front.tend(4 * S), Some(Step::Cast(hold, Origin::All)), "renewed before it lapses");
+        assert_eq!(front.on_vote(hold), RouterAction::SendToAgent(hold));
+        assert_eq!(front.on_agent_reply(hold, true), Some(RouterAction::VoteCompleted(VoteResult::Counted)));
+        let cast = front.on_agent_update(2 * S, line(true, Some(Some(hold))));
+        assert_eq!(cast, [RouterAction::CastVote(hold, VoteOrigin::Cluster)]);
+        assert!(front.on_agent_update(3 * S, line(true, Some(Some(hold)))).is_empty(), "it stands");
+        assert_eq!(
+            front.on_tick(4 * S),
+            Some(RouterAction::CastVote(hold, VoteOrigin::Cluster)),
+            "renewed before it lapses"
+        );
         let off = vote(42, Verdict::Abstain);
-        assert_eq!(front.heard(5 * S, line(true, None)), [Step::Cast(off, Origin::All)], "another casts now");
-        assert!(front.heard(6 * S, line(true, None)).is_empty());
+        assert_eq!(
+            front.on_agent_update(5 * S, line(true, None)),
+            [RouterAction::CastVote(off, VoteOrigin::Cluster)],
+            "another casts now"
+        );
+        assert!(front.on_agent_update(6 * S, line(true, None)).is_empty());
     }
 
     #[test]
     fn a_verdict_that_the_agent_does_not_pass_on_is_cast_at_once() {
-        let mut front = Ballots::new(4 * S);
-        front.heard(S, line(true, None));
+        let mut front = VoteRouter::new(4 * S);
+        front.on_agent_update(S, line(true, None));
         let back = vote(42, Verdict::RollBack);
-        front.votes(back);
-        assert_eq!(front.told(back, false), Some(Step::Cast(back, Origin::Own)));
-        front.votes(vote(42, Verdict::Abstain));
-        assert_eq!(front.told(back, false), None, "one that is not meant any more is not cast");
+        front.on_vote(back);
+        assert_eq!(front.on_agent_reply(back, false), Some(RouterAction::CastVote(back, VoteOrigin::Own)));
+        front.on_vote(vote(42, Verdict::Abstain));
+        assert_eq!(front.on_agent_reply(back, false), None, "one that is not meant any more is not cast");
     }
 
     #[test]
     fn an_agent_that_falls_silent_leaves_no_verdict_uncast() {
-        let mut front = Ballots::new(4 * S);
-        front.heard(S, line(true, None));
+        let mut front = VoteRouter::new(4 * S);
+        front.on_agent_update(S, line(true, None));
         let hold = vote(42, Verdict::Hold);
-        front.votes(hold);
-        front.told(hold, true);
-        assert_eq!(front.silent(2 * S), [Step::Cast(hold, Origin::All)]);
-        assert!(front.silent(3 * S).is_empty(), "once");
-        assert_eq!(front.votes(hold), Step::Cast(hold, Origin::Own));
+        front.on_vote(hold);
+        front.on_agent_reply(hold, true);
+        assert_eq!(front.on_agent_lost(2 * S), [RouterAction::CastVote(hold, VoteOrigin::Cluster)]);
+        assert!(front.on_agent_lost(3 * S).is_empty(), "once");
+        assert_eq!(front.on_vote(hold), RouterAction::CastVote(hold, VoteOrigin::Own));
         assert_eq!(
-            front.heard(4 * S, line(true, None)),
-            [Step::Tell(hold)],
+            front.on_agent_update(4 * S, line(true, None)),
+            [RouterAction::SendToAgent(hold)],
             "and said again when it is back"
         );
     }
 
     #[test]
     fn what_was_cast_for_others_is_taken_off_when_the_agent_falls_silent() {
-        let mut front = Ballots::new(4 * S);
-        front.heard(S, line(true, Some(Some(vote(42, Verdict::RollBack)))));
-        assert_eq!(front.silent(2 * S), [Step::Cast(vote(42, Verdict::Abstain), Origin::All)]);
-        front.heard(3 * S, line(true, Some(Some(vote(42, Verdict::RollBack)))));
-        assert!(front.silent(9 * S).is_empty(), "it has lapsed by itself");
+        let mut front = VoteRouter::new(4 * S);
+        front.on_agent_update(S, line(true, Some(Some(vote(42, Verdict::RollBack)))));
+        assert_eq!(
+            front.on_agent_lost(2 * S),
+            [RouterAction::CastVote(vote(42, Verdict::Abstain), VoteOrigin::Cluster)]
+        );
+        front.on_agent_update(3 * S, line(true, Some(Some(vote(42, Verdict::RollBack)))));
+        assert!(front.on_agent_lost(9 * S).is_empty(), "it has lapsed by itself");
     }
 
     #[test]
     fn a_condemned_build_on_trial_gets_nothing_and_a_released_one_keeps_its_cap() {
-        let mut front = Ballots::new(4 * S);
-        assert_eq!(front.news(S, stage(42, RolloutPhase::OnTrial, 0.2)).exposure_cap, 0.2);
-        let condemned = Line { condemned: BTreeSet::from([Build(42)]), ..line(true, None) };
-        let steps = front.heard(2 * S, condemned);
-        let Some(Step::News(told)) = steps.first() else { panic!("{steps:?}") };
+        let mut front = VoteRouter::new(4 * S);
+        assert_eq!(front.on_rollout_update(S, stage(42, RolloutPhase::OnTrial, 0.2)).exposure_cap, 0.2);
+        let condemned = AgentUpdate { condemned: BTreeSet::from([Build(42)]), ..line(true, None) };
+        let steps = front.on_agent_update(2 * S, condemned);
+        let Some(RouterAction::RolloutUpdated(told)) = steps.first() else { panic!("{steps:?}") };
         assert_eq!((told.exposure_cap, told.age), (0.0, 2 * S));
-        assert_eq!(front.news(3 * S, stage(42, RolloutPhase::OnTrial, 0.6)).exposure_cap, 0.0);
-        assert_eq!(front.news(4 * S, stage(42, RolloutPhase::Released, 1.0)).exposure_cap, 1.0);
-        assert_eq!(front.news(5 * S, stage(43, RolloutPhase::OnTrial, 0.05)).exposure_cap, 0.05);
-        assert!(front.heard(6 * S, line(true, None)).is_empty());
+        assert_eq!(front.on_rollout_update(3 * S, stage(42, RolloutPhase::OnTrial, 0.6)).exposure_cap, 0.0);
+        assert_eq!(front.on_rollout_update(4 * S, stage(42, RolloutPhase::Released, 1.0)).exposure_cap, 1.0);
+        assert_eq!(front.on_rollout_update(5 * S, stage(43, RolloutPhase::OnTrial, 0.05)).exposure_cap, 0.05);
+        assert!(front.on_agent_update(6 * S, line(true, None)).is_empty());
         assert_eq!(
-            front.news(7 * S, stage(42, RolloutPhase::OnTrial, 0.6)).exposure_cap,
+            front.on_rollout_update(7 * S, stage(42, RolloutPhase::OnTrial, 0.6)).exposure_cap,
             0.0,
             "it stays condemned"
         );
