--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -10,10 +10,10 @@
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 
-use crate::call::{Ask, Call, CallEnd};
-use crate::extras::Agreement;
-use crate::ready::{ConnId, ConnIds, Handle, Who};
-use crate::watch::{self, Again, Watch};
+use crate::feature_settings::ConsensusSettings;
+use crate::readiness::{ConnId, ConnIds, Handle, Source};
+use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
+use crate::watch_stream::{self, ReconnectBackoff, WatchStream};
 
 /// Longest answer to a verdict; it is a line.
 const ANSWER_MOST: usize = 4 * 1024;
@@ -96,12 +96,12 @@
 }
 
 /// The link.
-pub struct Link {
+pub struct AgentClient {
     name: String,
     agent: SocketAddr,
     wait: Micros,
-    watch: Watch,
-    calls: Vec<(Call, Vote)>,
+    watch: WatchStream,
+    calls: Vec<(UnaryCall, Vote)>,
     ballots: VoteRouter,
     /// Connections made anew.
     pub reconnects: u64,
@@ -109,18 +109,18 @@
     pub passed_on: u64,
 }
 
-impl Link {
+impl AgentClient {
     /// A link of the front of this name. Its votes stand at the platform for `vote_life`.
-    pub fn new(agreement: &Agreement, name: &str, vote_life: Micros, seed: u64) -> Self {
-        Link {
+    pub fn new(agreement: &ConsensusSettings, name: &str, vote_life: Micros, seed: u64) -> Self {
+        AgentClient {
             name: name.to_owned(),
             agent: agreement.agent,
-            wait: agreement.wait(),
-            watch: Watch::new(
+            wait: agreement.call_timeout(),
+            watch: WatchStream::new(
                 "agent",
                 agreement.agent,
-                (agreement.silence(), agreement.silence()),
-                Again::FAR,
+                (agreement.silence_timeout(), agreement.silence_timeout()),
+                ReconnectBackoff::REMOTE,
                 seed,
             ),
             calls: Vec::new(),
@@ -131,17 +131,17 @@
     }
 
     /// Whether nothing is to be done but to listen.
-    pub fn at_rest(&self) -> bool {
-        self.calls.is_empty() && self.watch.stands()
+    pub fn is_idle(&self) -> bool {
+        self.calls.is_empty() && self.watch.is_connected()
     }
 
     /// News of the newest build, as the decisions are told it.
-    pub fn news(&mut self, now: Micros, stage: RolloutStatus) -> RolloutStatus {
+    pub fn on_rollout_status(&mut self, now: Micros, stage: RolloutStatus) -> RolloutStatus {
         self.ballots.on_rollout_update(now, stage)
     }
 
     /// The decisions vote; what remains to be done.
-    pub fn votes(
+    pub fn on_vote(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -169,17 +169,17 @@
             let said = Said { front: &self.name, opinion: Opinion::of(vote) };
             let body = serde_json::to_vec(&said).unwrap_or_default();
             let (id, until) = (ids.next(), now + self.wait);
-            let ask = Ask {
+            let ask = CallRequest {
                 to: self.agent,
                 method: "POST",
                 target: "/v1/verdicts",
                 body: &body,
-                most: ANSWER_MOST,
-                until,
+                max_response_bytes: ANSWER_MOST,
+                deadline: until,
             };
             let started = match self.calls.len() {
                 CALLS_MOST.. => Err(std::io::Error::other("too many under way")),
-                _ => Call::start(handle, id, Who::Agent(id), ask),
+                _ => UnaryCall::start(handle, id, Source::Agent(id), ask),
             };
             match started {
                 Ok(call) => self.calls.push((call, vote)),
@@ -192,12 +192,12 @@
         rest
     }
 
-    fn ended(&mut self, end: CallEnd, vote: Vote) -> Option<RouterAction> {
+    fn ended(&mut self, end: CallOutcome, vote: Vote) -> Option<RouterAction> {
         let passed_on = match end {
-            CallEnd::Answer(response) if response.status == 200 => {
+            CallOutcome::Response(response) if response.status == 200 => {
                 serde_json::from_slice::<Heard>(&response.body).is_ok_and(|answer| answer.heard)
             }
-            CallEnd::Answer(_) | CallEnd::NeverSent | CallEnd::Doubtful => false,
+            CallOutcome::Response(_) | CallOutcome::NeverSent | CallOutcome::Unknown => false,
         };
         self.passed_on += u64::from(passed_on);
         self.ballots.on_agent_reply(vote, passed_on)
@@ -212,19 +212,19 @@
     }
 
     /// Connects where that is due and gives up what is late; what remains to be done.
-    pub fn tend(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<RouterAction> {
+    pub fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<RouterAction> {
         let before = self.ballots.uses_agent();
         let mut steps = Vec::new();
         let name = &self.name;
-        let heard = self.watch.tend(handle, ids, Who::Agent, now, || format!("/v1/watch?front={name}"));
+        let heard = self.watch.on_tick(handle, ids, Source::Agent, now, || format!("/v1/watch?front={name}"));
         self.heard(heard, now, &mut steps);
-        let late: Vec<(CallEnd, Vote)> =
-            self.calls.iter().filter_map(|(call, vote)| Some((call.late(now)?, *vote))).collect();
+        let late: Vec<(CallOutcome, Vote)> =
+            self.calls.iter().filter_map(|(call, vote)| Some((call.check_timeout(now)?, *vote))).collect();
         if !late.is_empty() {
-            self.calls.retain(|(call, _)| call.late(now).is_none());
+            self.calls.retain(|(call, _)| call.check_timeout(now).is_none());
             // One that does not answer in time is as good as frozen: nothing waits for it twice.
             steps.extend(self.ballots.on_agent_lost(now));
-            self.watch.lose(now, "a verdict got no answer");
+            self.watch.disconnect(now, "a verdict got no answer");
             steps.extend(late.into_iter().filter_map(|(end, vote)| self.ended(end, vote)));
         }
         steps.extend(self.ballots.on_tick(now));
@@ -233,7 +233,7 @@
     }
 
     /// Takes what has come on one of its connections; what remains to be done.
-    pub fn ready(
+    pub fn on_ready(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -244,25 +244,25 @@
         let before = self.ballots.uses_agent();
         let mut steps = Vec::new();
         if let Some(at) = self.calls.iter().position(|(call, _)| call.id == id) {
-            if let Some(end) = self.calls[at].0.ready(readiness) {
+            if let Some(end) = self.calls[at].0.on_ready(readiness) {
                 let (_, vote) = self.calls.remove(at);
                 steps.extend(self.ended(end, vote));
             }
         } else {
-            let heard = self.watch.ready(id, readiness, now);
+            let heard = self.watch.on_ready(id, readiness, now);
             self.heard(heard, now, &mut steps);
         }
         self.log_change(before);
         self.tell(handle, ids, now, steps)
     }
 
-    fn heard(&mut self, heard: watch::Heard, now: Micros, steps: &mut Vec<RouterAction>) {
+    fn heard(&mut self, heard: watch_stream::WatchEvents, now: Micros, steps: &mut Vec<RouterAction>) {
         let mut lost = heard.lost;
-        for line in heard.told() {
+        for line in heard.non_empty_lines() {
             match serde_json::from_slice::<Told>(line) {
                 Ok(told) => steps.extend(self.ballots.on_agent_update(now, told.into())),
                 Err(e) => {
-                    self.watch.lose(now, &format!("a line that can't be read: {e}"));
+                    self.watch.disconnect(now, &format!("a line that can't be read: {e}"));
                     lost = true;
                     break;
                 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/classify.rs
@@ -7,23 +7,23 @@
 use crate::clock::MS;
 
 /// Longest time a client may say that it waits; more is a mistake in the unit.
-const WAIT_MOST_MS: u64 = 24 * 3600 * 1000;
+const MAX_TIMEOUT_MS: u64 = 24 * 3600 * 1000;
 /// Largest estimate of a request's work, in microseconds; more is a mistake in the unit.
-const HINT_MOST: f64 = 3.6e9;
+const MAX_WORK_HINT: f64 = 3.6e9;
 
 /// A request as the decisions see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Meaning {
+pub struct Classification {
     /// Its class.
     pub class: ClassId,
     /// Its tenant, at deployments with tenants.
     pub tenant: Option<TenantId>,
     /// How long the client waits, from the sending on.
-    pub wait: Micros,
+    pub timeout: Micros,
     /// Expected work, where told.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// A client's repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// Why a request means nothing here: the status, and words for its sender.
@@ -34,7 +34,7 @@
 }
 
 /// Reads path and headers.
-pub fn meaning(settings: &Settings, request: &Request) -> Result<Meaning, Odd> {
+pub fn classify(settings: &Settings, request: &Request) -> Result<Classification, Odd> {
     let headers = &request.headers;
     // An answer to these is framed unlike others, or is none that a machine makes.
     if matches!(request.method.as_str(), "HEAD" | "CONNECT" | "TRACE") {
@@ -57,14 +57,14 @@
     let wait = headers.one("request-timeout-ms").map_err(bad)?;
     let wait = wait.ok_or((400, "Request-Timeout-Ms is missing"))?;
     let digits = wait.bytes().all(|b| b.is_ascii_digit());
-    let wait = wait.parse::<u64>().ok().filter(|ms| digits && *ms <= WAIT_MOST_MS);
+    let wait = wait.parse::<u64>().ok().filter(|ms| digits && *ms <= MAX_TIMEOUT_MS);
     let wait = wait.ok_or((400, "Request-Timeout-Ms is no sensible number of milliseconds"))? * MS;
     // No client waits longer than its class does, whatever it names: a place is held for so long.
     let wait = wait.min(settings.config.classes[class].deadline);
     let hint = match headers.one("work-hint").map_err(bad)? {
         None => None,
         Some(text) => {
-            let hint = text.parse::<f64>().ok().filter(|us| (0.0..=HINT_MOST).contains(us));
+            let hint = text.parse::<f64>().ok().filter(|us| (0.0..=MAX_WORK_HINT).contains(us));
             Some(hint.ok_or((400, "Work-Hint is no sensible number of microseconds"))?)
         }
     };
@@ -74,7 +74,7 @@
         Some(_) => return Err((400, "Client-Retry is neither 0 nor 1")),
     };
     let hint = hint.map(|us| us.round() as Micros).filter(|us| *us > 0);
-    Ok(Meaning { class: ClassId(class), tenant, wait, hint, repeat })
+    Ok(Classification { class: ClassId(class), tenant, timeout: wait, work_hint: hint, is_retry: repeat })
 }
 
 #[cfg(test)]
@@ -82,14 +82,14 @@
     use super::*;
     use garnetcrank_http::{Parsing, RequestReader, Ring};
 
-    fn read(target: &str, headers: &str) -> Result<Meaning, Odd> {
+    fn read(target: &str, headers: &str) -> Result<Classification, Odd> {
         let settings = serde_json::from_str(include_str!("../tests/settings.json")).expect("JSON");
         let settings = Settings::read(&settings).expect("settings that hold together");
         let mut ring = Ring::new(4096);
         let text = format!("GET {target} HTTP/1.1\r\nHost: x\r\n{headers}\r\n");
         ring.push(text.as_bytes()).expect("room");
         match RequestReader::new(100).read(&mut ring) {
-            Ok(Parsing::Done(request)) => meaning(&settings, &request),
+            Ok(Parsing::Done(request)) => classify(&settings, &request),
             other => panic!("{other:?}"),
         }
     }
@@ -99,19 +99,19 @@
     #[test]
     fn the_headers_of_the_page_are_understood() {
         let plain = read("/look", WHOLE).expect("a request");
-        let expected = Meaning {
+        let expected = Classification {
             class: ClassId(0),
             tenant: Some(TenantId(0)),
-            wait: 480_000,
-            hint: None,
-            repeat: false,
+            timeout: 480_000,
+            work_hint: None,
+            is_retry: false,
         };
         assert_eq!(plain, expected);
         let more = read("/pay/7?x=1", &format!("{WHOLE}work-hint: 1250\r\nClient-Retry: 1\r\n"));
         let more = more.expect("a request");
-        assert_eq!((more.class, more.hint, more.repeat), (ClassId(2), Some(1250), true));
+        assert_eq!((more.class, more.work_hint, more.is_retry), (ClassId(2), Some(1250), true));
         let patient = read("/look", &WHOLE.replace("480", "86400000")).expect("a request");
-        assert_eq!(patient.wait, 30_000_000, "a class's own deadline bounds what a client names");
+        assert_eq!(patient.timeout, 30_000_000, "a class's own deadline bounds what a client names");
     }
 
     #[test]
--- a/crates/proxy/src/conn.rs
+++ b/crates/proxy/src/connection.rs
@@ -10,10 +10,10 @@
 use rustix::io::Errno;
 use socket2::{Domain, Socket, Type};
 
-use crate::ready::{Handle, Who};
+use crate::readiness::{Handle, Source};
 
 /// A connection and what waits on it. It is registered once, edge-triggered, and unregistered when dropped.
-pub struct Conn {
+pub struct Connection {
     stream: Rc<TcpStream>,
     handle: Handle,
     token: RegistrationToken,
@@ -25,12 +25,12 @@
     ended: bool,
 }
 
-impl Conn {
+impl Connection {
     /// Takes over an open or connecting stream; rings hold `most_in` and `most_out` bytes at the most.
     pub fn adopt(
         handle: &Handle,
         stream: TcpStream,
-        who: Who,
+        who: Source,
         most_in: usize,
         most_out: usize,
     ) -> io::Result<Self> {
@@ -40,11 +40,11 @@
         let source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
         let token = handle
             .insert_source(source, move |readiness, _, ready| {
-                ready.conns.push((who, readiness));
+                ready.connections.push((who, readiness));
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Conn {
+        Ok(Connection {
             stream,
             handle: handle.clone(),
             token,
@@ -59,7 +59,7 @@
     pub fn connect(
         handle: &Handle,
         to: SocketAddr,
-        who: Who,
+        who: Source,
         most_in: usize,
         most_out: usize,
     ) -> io::Result<Self> {
@@ -69,16 +69,16 @@
             Err(e) if Errno::from_io_error(&e) != Some(Errno::INPROGRESS) => return Err(e),
             _ => {}
         }
-        Conn::adopt(handle, socket.into(), who, most_in, most_out)
+        Connection::adopt(handle, socket.into(), who, most_in, most_out)
     }
 
     /// Notes what the loop told.
-    pub fn note(&mut self, readiness: Readiness) {
+    pub fn update_readiness(&mut self, readiness: Readiness) {
         self.readable |= readiness.readable || readiness.error;
     }
 
     /// Has the next read look for what came since the loop told of it last.
-    pub fn look(&mut self) {
+    pub fn poll_readable(&mut self) {
         self.readable = true;
     }
 
@@ -142,19 +142,19 @@
     }
 
     /// Whether an idle connection is still open with nothing on it.
-    pub fn quiet(&self) -> bool {
+    pub fn is_quiet(&self) -> bool {
         let nothing = matches!(self.stream.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         nothing && !self.ended && self.input.is_empty()
     }
 
     /// Tells the peer that nothing more will be sent.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         // A peer that is gone already needs no telling.
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 }
 
-impl Drop for Conn {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.handle.remove(self.token);
     }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -9,10 +9,10 @@
 use serde::Deserialize;
 use tracing::warn;
 
-use crate::call::{Ask, Call, CallEnd};
 use crate::clock::{MS, SECOND};
-use crate::ready::{ConnId, ConnIds, Handle, Who};
-use crate::watch::{Again, FIRST_WORD, Heard, Watch};
+use crate::readiness::{ConnId, ConnIds, Handle, Source};
+use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
+use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
 
 /// Silence after which a watch is dead: one of its signs of life, one every 2 s, and a margin. What a dead one misses
 /// counts as told 6 s after it fell silent, so that two more connections may fail before one tells it.
@@ -23,7 +23,7 @@
 
 /// A list, or what changed in it.
 #[derive(Debug, Clone, Deserialize)]
-pub struct List {
+pub struct MemberList {
     /// Its version.
     pub revision: u64,
     /// The whole list, not changes only.
@@ -44,7 +44,7 @@
     flavor: String,
     #[serde(default)]
     cell: u32,
-    phase: Standing,
+    phase: MemberPhase,
     #[serde(default = "one")]
     size: f64,
     #[serde(default)]
@@ -54,7 +54,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-enum Standing {
+enum MemberPhase {
     Ready,
     Terminating,
     Gone,
@@ -66,22 +66,28 @@
 
 /// What a list means for connections to a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct EndpointAddress {
     /// The machine.
-    pub machine: EndpointId,
+    pub endpoint: EndpointId,
     /// Where it listens; none: nowhere any more.
     pub address: Option<SocketAddr>,
     /// Another process answers there than before: kept connections are void.
-    pub renewed: bool,
+    pub restarted: bool,
     /// It takes nothing new.
-    pub drains: bool,
+    pub draining: bool,
     /// The build that it runs.
     pub build: Build,
 }
 
-impl Place {
+impl EndpointAddress {
     fn nowhere(machine: EndpointId) -> Self {
-        Place { machine, address: None, renewed: true, drains: true, build: Build::default() }
+        EndpointAddress {
+            endpoint: machine,
+            address: None,
+            restarted: true,
+            draining: true,
+            build: Build::default(),
+        }
     }
 }
 
@@ -98,7 +104,7 @@
 }
 
 impl Roster {
-    fn take(&mut self, list: List, saved: bool) -> (EndpointUpdate, Vec<Place>) {
+    fn take(&mut self, list: MemberList, saved: bool) -> (EndpointUpdate, Vec<EndpointAddress>) {
         self.revision = list.revision;
         let mut places = Vec::new();
         let mut seen = BTreeSet::new();
@@ -108,7 +114,7 @@
             return (EndpointUpdate::Delta(entries), places);
         }
         let missing = self.starts.keys().filter(|m| !seen.contains(*m));
-        places.extend(missing.copied().map(Place::nowhere));
+        places.extend(missing.copied().map(EndpointAddress::nowhere));
         self.starts.retain(|m, _| seen.contains(m));
         self.numbers.retain(|_, m| seen.contains(m));
         (EndpointUpdate::Snapshot { endpoints: entries, cached: saved }, places)
@@ -117,7 +123,7 @@
     fn entry(
         &mut self,
         member: &Member,
-        places: &mut Vec<Place>,
+        places: &mut Vec<EndpointAddress>,
         seen: &mut BTreeSet<EndpointId>,
     ) -> EndpointRecord {
         let given = &mut self.given;
@@ -127,7 +133,7 @@
         });
         let started = (member.up_since_ms > 0.0).then_some((member.up_since_ms * MS as f64) as Micros);
         let start = (Build(member.build), started);
-        let gone = member.phase == Standing::Gone;
+        let gone = member.phase == MemberPhase::Gone;
         let before = self.starts.get(&machine).copied();
         if gone {
             self.starts.remove(&machine);
@@ -138,15 +144,15 @@
         }
         let renewed = gone || before.is_some_and(|b| b != start);
         let presence = match member.phase {
-            Standing::Ready if member.host_port.is_some() => EndpointStatus::Active,
-            Standing::Ready | Standing::Terminating => EndpointStatus::Draining,
-            Standing::Gone => EndpointStatus::Removed,
+            MemberPhase::Ready if member.host_port.is_some() => EndpointStatus::Active,
+            MemberPhase::Ready | MemberPhase::Terminating => EndpointStatus::Draining,
+            MemberPhase::Gone => EndpointStatus::Removed,
         };
-        places.push(Place {
-            machine,
+        places.push(EndpointAddress {
+            endpoint: machine,
             address: member.host_port.filter(|_| !gone),
-            renewed,
-            drains: presence != EndpointStatus::Active,
+            restarted: renewed,
+            draining: presence != EndpointStatus::Active,
             build: Build(member.build),
         });
         EndpointRecord {
@@ -171,16 +177,16 @@
 
 /// News of the list: for the decisions, and for connections.
 #[derive(Debug, Default)]
-pub struct FleetNews {
+pub struct DiscoveryUpdate {
     /// For the decisions, in order.
-    pub fleet: Vec<EndpointUpdate>,
+    pub endpoint_updates: Vec<EndpointUpdate>,
     /// For connections, in order.
-    pub places: Vec<Place>,
+    pub addresses: Vec<EndpointAddress>,
 }
 
 /// Whether the watch is kept up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wanted {
+enum PollState {
     No,
     Yes,
     /// It was lost, and the decisions choose when to ask again.
@@ -191,12 +197,12 @@
 pub struct Discovery {
     address: SocketAddr,
     roster: Roster,
-    watch: Watch,
+    watch: WatchStream,
     /// The list comes unasked: the watch is kept up by itself.
     pushed: bool,
-    wanted: Wanted,
-    text: Text,
-    asking: Option<Call>,
+    wanted: PollState,
+    text: LineAssembler,
+    asking: Option<UnaryCall>,
     /// Discovery has told something since the start.
     pub heard: bool,
     /// Connections made anew.
@@ -208,7 +214,7 @@
     pub fn new(address: SocketAddr, settings: &Settings, seed: u64) -> Self {
         let pushed = !settings.config.poll_endpoints;
         // Where the list is asked for, many ask at once and are answered one after another.
-        let first_word = if pushed { FIRST_WORD } else { SILENCE };
+        let first_word = if pushed { FIRST_BYTE_TIMEOUT } else { SILENCE };
         Discovery {
             address,
             roster: Roster {
@@ -219,10 +225,16 @@
                 kinds: settings.kinds.clone(),
                 revision: 0,
             },
-            watch: Watch::new("discovery", address, (SILENCE, first_word), Again::HERE, seed),
+            watch: WatchStream::new(
+                "discovery",
+                address,
+                (SILENCE, first_word),
+                ReconnectBackoff::LOCAL,
+                seed,
+            ),
             pushed,
-            wanted: if pushed { Wanted::Yes } else { Wanted::No },
-            text: Text::default(),
+            wanted: if pushed { PollState::Yes } else { PollState::No },
+            text: LineAssembler::default(),
             asking: None,
             heard: false,
             reconnects: 0,
@@ -230,101 +242,102 @@
     }
 
     /// Takes the list that the configuration holds.
-    pub fn known(&mut self, list: List) -> FleetNews {
-        let (fleet, places) = self.roster.take(List { complete: true, ..list }, true);
-        FleetNews { fleet: vec![fleet], places }
+    pub fn load_cached(&mut self, list: MemberList) -> DiscoveryUpdate {
+        let (fleet, places) = self.roster.take(MemberList { complete: true, ..list }, true);
+        DiscoveryUpdate { endpoint_updates: vec![fleet], addresses: places }
     }
 
     /// The configuration was read again. The list held stays, unless the one told there is newer; the next
     /// connection goes to the new address, at once.
-    pub fn renew(&mut self, address: SocketAddr, known: List, now: Micros) -> FleetNews {
+    pub fn reconfigure(&mut self, address: SocketAddr, known: MemberList, now: Micros) -> DiscoveryUpdate {
         let last = self.watch.retarget(address, now);
         let mut news = self.heard(last, now);
         if std::mem::replace(&mut self.address, address) != address {
-            self.text = Text::default();
-            if self.wanted == Wanted::Again {
+            self.text = LineAssembler::default();
+            if self.wanted == PollState::Again {
                 // The wait is for the old address, and may be longer than what is there now stays unsaid.
-                self.wanted = Wanted::Yes;
+                self.wanted = PollState::Yes;
             }
             if self.asking.take().is_some() {
-                news.fleet.push(EndpointUpdate::Unavailable); // asked again where it is now
+                news.endpoint_updates.push(EndpointUpdate::Unavailable); // asked again where it is now
             }
         }
         if known.revision > self.roster.revision {
-            let FleetNews { fleet, places } = self.known(known);
-            news.fleet.extend(fleet);
-            news.places.extend(places);
+            let DiscoveryUpdate { endpoint_updates: fleet, addresses: places } = self.load_cached(known);
+            news.endpoint_updates.extend(fleet);
+            news.addresses.extend(places);
         }
         news
     }
 
     /// The decisions subscribe, or no longer want to.
-    pub fn subscribe(&mut self, want: bool, now: Micros) -> FleetNews {
+    pub fn set_watching(&mut self, want: bool, now: Micros) -> DiscoveryUpdate {
         if self.pushed {
-            return FleetNews::default();
+            return DiscoveryUpdate::default();
         }
         let last = self.watch.close(now);
         let news = self.heard(last, now);
-        (self.wanted, self.text) = (if want { Wanted::Yes } else { Wanted::No }, Text::default());
+        (self.wanted, self.text) =
+            (if want { PollState::Yes } else { PollState::No }, LineAssembler::default());
         news
     }
 
     /// The decisions ask for the whole list.
-    pub fn ask(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> FleetNews {
+    pub fn poll(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> DiscoveryUpdate {
         if self.asking.is_some() {
-            return FleetNews::default(); // its answer is theirs too
+            return DiscoveryUpdate::default(); // its answer is theirs too
         }
         let id = ids.next();
-        let ask = Ask {
+        let ask = CallRequest {
             to: self.address,
             method: "GET",
             target: "/v1/servers",
             body: b"",
-            most: LIST_MOST,
-            until: now + ASK_WAIT,
+            max_response_bytes: LIST_MOST,
+            deadline: now + ASK_WAIT,
         };
-        match Call::start(handle, id, Who::Discovery(id), ask) {
+        match UnaryCall::start(handle, id, Source::Discovery(id), ask) {
             Ok(call) => {
                 self.asking = Some(call);
-                FleetNews::default()
+                DiscoveryUpdate::default()
             }
             Err(e) => {
                 warn!("discovery: cannot ask for the list: {e}");
-                FleetNews { fleet: vec![EndpointUpdate::Unavailable], places: Vec::new() }
+                DiscoveryUpdate { endpoint_updates: vec![EndpointUpdate::Unavailable], addresses: Vec::new() }
             }
         }
     }
 
     /// Whether nothing is to be done but to listen.
-    pub fn at_rest(&self) -> bool {
-        self.asking.is_none() && (self.wanted != Wanted::Yes || self.watch.stands())
+    pub fn is_idle(&self) -> bool {
+        self.asking.is_none() && (self.wanted != PollState::Yes || self.watch.is_connected())
     }
 
     /// Connects where that is due, and gives up what has been silent for too long.
-    pub fn tend(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> FleetNews {
-        let mut news = FleetNews::default();
-        if self.asking.as_ref().is_some_and(|c| c.late(now).is_some()) {
+    pub fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> DiscoveryUpdate {
+        let mut news = DiscoveryUpdate::default();
+        if self.asking.as_ref().is_some_and(|c| c.check_timeout(now).is_some()) {
             self.asking = None;
-            news.fleet.push(EndpointUpdate::Unavailable);
+            news.endpoint_updates.push(EndpointUpdate::Unavailable);
         }
-        if self.wanted == Wanted::Yes {
+        if self.wanted == PollState::Yes {
             let target = || format!("/v1/servers?stream=1&index={}", self.roster.revision);
-            let heard = self.watch.tend(handle, ids, Who::Discovery, now, target);
-            let FleetNews { fleet, places } = self.heard(heard, now);
-            news.fleet.extend(fleet);
-            news.places.extend(places);
+            let heard = self.watch.on_tick(handle, ids, Source::Discovery, now, target);
+            let DiscoveryUpdate { endpoint_updates: fleet, addresses: places } = self.heard(heard, now);
+            news.endpoint_updates.extend(fleet);
+            news.addresses.extend(places);
         }
         news
     }
 
     /// What the watch has to say.
-    fn heard(&mut self, heard: Heard, now: Micros) -> FleetNews {
-        let mut news = FleetNews::default();
+    fn heard(&mut self, heard: WatchEvents, now: Micros) -> DiscoveryUpdate {
+        let mut news = DiscoveryUpdate::default();
         let mut lost = heard.lost;
         for line in heard.lines {
             let Some(text) = self.text.line(&line) else { continue };
             if !self.line(&text, &mut news) {
-                self.watch.lose(now, "a list that can't be read");
+                self.watch.disconnect(now, "a list that can't be read");
                 lost = true;
                 break;
             }
@@ -333,75 +346,75 @@
         news
     }
 
-    fn lost(&mut self, lost: bool, news: &mut FleetNews) {
+    fn lost(&mut self, lost: bool, news: &mut DiscoveryUpdate) {
         self.reconnects += u64::from(lost);
         if lost {
-            self.text = Text::default(); // the next connection begins with a text of its own
+            self.text = LineAssembler::default(); // the next connection begins with a text of its own
         }
         if lost && !self.pushed {
-            self.wanted = Wanted::Again;
-            news.fleet.push(EndpointUpdate::Unavailable);
+            self.wanted = PollState::Again;
+            news.endpoint_updates.push(EndpointUpdate::Unavailable);
         }
     }
 
     /// Takes what has come on one of its connections.
-    pub fn ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> FleetNews {
+    pub fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> DiscoveryUpdate {
         if let Some(call) = self.asking.as_mut().filter(|c| c.id == id) {
-            let Some(end) = call.ready(readiness) else { return FleetNews::default() };
+            let Some(end) = call.on_ready(readiness) else { return DiscoveryUpdate::default() };
             self.asking = None;
             return self.asked(end);
         }
-        let heard = self.watch.ready(id, readiness, now);
+        let heard = self.watch.on_ready(id, readiness, now);
         self.heard(heard, now)
     }
 
     /// The end of a call for the whole list. One that was written before what the watch has told since undoes nothing.
-    fn asked(&mut self, end: CallEnd) -> FleetNews {
-        let mut news = FleetNews::default();
+    fn asked(&mut self, end: CallOutcome) -> DiscoveryUpdate {
+        let mut news = DiscoveryUpdate::default();
         let list = match end {
-            CallEnd::Answer(response) if response.status == 200 => read(&response.body),
+            CallOutcome::Response(response) if response.status == 200 => read(&response.body),
             _ => None,
         };
         match list {
             Some(list) => {
                 let older = list.revision < self.roster.revision;
-                self.take(List { complete: list.complete && !older, ..list }, &mut news);
+                self.take(MemberList { complete: list.complete && !older, ..list }, &mut news);
             }
-            None => news.fleet.push(EndpointUpdate::Unavailable),
+            None => news.endpoint_updates.push(EndpointUpdate::Unavailable),
         }
         news
     }
 
     /// One list or change of the watch; false if it can't be read.
-    fn line(&mut self, line: &[u8], news: &mut FleetNews) -> bool {
+    fn line(&mut self, line: &[u8], news: &mut DiscoveryUpdate) -> bool {
         let Some(list) = read(line) else { return false };
         self.take(list, news);
         true
     }
 
-    fn take(&mut self, list: List, news: &mut FleetNews) {
+    fn take(&mut self, list: MemberList, news: &mut DiscoveryUpdate) {
         self.heard = true;
         // A change that is already part of the list held says nothing new, but it answers: decisions that
         // wait for an answer would take discovery for lost and ask again, all fronts in step.
         if list.complete || list.revision > self.roster.revision {
             let (fleet, places) = self.roster.take(list, false);
-            news.fleet.push(fleet);
-            news.places.extend(places);
+            news.endpoint_updates.push(fleet);
+            news.addresses.extend(places);
         } else {
-            news.fleet.push(EndpointUpdate::Delta(Vec::new()));
+            news.endpoint_updates.push(EndpointUpdate::Delta(Vec::new()));
         }
     }
 }
 
 /// A text of JSON that may be indented, over several lines, as far as it has come.
 #[derive(Debug, Default)]
-struct Text {
+struct LineAssembler {
     bytes: Vec<u8>,
     /// Brackets that are open: no string goes on over the end of a line.
     open: i32,
 }
 
-impl Text {
+impl LineAssembler {
     /// One more line; the text, if it ends here. An empty line ends one that is not whole: what follows a sign of life
     /// is a text of its own, and half of one kept back would swallow all that come after it.
     fn line(&mut self, line: &[u8]) -> Option<Vec<u8>> {
@@ -426,7 +439,7 @@
     }
 }
 
-fn read(text: &[u8]) -> Option<List> {
+fn read(text: &[u8]) -> Option<MemberList> {
     serde_json::from_slice(text).inspect_err(|e| warn!("discovery: {e}")).ok()
 }
 
@@ -450,8 +463,8 @@
         format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
     }
 
-    fn take(d: &mut Discovery, line: &str) -> FleetNews {
-        let mut news = FleetNews::default();
+    fn take(d: &mut Discovery, line: &str) -> DiscoveryUpdate {
+        let mut news = DiscoveryUpdate::default();
         assert!(d.line(line.as_bytes(), &mut news), "{line}");
         news
     }
@@ -460,14 +473,14 @@
     fn an_entry_means_what_the_page_says() {
         let mut d = discovery();
         let news = take(&mut d, &list(4, true, &[member("s-1", 9001, 41, "Ready")]));
-        let EndpointUpdate::Snapshot { endpoints: entries, cached: false } = &news.fleet[0] else {
+        let EndpointUpdate::Snapshot { endpoints: entries, cached: false } = &news.endpoint_updates[0] else {
             panic!("{news:?}")
         };
         let entry = entries[0];
         assert_eq!((entry.endpoint, entry.zone, entry.kind), (EndpointId(0), ZoneId(1), KindId(0)));
         assert_eq!((entry.build, entry.cell, entry.rating), (Build(41), CellId(3), 1.5));
         assert_eq!(entry.started, Some(1_700_000_000_000_000));
-        assert_eq!(news.places[0].address, Some("127.0.0.1:9001".parse().expect("an address")));
+        assert_eq!(news.addresses[0].address, Some("127.0.0.1:9001".parse().expect("an address")));
     }
 
     #[test]
@@ -478,10 +491,10 @@
         let line = list(1, true, &all);
         assert!(line.len() <= LIST_MOST / 4, "{} bytes are a fourth of what a line may have", line.len());
         let news = take(&mut d, &line);
-        let EndpointUpdate::Snapshot { endpoints: entries, .. } = &news.fleet[0] else {
+        let EndpointUpdate::Snapshot { endpoints: entries, .. } = &news.endpoint_updates[0] else {
             panic!("no whole list")
         };
-        assert_eq!((entries.len(), news.places.len(), d.roster.numbers.len()), (most, most, most));
+        assert_eq!((entries.len(), news.addresses.len(), d.roster.numbers.len()), (most, most, most));
     }
 
     #[test]
@@ -490,13 +503,13 @@
         take(&mut d, &list(4, true, &[member("s-1", 9001, 41, "Ready"), member("s-2", 9002, 41, "Ready")]));
         let news = take(&mut d, &list(5, false, &[member("s-1", 9001, 42, "Ready")]));
         assert!(
-            matches!(&news.fleet[0], EndpointUpdate::Delta(e) if e.len() == 1 && e[0].build == Build(42))
+            matches!(&news.endpoint_updates[0], EndpointUpdate::Delta(e) if e.len() == 1 && e[0].build == Build(42))
         );
-        assert!(news.places[0].renewed);
+        assert!(news.addresses[0].restarted);
         let news = take(&mut d, &list(6, false, &[member("s-1", 9001, 42, "Terminating")]));
-        assert!(!news.places[0].renewed, "a drain leaves what is under way alone");
+        assert!(!news.addresses[0].restarted, "a drain leaves what is under way alone");
         let news = take(&mut d, &list(7, false, &[member("s-1", 9001, 42, "Gone")]));
-        assert_eq!((news.places[0].address, news.places[0].renewed), (None, true));
+        assert_eq!((news.addresses[0].address, news.addresses[0].restarted), (None, true));
     }
 
     #[test]
@@ -504,7 +517,7 @@
         let mut d = discovery();
         take(&mut d, &list(4, true, &[member("s-1", 9001, 41, "Ready"), member("s-2", 9002, 41, "Ready")]));
         let news = take(&mut d, &list(9, true, &[member("s-2", 9002, 41, "Ready")]));
-        assert!(news.places.contains(&Place::nowhere(EndpointId(0))));
+        assert!(news.addresses.contains(&EndpointAddress::nowhere(EndpointId(0))));
     }
 
     #[test]
@@ -516,7 +529,7 @@
             let (id, port) = (format!("s-{}", round % 7 + 1), 9001);
             let news =
                 take(&mut d, &list(2 * round, false, &[member(&id, port, 41 + round as u32, "Ready")]));
-            numbers.push(news.places[0].machine);
+            numbers.push(news.addresses[0].endpoint);
             take(&mut d, &list(2 * round + 1, false, &[member(&id, port, 41, "Gone")]));
         }
         numbers.dedup();
@@ -534,9 +547,13 @@
         let told = take(&mut d, &list(7, false, &[member("s-1", 9001, 41, "Ready")]));
         // An answer all the same, to whoever asked.
         assert!(
-            matches!(&told.fleet[..], [EndpointUpdate::Delta(e)] if e.is_empty()) && told.places.is_empty()
+            matches!(&told.endpoint_updates[..], [EndpointUpdate::Delta(e)] if e.is_empty())
+                && told.addresses.is_empty()
+        );
+        assert_eq!(
+            take(&mut d, &list(2, true, &[member("s-1", 9001, 41, "Ready")])).endpoint_updates.len(),
+            1
         );
-        assert_eq!(take(&mut d, &list(2, true, &[member("s-1", 9001, 41, "Ready")])).fleet.len(), 1);
     }
 
     /// A list with a line for each value, as an agent may write it.
@@ -545,9 +562,9 @@
         serde_json::to_vec_pretty(&value).expect("JSON")
     }
 
-    fn heard(d: &mut Discovery, text: &[u8]) -> FleetNews {
+    fn heard(d: &mut Discovery, text: &[u8]) -> DiscoveryUpdate {
         let lines = text.split(|b| *b == b'\n').map(<[u8]>::to_vec).collect();
-        d.heard(Heard { lines, lost: false }, 0)
+        d.heard(WatchEvents { lines, lost: false }, 0)
     }
 
     #[test]
@@ -557,16 +574,16 @@
             indented(&list(4, true, &[member("s-\"{1", 9001, 41, "Ready")]).replace("s-\"{1", "s-\\\"{1"));
         assert!(whole.contains(&b'\n'));
         assert!(
-            matches!(&heard(&mut d, &whole).fleet[..], [EndpointUpdate::Snapshot { endpoints: entries, .. }] if entries.len() == 1)
+            matches!(&heard(&mut d, &whole).endpoint_updates[..], [EndpointUpdate::Snapshot { endpoints: entries, .. }] if entries.len() == 1)
         );
         let change = indented(&list(5, false, &[member("s-2", 9002, 41, "Ready")]));
         let half = change.len() / 2;
-        assert!(heard(&mut d, b"\n\n").fleet.is_empty(), "signs of life");
+        assert!(heard(&mut d, b"\n\n").endpoint_updates.is_empty(), "signs of life");
         // It comes in two parts, then half of another with a sign of life behind it.
         let end = change[..half].iter().rposition(|b| *b == b'\n').expect("a line's end");
-        assert!(heard(&mut d, &change[..end]).fleet.is_empty());
+        assert!(heard(&mut d, &change[..end]).endpoint_updates.is_empty());
         assert!(
-            matches!(&heard(&mut d, &change[end + 1..]).fleet[..], [EndpointUpdate::Delta(e)] if e.len() == 1)
+            matches!(&heard(&mut d, &change[end + 1..]).endpoint_updates[..], [EndpointUpdate::Delta(e)] if e.len() == 1)
         );
         heard(&mut d, &change[..end]);
         assert_eq!(d.reconnects, 0);
@@ -574,7 +591,7 @@
         assert_eq!(d.reconnects, 1, "half a list can't be read");
         let after = list(6, false, &[member("s-3", 9003, 41, "Ready")]);
         assert!(
-            matches!(&heard(&mut d, after.as_bytes()).fleet[..], [EndpointUpdate::Delta(e)] if e.len() == 1)
+            matches!(&heard(&mut d, after.as_bytes()).endpoint_updates[..], [EndpointUpdate::Delta(e)] if e.len() == 1)
         );
     }
 
@@ -586,12 +603,20 @@
         let answer = |revision| {
             let body = list(revision, true, &[member("s-1", 9001, 41, "Ready")]).into_bytes();
             let headers = garnetcrank_http::Headers::default();
-            CallEnd::Answer(garnetcrank_http::Response { status: 200, headers, body, keep_alive: false })
+            CallOutcome::Response(garnetcrank_http::Response {
+                status: 200,
+                headers,
+                body,
+                keep_alive: false,
+            })
         };
         let older = d.asked(answer(7));
-        assert!(matches!(&older.fleet[..], [EndpointUpdate::Delta(e)] if e.is_empty()), "{older:?}");
-        assert!(older.places.is_empty());
-        assert!(matches!(&d.asked(answer(9)).fleet[..], [EndpointUpdate::Snapshot { .. }]));
+        assert!(
+            matches!(&older.endpoint_updates[..], [EndpointUpdate::Delta(e)] if e.is_empty()),
+            "{older:?}"
+        );
+        assert!(older.addresses.is_empty());
+        assert!(matches!(&d.asked(answer(9)).endpoint_updates[..], [EndpointUpdate::Snapshot { .. }]));
     }
 
     #[test]
@@ -600,65 +625,71 @@
             serde_json::from_str(include_str!("../tests/settings.json")).expect("JSON");
         settings["registryMode"] = "on_request".into();
         let settings = Settings::read(&settings).expect("settings that hold together");
-        let event_loop = calloop::EventLoop::<crate::ready::Ready>::try_new().expect("a loop");
+        let event_loop = calloop::EventLoop::<crate::readiness::TurnInputs>::try_new().expect("a loop");
         let (handle, mut ids, now) = (event_loop.handle(), ConnIds::default(), 100 * SECOND);
         let listen = || std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let (old, new) = (listen(), listen());
         let address = |l: &std::net::TcpListener| l.local_addr().expect("an address");
         let mut d = Discovery::new(address(&old), &settings, 7);
         // Asked for, and not a word there: lost, and the decisions wait before they ask again.
-        assert!(d.subscribe(true, now).fleet.is_empty());
-        d.tend(&handle, &mut ids, now);
+        assert!(d.set_watching(true, now).endpoint_updates.is_empty());
+        d.on_tick(&handle, &mut ids, now);
         let (_mute, _) = old.accept().expect("a connection");
-        let lost = d.tend(&handle, &mut ids, now + SILENCE);
-        assert!(matches!(lost.fleet[..], [EndpointUpdate::Unavailable]), "{lost:?}");
+        let lost = d.on_tick(&handle, &mut ids, now + SILENCE);
+        assert!(matches!(lost.endpoint_updates[..], [EndpointUpdate::Unavailable]), "{lost:?}");
         let begun = ids.next();
-        let nothing = List { revision: 0, complete: false, members: Vec::new() };
-        d.renew(address(&old), nothing.clone(), now + SILENCE);
-        d.tend(&handle, &mut ids, now + SILENCE);
+        let nothing = MemberList { revision: 0, complete: false, members: Vec::new() };
+        d.reconfigure(address(&old), nothing.clone(), now + SILENCE);
+        d.on_tick(&handle, &mut ids, now + SILENCE);
         assert_eq!(ids.next().0, begun.0 + 1, "at the same address it is theirs to say when");
         // What is there now counts 4 s from here, and they may wait for 6.
-        d.renew(address(&new), nothing, now + SILENCE);
-        d.tend(&handle, &mut ids, now + SILENCE);
+        d.reconfigure(address(&new), nothing, now + SILENCE);
+        d.on_tick(&handle, &mut ids, now + SILENCE);
         assert_eq!(ids.next().0, begun.0 + 3, "nothing was asked where it is now");
         new.accept().expect("a connection");
     }
 
     #[test]
     fn a_call_for_the_list_under_way_as_discovery_moves_is_told_as_lost_and_its_answer_counts_no_more() {
-        let event_loop = calloop::EventLoop::<crate::ready::Ready>::try_new().expect("a loop");
+        let event_loop = calloop::EventLoop::<crate::readiness::TurnInputs>::try_new().expect("a loop");
         let (handle, mut ids, now) = (event_loop.handle(), ConnIds::default(), 100 * SECOND);
         let listen = || std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let (old, new) = (listen(), listen());
         let address = |l: &std::net::TcpListener| l.local_addr().expect("an address");
         let mut d = discovery();
-        let nothing = List { revision: 0, complete: false, members: Vec::new() };
-        d.renew(address(&old), nothing.clone(), now);
-        assert!(d.ask(&handle, &mut ids, now).fleet.is_empty());
+        let nothing = MemberList { revision: 0, complete: false, members: Vec::new() };
+        d.reconfigure(address(&old), nothing.clone(), now);
+        assert!(d.poll(&handle, &mut ids, now).endpoint_updates.is_empty());
         let (mut held, _) = old.accept().expect("the call");
         let call = ConnId(ids.next().0 - 1);
-        let same = d.renew(address(&old), nothing.clone(), now);
-        assert!(same.fleet.is_empty() && d.asking.is_some(), "a reload that moves nothing lets it go on");
-        let lost = d.renew(address(&new), nothing, now);
-        assert!(matches!(lost.fleet[..], [EndpointUpdate::Unavailable]), "the decisions must hear: {lost:?}");
+        let same = d.reconfigure(address(&old), nothing.clone(), now);
+        assert!(
+            same.endpoint_updates.is_empty() && d.asking.is_some(),
+            "a reload that moves nothing lets it go on"
+        );
+        let lost = d.reconfigure(address(&new), nothing, now);
+        assert!(
+            matches!(lost.endpoint_updates[..], [EndpointUpdate::Unavailable]),
+            "the decisions must hear: {lost:?}"
+        );
         // The old address answers after all.
         use std::io::Write;
         let body = r#"{"revision":9,"complete":true,"members":[]}"#;
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let _ = held.write_all(answer.as_bytes()); // it may be closed by now
         let readiness = Readiness { readable: true, writable: true, error: false };
-        assert!(d.ready(call, readiness, now).fleet.is_empty() && !d.heard);
-        assert!(d.ask(&handle, &mut ids, now).fleet.is_empty());
+        assert!(d.on_ready(call, readiness, now).endpoint_updates.is_empty() && !d.heard);
+        assert!(d.poll(&handle, &mut ids, now).endpoint_updates.is_empty());
         new.accept().expect("the next call goes where it is now");
     }
 
     #[test]
     fn a_list_that_cannot_be_read_is_told_from_one_that_can() {
         let mut d = discovery();
-        let mut news = FleetNews::default();
+        let mut news = DiscoveryUpdate::default();
         for line in ["{", "[]", r#"{"revision":1,"complete":true,"members":[{"id":"x","phase":"Odd"}]}"#] {
             assert!(!d.line(line.as_bytes(), &mut news), "{line}");
         }
-        assert!(news.fleet.is_empty() && !d.heard);
+        assert!(news.endpoint_updates.is_empty() && !d.heard);
     }
 }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -11,10 +11,10 @@
 use garnetcrank_shared_policy::DecisionStamp;
 use rustc_hash::FxHashMap;
 
+use crate::classify::Classification;
 use crate::clock::MS;
-use crate::cores::{Core, home_of};
-use crate::ready::ConnId;
-use crate::request::Meaning;
+use crate::readiness::ConnId;
+use crate::workers::{WorkerId, owner_of};
 
 /// A request that nothing has ended is failed so long after its time: the decisions' own answer comes first,
 /// and the deployment's slack is not used up.
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub enum Command {
     /// Start an attempt for a request that is held.
-    Place {
+    Forward {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
@@ -37,21 +37,21 @@
         stamp: DecisionStamp,
     },
     /// Call an attempt off.
-    Withdraw {
+    Cancel {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: usize,
     },
     /// Final answer: a machine's.
-    Pass {
+    Respond {
         /// To whom.
         client: ConnId,
         /// What.
         answer: Response,
     },
     /// Final answer: refused, harmless to try again.
-    Refuse {
+    Reject {
         /// To whom.
         client: ConnId,
         /// When to come back.
@@ -63,19 +63,19 @@
         client: ConnId,
     },
     /// Final answer: failed, and the front's own doing, since nothing else ended the request in time.
-    Overdue {
+    DeadlineExceeded {
         /// To whom.
         client: ConnId,
     },
     /// A streamed answer begins.
-    Begin {
+    StartResponse {
         /// To whom.
         client: ConnId,
         /// With these headers.
         headers: Headers,
     },
     /// A streamed answer has ended: whole, or broken.
-    Finish {
+    FinishResponse {
         /// To whom.
         client: ConnId,
         /// It is whole.
@@ -89,13 +89,13 @@
         token: u64,
     },
     /// Probe a machine.
-    Probe(EndpointId),
+    HealthCheck(EndpointId),
     /// Close idle connections to a machine.
     CloseIdle(EndpointId),
     /// Subscribe to discovery.
-    Subscribe(bool),
+    WatchEndpoints(bool),
     /// Ask for the whole list.
-    AskFleet,
+    PollEndpoints,
     /// Cast a vote.
     Vote(Build, usize, Verdict),
     /// A line for on-call.
@@ -103,7 +103,7 @@
 }
 
 /// A request that the decisions know of or will be told of.
-pub struct Held {
+pub struct InFlightRequest {
     /// Who sent it.
     pub client: ConnId,
     /// What it says. Shared, so that it can be sent while the decisions go on.
@@ -114,20 +114,20 @@
     attempts: usize,
     /// Its final answer has not been given. Once it has, the request stays until the decisions know, since
     /// they may ask for something in between.
-    owed: bool,
+    awaiting_answer: bool,
     /// The attempt whose streamed answer has begun.
-    pub begun: Option<usize>,
+    pub streaming_attempt: Option<usize>,
 }
 
 /// The decisions, the requests they owe answers to, and what they have not been told yet.
-pub struct Driver {
+pub struct Dispatcher {
     brain: Policy,
     config: Config,
-    held: FxHashMap<RequestId, Held>,
+    in_flight_count: FxHashMap<RequestId, InFlightRequest>,
     /// Names that clients gave to the requests whose answer is owed.
     names: HashSet<Vec<u8>>,
     /// When they are failed, should nothing end them.
-    overdue: BTreeSet<(Micros, RequestId)>,
+    expire_overdue: BTreeSet<(Micros, RequestId)>,
     owed: usize,
     /// The same by thread.
     owed_by: Vec<usize>,
@@ -135,28 +135,28 @@
     next: u32,
     /// The process ends: every answer is given by then.
     answer_by: Option<Micros>,
-    news: VecDeque<Event>,
+    queue_priority_event: VecDeque<Event>,
     /// News that the decisions have been told so far.
     news_told: u64,
     events: VecDeque<Event>,
     actions: Vec<Action>,
 }
 
-impl Driver {
+impl Dispatcher {
     /// A new instance of the decisions.
     pub fn new(seed: u64, settings: &Settings, cores: usize) -> Self {
-        Driver {
+        Dispatcher {
             brain: Policy::new(seed, settings.config.clone()),
             config: settings.config.clone(),
-            held: FxHashMap::default(),
+            in_flight_count: FxHashMap::default(),
             names: HashSet::new(),
-            overdue: BTreeSet::new(),
+            expire_overdue: BTreeSet::new(),
             owed: 0,
             owed_by: vec![0; cores],
             owed_bytes: 0,
             next: 0,
             answer_by: None,
-            news: VecDeque::new(),
+            queue_priority_event: VecDeque::new(),
             news_told: 0,
             events: VecDeque::new(),
             actions: Vec::new(),
@@ -164,12 +164,12 @@
     }
 
     /// Requests whose answer is owed.
-    pub fn held(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.owed
     }
 
     /// The same on one thread.
-    pub fn held_by(&self, core: Core) -> usize {
+    pub fn in_flight_count_of(&self, core: WorkerId) -> usize {
         self.owed_by[core.0]
     }
 
@@ -179,56 +179,70 @@
     }
 
     /// When the first of those on a thread must be failed.
-    pub fn due(&self, core: Core) -> Option<Micros> {
+    pub fn next_deadline(&self, core: WorkerId) -> Option<Micros> {
         self.first_due(core).map(|(at, _)| at)
     }
 
-    fn first_due(&self, core: Core) -> Option<(Micros, RequestId)> {
+    fn first_due(&self, core: WorkerId) -> Option<(Micros, RequestId)> {
         let cores = self.owed_by.len();
-        self.overdue.iter().find(|(_, id)| id.0 as usize % cores == core.0).copied()
+        self.expire_overdue.iter().find(|(_, id)| id.0 as usize % cores == core.0).copied()
     }
 
     /// Their bodies, in bytes.
-    pub fn held_bytes(&self) -> usize {
+    pub fn in_flight_bytes(&self) -> usize {
         self.owed_bytes
     }
 
     /// One of them.
-    pub fn get(&self, id: RequestId) -> Option<&Held> {
-        self.held.get(&id).filter(|h| h.owed)
+    pub fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
+        self.in_flight_count.get(&id).filter(|h| h.awaiting_answer)
     }
 
     /// News of fleet or stage: told before anything else that waits.
-    pub fn news(&mut self, event: Event) {
-        self.news.push_back(event);
+    pub fn queue_priority_event(&mut self, event: Event) {
+        self.queue_priority_event.push_back(event);
     }
 
     /// Anything else that happened.
-    pub fn event(&mut self, event: Event) {
+    pub fn queue_event(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
     /// Takes a request over; its number and deadline.
-    pub fn request(&mut self, client: ConnId, message: Message, meaning: Meaning, now: Micros) -> RequestId {
+    pub fn on_request(
+        &mut self,
+        client: ConnId,
+        message: Message,
+        meaning: Classification,
+        now: Micros,
+    ) -> RequestId {
         // The number says whose thread it is on: it leaves the same rest as that thread's.
-        let (cores, core) = (self.owed_by.len() as u32, home_of(client).0 as u32);
+        let (cores, core) = (self.owed_by.len() as u32, owner_of(client).0 as u32);
         let most = u32::MAX / cores;
         let number = |next: u32| RequestId(next % most * cores + core);
-        while self.held.contains_key(&number(self.next)) {
+        while self.in_flight_count.contains_key(&number(self.next)) {
             self.next = self.next.wrapping_add(1);
         }
         let id = number(self.next);
         self.next = self.next.wrapping_add(1);
         self.owed_by[core as usize] += 1;
-        let Meaning { class, tenant, wait, hint, repeat } = meaning;
+        let Classification { class, tenant, timeout: wait, work_hint: hint, is_retry: repeat } = meaning;
         let deadline = self.answer_by.map_or(now + wait, |by| by.min(now + wait));
         self.owed += 1;
         self.owed_bytes += message.body.len();
         self.names.insert(name_of(&message).to_vec());
-        self.overdue.insert((deadline + OVERDUE, id));
+        self.expire_overdue.insert((deadline + OVERDUE, id));
         let message = Arc::new(message);
-        let held = Held { client, message, class, deadline, attempts: 0, owed: true, begun: None };
-        self.held.insert(id, held);
+        let held = InFlightRequest {
+            client,
+            message,
+            class,
+            deadline,
+            attempts: 0,
+            awaiting_answer: true,
+            streaming_attempt: None,
+        };
+        self.in_flight_count.insert(id, held);
         self.events.push_back(Event::Request(Request {
             id,
             class,
@@ -244,74 +258,87 @@
     /// The process ends and may be killed after this: what is held and what comes is answered by then.
     pub fn answer_by(&mut self, by: Micros) {
         self.answer_by = Some(by);
-        for (id, held) in self.held.iter_mut().filter(|(_, held)| held.owed && held.deadline > by) {
-            self.overdue.remove(&(held.deadline + OVERDUE, *id));
+        for (id, held) in
+            self.in_flight_count.iter_mut().filter(|(_, held)| held.awaiting_answer && held.deadline > by)
+        {
+            self.expire_overdue.remove(&(held.deadline + OVERDUE, *id));
             held.deadline = by;
-            self.overdue.insert((held.deadline + OVERDUE, *id));
+            self.expire_overdue.insert((held.deadline + OVERDUE, *id));
         }
     }
 
     /// The final answer has been given, or is owed no more: whose it was.
     fn settle(&mut self, id: RequestId) -> Option<ConnId> {
-        let held = self.held.get_mut(&id).filter(|h| h.owed)?;
-        held.owed = false;
+        let held = self.in_flight_count.get_mut(&id).filter(|h| h.awaiting_answer)?;
+        held.awaiting_answer = false;
         self.owed -= 1;
-        self.owed_by[home_of(held.client).0] -= 1;
+        self.owed_by[owner_of(held.client).0] -= 1;
         self.owed_bytes -= held.message.body.len();
         self.names.remove(name_of(&held.message));
-        self.overdue.remove(&(held.deadline + OVERDUE, id));
+        self.expire_overdue.remove(&(held.deadline + OVERDUE, id));
         Some(held.client)
     }
 
     fn ended_by_decision(&mut self, id: RequestId) -> Option<ConnId> {
         let client = self.settle(id);
-        self.held.remove(&id);
+        self.in_flight_count.remove(&id);
         client
     }
 
     /// The client has left: nothing is owed any more. The attempt whose answer was being streamed, if any.
-    pub fn left(&mut self, id: RequestId) -> Option<usize> {
+    pub fn on_disconnect(&mut self, id: RequestId) -> Option<usize> {
         self.settle(id)?;
         self.events.push_back(Event::ClientDisconnected(id));
-        self.held.get(&id)?.begun
+        self.in_flight_count.get(&id)?.streaming_attempt
     }
 
     /// Fails the requests on a thread whose time is over and that nothing has ended. A stream that has begun goes on. The
     /// thread has looked for what lies at its connections; no other could.
-    pub fn overdue(&mut self, core: Core, now: Micros, commands: &mut Vec<Command>) {
+    pub fn expire_overdue(&mut self, core: WorkerId, now: Micros, commands: &mut Vec<Command>) {
         while let Some((at, id)) = self.first_due(core).filter(|(at, _)| *at <= now) {
-            self.overdue.remove(&(at, id));
-            if let Some(client) = self.get(id).filter(|h| h.begun.is_none()).map(|h| h.client) {
-                self.left(id);
-                commands.push(Command::Overdue { client });
+            self.expire_overdue.remove(&(at, id));
+            if let Some(client) = self.get(id).filter(|h| h.streaming_attempt.is_none()).map(|h| h.client) {
+                self.on_disconnect(id);
+                commands.push(Command::DeadlineExceeded { client });
             }
         }
     }
 
     /// A streamed answer has begun. False if it is nobody's any more.
-    pub fn begun(
+    pub fn on_response_started(
         &mut self,
         id: RequestId,
         attempt: usize,
         headers: Headers,
         commands: &mut Vec<Command>,
     ) -> bool {
-        let Some(held) = self.held.get_mut(&id).filter(|h| h.owed && h.begun.is_none()) else { return false };
-        held.begun = Some(attempt);
-        commands.push(Command::Begin { client: held.client, headers });
+        let Some(held) =
+            self.in_flight_count.get_mut(&id).filter(|h| h.awaiting_answer && h.streaming_attempt.is_none())
+        else {
+            return false;
+        };
+        held.streaming_attempt = Some(attempt);
+        commands.push(Command::StartResponse { client: held.client, headers });
         self.events.push_back(Event::ResponseStarted { id, attempt });
         true
     }
 
     /// An attempt ended. The first one that served ends the request, as does the break of a begun stream.
-    pub fn ended(&mut self, mut done: AttemptResult, answer: Option<Response>, commands: &mut Vec<Command>) {
+    pub fn on_attempt_completed(
+        &mut self,
+        mut done: AttemptResult,
+        answer: Option<Response>,
+        commands: &mut Vec<Command>,
+    ) {
         let id = done.id;
         done.request_finished = true;
         if let Some(held) = self.get(id) {
             let (client, served) = (held.client, done.outcome == Outcome::Success);
-            let command = match (held.begun, answer) {
-                (Some(begun), _) if begun == done.attempt => Some(Command::Finish { client, whole: served }),
-                (None, Some(answer)) if served => Some(Command::Pass { client, answer }),
+            let command = match (held.streaming_attempt, answer) {
+                (Some(begun), _) if begun == done.attempt => {
+                    Some(Command::FinishResponse { client, whole: served })
+                }
+                (None, Some(answer)) if served => Some(Command::Respond { client, answer }),
                 _ => None,
             };
             done.request_finished = command.is_some();
@@ -324,7 +351,7 @@
     }
 
     /// An attempt that could not even be started.
-    pub fn not_started(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+    pub fn on_attempt_not_started(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         let over = self.get(id).is_none();
         let (lag, load) = (0, Vec::new());
         self.events.push_back(Event::AttemptCompleted(AttemptResult {
@@ -339,7 +366,7 @@
 
     /// Tells the decisions the next thing and turns what they ask for into commands. False if nothing waits.
     pub fn step(&mut self, now: Micros, commands: &mut Vec<Command>) -> bool {
-        let news = self.news.pop_front();
+        let news = self.queue_priority_event.pop_front();
         self.news_told += u64::from(news.is_some());
         let Some(event) = news.or_else(|| self.events.pop_front()) else { return false };
         let told_over = match &event {
@@ -353,29 +380,29 @@
             self.act(now, action, commands);
         }
         self.actions = actions;
-        told_over.map(|id| self.held.remove(&id));
+        told_over.map(|id| self.in_flight_count.remove(&id));
         true
     }
 
     fn act(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
         let command = match action {
             Action::Forward { id, endpoint: machine, timeout: time_out } => {
-                let Some(held) = self.held.get_mut(&id) else { return };
+                let Some(held) = self.in_flight_count.get_mut(&id) else { return };
                 let attempt = held.attempts;
                 held.attempts += 1;
                 let streamed = self.config.classes[held.class.0].streamed;
                 let until = time_out.map_or(held.deadline, |t| held.deadline.min(now + t));
                 let allowed = attempt < self.config.max_attempts && (until > now || streamed);
-                if !allowed || !held.owed || held.begun.is_some() {
-                    return self.not_started(id, attempt, Outcome::NotSent);
+                if !allowed || !held.awaiting_answer || held.streaming_attempt.is_some() {
+                    return self.on_attempt_not_started(id, attempt, Outcome::NotSent);
                 }
                 let stamp = DecisionStamp { updates: self.news_told, decided_at: now };
-                Command::Place { id, attempt, machine, until, stamp }
+                Command::Forward { id, attempt, machine, until, stamp }
             }
-            Action::Cancel { id, attempt } => Command::Withdraw { id, attempt },
+            Action::Cancel { id, attempt } => Command::Cancel { id, attempt },
             // Where the request is over already, the decisions have not been told yet.
             Action::Reject { id, retry_after: come_back } => match self.ended_by_decision(id) {
-                Some(client) => Command::Refuse { client, come_back },
+                Some(client) => Command::Reject { client, come_back },
                 None => return,
             },
             Action::Fail(id) => match self.ended_by_decision(id) {
@@ -383,12 +410,12 @@
                 None => return,
             },
             Action::SetTimer { after, token } => Command::Timer { at: now + after, token },
-            Action::HealthCheck(machine) => Command::Probe(machine),
+            Action::HealthCheck(machine) => Command::HealthCheck(machine),
             Action::CloseIdle(machine) => Command::CloseIdle(machine),
             // The pages give fronts no way to speak to each other, so no message leaves.
             Action::SendGossip { .. } => return,
-            Action::WatchEndpoints(want) => Command::Subscribe(want),
-            Action::PollEndpoints => Command::AskFleet,
+            Action::WatchEndpoints(want) => Command::WatchEndpoints(want),
+            Action::PollEndpoints => Command::PollEndpoints,
             Action::Vote { build, stage, verdict } => Command::Vote(build, stage, verdict),
             Action::Log(words) => Command::Log(words),
         };
@@ -404,7 +431,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::request::meaning;
+    use crate::classify::classify;
     use garnetcrank_http::{Parsing, RequestReader, Ring};
 
     const NOW: Micros = 1_700_000_000_000_000;
@@ -414,23 +441,25 @@
         Settings::read(&settings).expect("settings that hold together")
     }
 
-    fn driver() -> Driver {
-        let mut driver = Driver::new(7, &settings(), 1);
+    fn driver() -> Dispatcher {
+        let mut driver = Dispatcher::new(7, &settings(), 1);
         let entry = EndpointRecord { rating: 1.0, ..EndpointRecord::default() };
-        driver
-            .news(Event::EndpointsUpdated(EndpointUpdate::Snapshot { endpoints: vec![entry], cached: true }));
+        driver.queue_priority_event(Event::EndpointsUpdated(EndpointUpdate::Snapshot {
+            endpoints: vec![entry],
+            cached: true,
+        }));
         drain(&mut driver);
         driver
     }
 
-    fn drain(driver: &mut Driver) -> Vec<Command> {
+    fn drain(driver: &mut Dispatcher) -> Vec<Command> {
         let mut commands = Vec::new();
         while driver.step(NOW, &mut commands) {}
         commands.retain(|c| !matches!(c, Command::Timer { .. } | Command::Log(_)));
         commands
     }
 
-    fn arrive(driver: &mut Driver, target: &str) -> RequestId {
+    fn arrive(driver: &mut Dispatcher, target: &str) -> RequestId {
         let text = format!(
             "POST {target} HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nTenant: acme\r\n\
              Request-Timeout-Ms: 900\r\nContent-Length: 2\r\n\r\nhi"
@@ -438,9 +467,9 @@
         let mut ring = Ring::new(4096);
         ring.push(text.as_bytes()).expect("room");
         let Ok(Parsing::Done(message)) = RequestReader::new(10).read(&mut ring) else { panic!("no request") };
-        let meaning = meaning(&settings(), &message).expect("a request");
+        let meaning = classify(&settings(), &message).expect("a request");
         assert!(!driver.is_open(&message), "an earlier request is still open");
-        driver.request(ConnId(1), message, meaning, NOW)
+        driver.on_request(ConnId(1), message, meaning, NOW)
     }
 
     fn done(id: RequestId, attempt: usize, outcome: Outcome) -> AttemptResult {
@@ -459,17 +488,21 @@
         let mut driver = driver();
         for _ in 0..100 {
             let id = arrive(&mut driver, "/look");
-            assert_eq!((driver.held(), driver.held_bytes()), (1, 2));
-            driver.left(id);
+            assert_eq!((driver.in_flight_count(), driver.in_flight_bytes()), (1, 2));
+            driver.on_disconnect(id);
             let commands = drain(&mut driver);
-            let only_withdrawn = commands.iter().all(|c| matches!(c, Command::Withdraw { .. }));
+            let only_withdrawn = commands.iter().all(|c| matches!(c, Command::Cancel { .. }));
             assert!(only_withdrawn, "something is sent or answered for it: {commands:?}");
-            assert!(driver.held.is_empty() && driver.held() == 0 && driver.held_bytes() == 0);
-            assert!(driver.names.is_empty() && driver.overdue.is_empty(), "something is kept for it");
+            assert!(
+                driver.in_flight_count.is_empty()
+                    && driver.in_flight_count() == 0
+                    && driver.in_flight_bytes() == 0
+            );
+            assert!(driver.names.is_empty() && driver.expire_overdue.is_empty(), "something is kept for it");
         }
         // The module's count of open attempts is right: it sends the next one at once.
         arrive(&mut driver, "/look");
-        assert!(matches!(drain(&mut driver)[..], [Command::Place { attempt: 0, .. }]));
+        assert!(matches!(drain(&mut driver)[..], [Command::Forward { attempt: 0, .. }]));
     }
 
     #[test]
@@ -482,11 +515,11 @@
         let read = garnetcrank_http::ResponseReader::whole(10).read(&mut ring, false);
         let Ok(Parsing::Done(answer)) = read else { panic!("no answer") };
         let mut commands = Vec::new();
-        driver.ended(done(id, 0, Outcome::Success), Some(answer), &mut commands);
-        assert!(matches!(commands[..], [Command::Pass { client: ConnId(1), .. }]));
+        driver.on_attempt_completed(done(id, 0, Outcome::Success), Some(answer), &mut commands);
+        assert!(matches!(commands[..], [Command::Respond { client: ConnId(1), .. }]));
         commands.clear();
-        driver.overdue(Core::FIRST, NOW + 3_600_000 * MS, &mut commands);
-        assert!(commands.is_empty() && drain(&mut driver).is_empty() && driver.held.is_empty());
+        driver.expire_overdue(WorkerId::FIRST, NOW + 3_600_000 * MS, &mut commands);
+        assert!(commands.is_empty() && drain(&mut driver).is_empty() && driver.in_flight_count.is_empty());
     }
 
     #[test]
@@ -495,13 +528,13 @@
         let id = arrive(&mut driver, "/pay");
         drain(&mut driver);
         let mut commands = Vec::new();
-        driver.overdue(Core::FIRST, NOW + 900 * MS, &mut commands);
+        driver.expire_overdue(WorkerId::FIRST, NOW + 900 * MS, &mut commands);
         assert!(commands.is_empty(), "before its time");
-        driver.overdue(Core::FIRST, NOW + 900 * MS + OVERDUE, &mut commands);
-        assert!(matches!(commands[..], [Command::Overdue { client: ConnId(1) }]));
-        assert!(matches!(drain(&mut driver)[..], [Command::Withdraw { attempt: 0, .. }]));
-        driver.ended(done(id, 0, Outcome::Cancelled), None, &mut commands);
-        assert!(drain(&mut driver).is_empty() && driver.held.is_empty());
+        driver.expire_overdue(WorkerId::FIRST, NOW + 900 * MS + OVERDUE, &mut commands);
+        assert!(matches!(commands[..], [Command::DeadlineExceeded { client: ConnId(1) }]));
+        assert!(matches!(drain(&mut driver)[..], [Command::Cancel { attempt: 0, .. }]));
+        driver.on_attempt_completed(done(id, 0, Outcome::Cancelled), None, &mut commands);
+        assert!(drain(&mut driver).is_empty() && driver.in_flight_count.is_empty());
     }
 
     #[test]
@@ -511,24 +544,28 @@
         assert_eq!(drain(&mut driver).len(), 1);
         driver.answer_by(NOW + 5_000 * MS);
         assert_eq!(
-            driver.due(Core::FIRST),
+            driver.next_deadline(WorkerId::FIRST),
             Some(NOW + 900 * MS + OVERDUE),
             "its own time is over before that"
         );
         driver.answer_by(NOW + 300 * MS);
-        assert_eq!(driver.due(Core::FIRST), Some(NOW + 300 * MS + OVERDUE));
+        assert_eq!(driver.next_deadline(WorkerId::FIRST), Some(NOW + 300 * MS + OVERDUE));
         let mut commands = Vec::new();
-        driver.overdue(Core::FIRST, NOW + 300 * MS + OVERDUE, &mut commands);
-        assert!(matches!(commands[..], [Command::Overdue { .. }]));
+        driver.expire_overdue(WorkerId::FIRST, NOW + 300 * MS + OVERDUE, &mut commands);
+        assert!(matches!(commands[..], [Command::DeadlineExceeded { .. }]));
         drain(&mut driver);
         // One that comes now has that time and no longer, and is sent nowhere for longer.
         arrive(&mut driver, "/look");
-        assert_eq!(driver.due(Core::FIRST), Some(NOW + 300 * MS + OVERDUE));
-        let by = |c: &Command| matches!(c, Command::Place { until, .. } if *until <= NOW + 300 * MS);
+        assert_eq!(driver.next_deadline(WorkerId::FIRST), Some(NOW + 300 * MS + OVERDUE));
+        let by = |c: &Command| matches!(c, Command::Forward { until, .. } if *until <= NOW + 300 * MS);
         let placed = drain(&mut driver);
         assert!(placed.iter().all(by) && placed.len() == 1, "{placed:?}");
         driver.answer_by(NOW + 200 * MS);
-        assert_eq!((driver.overdue.len(), driver.held()), (1, 1), "an entry was left behind");
+        assert_eq!(
+            (driver.expire_overdue.len(), driver.in_flight_count()),
+            (1, 1),
+            "an entry was left behind"
+        );
     }
 
     #[test]
@@ -544,10 +581,12 @@
             let mut driver = driver();
             let id = arrive(&mut driver, "/pay");
             drain(&mut driver);
-            driver.ended(done(id, 0, outcome), None, &mut Vec::new());
+            driver.on_attempt_completed(done(id, 0, outcome), None, &mut Vec::new());
             let commands = drain(&mut driver);
             match again {
-                true => assert!(matches!(commands[..], [Command::Place { attempt: 1, .. }]), "{commands:?}"),
+                true => {
+                    assert!(matches!(commands[..], [Command::Forward { attempt: 1, .. }]), "{commands:?}")
+                }
                 false => assert!(matches!(commands[..], [Command::Fail { .. }]), "{commands:?}"),
             }
         }
@@ -559,7 +598,7 @@
         arrive(&mut driver, "/pay");
         let drains =
             EndpointRecord { status: EndpointStatus::Draining, rating: 1.0, ..EndpointRecord::default() };
-        driver.news(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drains])));
-        assert!(matches!(drain(&mut driver)[..], [Command::Refuse { .. }]), "sent to a draining machine");
+        driver.queue_priority_event(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drains])));
+        assert!(matches!(drain(&mut driver)[..], [Command::Reject { .. }]), "sent to a draining machine");
     }
 }
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/downstream.rs
@@ -11,18 +11,18 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::clock::{MS, SECOND};
-use crate::conn::Conn;
-use crate::machines::BODY_MOST;
-use crate::ready::{ConnId, ConnIds, Handle, Ready, Who};
+use crate::connection::Connection;
+use crate::readiness::{ConnId, ConnIds, Handle, Source, TurnInputs};
+use crate::upstream::MAX_BODY_BYTES;
 
 /// Connections that may wait to be accepted; a restart of another front sends its clients here at once.
 const BACKLOG: i32 = 1024;
 /// Room for what has come and is not yet taken apart: a head, and what a client sends too early.
 const IN_MOST: usize = 32 * 1024;
 /// Room for an answer with its head, and for a stream's parts ahead of a slow client.
-const OUT_MOST: usize = 2 * BODY_MOST + 64 * 1024;
+const OUT_MOST: usize = 2 * MAX_BODY_BYTES + 64 * 1024;
 /// Above this, no more of a stream is read until its client has taken what waits.
-const STREAM_AHEAD: usize = BODY_MOST;
+const STREAM_AHEAD: usize = MAX_BODY_BYTES;
 /// A request must be whole so long after its first byte, the first one of a connection so long after that
 /// was made: whoever drips or says nothing is turned away within 3 s.
 const READ: Micros = 2_500 * MS;
@@ -55,7 +55,7 @@
 }
 
 struct Client {
-    conn: Conn,
+    conn: Connection,
     reader: RequestReader,
     state: State,
     /// When its state last changed, bytes of an answer last moved, or the first byte of a request came.
@@ -83,7 +83,7 @@
 
 /// What clients did.
 #[derive(Debug)]
-pub enum Note {
+pub enum DownstreamEvent {
     /// A whole request.
     Request(ConnId, Request),
     /// What came can't be read; it has been answered.
@@ -95,7 +95,7 @@
 }
 
 /// The listening socket and all clients.
-pub struct Clients {
+pub struct Downstream {
     handle: Handle,
     listener: Option<(TcpListener, RegistrationToken)>,
     clients: FxHashMap<ConnId, Client>,
@@ -109,7 +109,7 @@
     pub idle_closed: u64,
 }
 
-impl Clients {
+impl Downstream {
     /// Listens. The address can be taken again at once after a restart.
     pub fn listen(handle: &Handle, address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
@@ -117,18 +117,18 @@
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
-        Clients::on(handle, socket.into())
+        Downstream::with_listener(handle, socket.into())
     }
 
     /// Clients of a socket that listens already, perhaps on other threads as well.
-    pub fn on(handle: &Handle, listener: TcpListener) -> io::Result<Self> {
+    pub fn with_listener(handle: &Handle, listener: TcpListener) -> io::Result<Self> {
         let source = Generic::new(listener.try_clone()?, Interest::READ, Mode::Edge);
-        let noted = |readiness, _: &mut _, ready: &mut Ready| {
-            ready.conns.push((Who::Listener, readiness));
+        let noted = |readiness, _: &mut _, ready: &mut TurnInputs| {
+            ready.connections.push((Source::Listener, readiness));
             Ok(PostAction::Continue)
         };
         let token = handle.insert_source(source, noted).map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Clients {
+        Ok(Downstream {
             handle: handle.clone(),
             listener: Some((listener, token)),
             clients: FxHashMap::default(),
@@ -140,7 +140,7 @@
     }
 
     /// Whether it still listens.
-    pub fn listens(&self) -> bool {
+    pub fn is_listening(&self) -> bool {
         self.listener.is_some()
     }
 
@@ -165,12 +165,14 @@
             Ok((stream, _)) => {
                 let id = ids.next();
                 // A client that is gone again already is no client.
-                if let Ok(conn) = Conn::adopt(&self.handle, stream, Who::Client(id), IN_MOST, OUT_MOST) {
+                if let Ok(conn) =
+                    Connection::adopt(&self.handle, stream, Source::Downstream(id), IN_MOST, OUT_MOST)
+                {
                     self.clients.insert(
                         id,
                         Client {
                             conn,
-                            reader: RequestReader::new(BODY_MOST),
+                            reader: RequestReader::new(MAX_BODY_BYTES),
                             state: State::Reading,
                             moved: now,
                             new: true,
@@ -200,15 +202,21 @@
     }
 
     /// Takes what the loop told of a connection.
-    pub fn ready(&mut self, id: ConnId, readiness: Readiness, now: Micros, notes: &mut Vec<Note>) {
+    pub fn on_ready(
+        &mut self,
+        id: ConnId,
+        readiness: Readiness,
+        now: Micros,
+        notes: &mut Vec<DownstreamEvent>,
+    ) {
         if let Some(client) = self.clients.get_mut(&id) {
-            client.conn.note(readiness);
+            client.conn.update_readiness(readiness);
             self.go_on(id, now, notes);
         }
     }
 
     /// Writes and reads as far as it goes.
-    fn go_on(&mut self, id: ConnId, now: Micros, notes: &mut Vec<Note>) {
+    fn go_on(&mut self, id: ConnId, now: Micros, notes: &mut Vec<DownstreamEvent>) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let (before, was_idle) = (client.conn.output.len(), client.idle());
         let flushed = client.conn.flush();
@@ -218,7 +226,7 @@
         let gone = loop {
             if let (State::Closing, Ok(whole)) = (client.state, &flushed) {
                 if *whole && !std::mem::replace(&mut client.finished, *whole) {
-                    client.conn.end_sending();
+                    client.conn.shutdown_write();
                 }
                 let (dropped, ended) = client.conn.discard(LINGER_MOST);
                 client.lingered += dropped;
@@ -230,7 +238,7 @@
                 (State::Closing, _) => break false,
                 (State::Held(_) | State::Told, _) if ended => break true,
                 (State::Held(held), Ok(true)) if before > 0 && client.streaming => {
-                    notes.push(Note::Drained(held));
+                    notes.push(DownstreamEvent::Drained(held));
                     break false;
                 }
                 // What a client sends before its answer is read after it.
@@ -239,7 +247,7 @@
                     Ok(Parsing::Done(request)) => {
                         (client.state, client.moved, client.new) = (State::Told, now, false);
                         client.keep_alive = request.keep_alive;
-                        notes.push(Note::Request(id, request));
+                        notes.push(DownstreamEvent::Request(id, request));
                         break false;
                     }
                     Ok(Parsing::More) if ended => {
@@ -272,25 +280,32 @@
         }
     }
 
-    fn bad(&mut self, id: ConnId, bad: Bad, now: Micros, notes: &mut Vec<Note>) {
-        notes.push(Note::Bad(BadRequest::Unreadable(bad)));
+    fn bad(&mut self, id: ConnId, bad: Bad, now: Micros, notes: &mut Vec<DownstreamEvent>) {
+        notes.push(DownstreamEvent::Bad(BadRequest::Unreadable(bad)));
         self.answer_bad(id, bad.status(), &bad.to_string(), now, notes);
     }
 
-    fn leave(&mut self, id: ConnId, notes: &mut Vec<Note>) {
+    fn leave(&mut self, id: ConnId, notes: &mut Vec<DownstreamEvent>) {
         if let Some(Client { state: State::Held(request), .. }) = self.clients.remove(&id) {
-            notes.push(Note::Left(request));
+            notes.push(DownstreamEvent::Left(request));
         }
     }
 
     /// The decisions have taken this client's request over. False if it has left meanwhile.
-    pub fn held(&mut self, id: ConnId, request: RequestId) -> bool {
+    pub fn mark_in_flight(&mut self, id: ConnId, request: RequestId) -> bool {
         let client = self.clients.get_mut(&id);
         client.map(|c| c.state = State::Held(request)).is_some()
     }
 
     /// Says what is wrong with a request, and closes the connection.
-    pub fn answer_bad(&mut self, id: ConnId, status: u16, words: &str, now: Micros, notes: &mut Vec<Note>) {
+    pub fn answer_bad(
+        &mut self,
+        id: ConnId,
+        status: u16,
+        words: &str,
+        now: Micros,
+        notes: &mut Vec<DownstreamEvent>,
+    ) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.keep_alive = false;
         }
@@ -307,7 +322,7 @@
         headers: impl Iterator<Item = (&'a str, &'a [u8])>,
         body: &[u8],
         now: Micros,
-        notes: &mut Vec<Note>,
+        notes: &mut Vec<DownstreamEvent>,
     ) {
         let last = self.closing || self.crowded;
         let Some(client) = self.clients.get_mut(&id) else { return };
@@ -323,7 +338,7 @@
     }
 
     /// Begins a streamed answer.
-    pub fn begin<'a>(&mut self, id: ConnId, headers: impl Iterator<Item = (&'a str, &'a [u8])>) {
+    pub fn start_response<'a>(&mut self, id: ConnId, headers: impl Iterator<Item = (&'a str, &'a [u8])>) {
         let last = self.closing || self.crowded;
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.streaming = true;
@@ -333,7 +348,13 @@
     }
 
     /// Passes a part of a streamed answer on. True if the client takes it slower than it comes.
-    pub fn part(&mut self, id: ConnId, bytes: &[u8], now: Micros, notes: &mut Vec<Note>) -> bool {
+    pub fn send_body_part(
+        &mut self,
+        id: ConnId,
+        bytes: &[u8],
+        now: Micros,
+        notes: &mut Vec<DownstreamEvent>,
+    ) -> bool {
         let Some(client) = self.clients.get_mut(&id) else { return false };
         let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
         chunk.extend_from_slice(bytes);
@@ -348,12 +369,12 @@
     }
 
     /// Ends a streamed answer.
-    pub fn finish(&mut self, id: ConnId, now: Micros, notes: &mut Vec<Note>) {
+    pub fn finish_response(&mut self, id: ConnId, now: Micros, notes: &mut Vec<DownstreamEvent>) {
         let last = self.closing || self.crowded;
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.keep_alive &= !last;
         if client.conn.output.push(b"0\r\n\r\n").is_err() {
-            return self.break_off(id);
+            return self.abort_response(id);
         }
         client.streaming = false;
         client.answered(now);
@@ -361,29 +382,29 @@
     }
 
     /// Ends a streamed answer so that the client can tell that it is incomplete.
-    pub fn break_off(&mut self, id: ConnId) {
+    pub fn abort_response(&mut self, id: ConnId) {
         self.clients.remove(&id);
     }
 
     /// Whether nothing is owed to anyone, nor can be any more: nobody comes, and nobody is connected. Short of that a
     /// request may be half read or lie unread, or an answer may be overtaken by the reset of what its client sent.
-    pub fn all_gone(&self) -> bool {
-        !self.listens() && self.clients.is_empty()
+    pub fn is_drained(&self) -> bool {
+        !self.is_listening() && self.clients.is_empty()
     }
 
     /// Closes every connection that is between requests, once nothing more has come on it. One just made has its first
     /// request on the way.
     pub fn close_idle(&mut self, now: Micros) {
         let rests = |c: &Client| c.idle() && (!c.new || now >= c.moved + FIRST_REQUEST);
-        self.clients.retain(|_, c| !(rests(c) && c.conn.quiet()));
+        self.clients.retain(|_, c| !(rests(c) && c.conn.is_quiet()));
     }
 
     /// Closes one connection to make room: of a client that has its last answer, has said nothing, or nothing
     /// more for longest. False if there is none.
-    pub fn make_way(&mut self, now: Micros) -> bool {
+    pub fn evict_idle(&mut self, now: Micros) -> bool {
         let rested = |c: &Client| c.idle() && now >= c.moved + if c.new { SILENT } else { MAKES_WAY };
         let rests = |c: &Client| c.finished || rested(c);
-        let resting = self.clients.iter().filter(|(_, c)| rests(c) && c.conn.quiet());
+        let resting = self.clients.iter().filter(|(_, c)| rests(c) && c.conn.is_quiet());
         // Those whose end has been told first, then the silent ones, then the one that has rested for longest.
         let first = resting.min_by_key(|(id, c)| (!c.finished, !c.new, c.moved, **id)).map(|(id, _)| *id);
         first.is_some_and(|id| self.clients.remove(&id).is_some())
@@ -391,7 +412,7 @@
 
     /// Gives up what has stalled, and looks whether a client whose request is held has left: its leaving may
     /// have come together with the request, and then nothing more tells of it.
-    pub fn tend(&mut self, now: Micros, notes: &mut Vec<Note>) {
+    pub fn on_tick(&mut self, now: Micros, notes: &mut Vec<DownstreamEvent>) {
         let (mut stalled, mut unread) = (Vec::new(), Vec::new());
         for (id, client) in &self.clients {
             if matches!(client.state, State::Held(_)) && client.conn.more_to_read() {
@@ -413,9 +434,9 @@
         for id in stalled {
             let Some(client) = self.clients.get(&id) else { continue };
             if !client.idle() && client.state == State::Reading {
-                notes.push(Note::Bad(BadRequest::Late));
+                notes.push(DownstreamEvent::Bad(BadRequest::Late));
                 self.answer_bad(id, 408, "the request did not come whole in time", now, notes);
-            } else if !client.idle() || client.conn.quiet() {
+            } else if !client.idle() || client.conn.is_quiet() {
                 // What has come just now on an idle one is read first.
                 self.idle_closed += u64::from(client.idle());
                 self.leave(id, notes);
@@ -453,10 +474,10 @@
 
     /// A listening socket with one client, whose every byte the test writes; the clock is the test's.
     struct Stand {
-        _loop: calloop::EventLoop<'static, Ready>,
-        clients: Clients,
+        _loop: calloop::EventLoop<'static, TurnInputs>,
+        clients: Downstream,
         ids: ConnIds,
-        notes: Vec<Note>,
+        notes: Vec<DownstreamEvent>,
         client: TcpStream,
     }
 
@@ -465,7 +486,7 @@
             let event_loop = calloop::EventLoop::try_new().expect("a loop");
             let handle = event_loop.handle();
             let clients =
-                Clients::listen(&handle, "127.0.0.1:0".parse().expect("an address")).expect("a port");
+                Downstream::listen(&handle, "127.0.0.1:0".parse().expect("an address")).expect("a port");
             let (listener, _) = clients.listener.as_ref().expect("a listener");
             let client =
                 TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
@@ -491,11 +512,11 @@
             self.client.write_all(text.as_bytes()).expect("sent");
             let (id, conn) =
                 self.clients.clients.iter().next().map(|(id, c)| (*id, &c.conn)).expect("a client");
-            while conn.quiet() {
+            while conn.is_quiet() {
                 std::thread::yield_now();
             }
             let readiness = Readiness { readable: true, writable: true, error: false };
-            self.clients.ready(id, readiness, NOW, &mut self.notes);
+            self.clients.on_ready(id, readiness, NOW, &mut self.notes);
         }
     }
 
@@ -506,12 +527,12 @@
         let mut stand = Stand::deaf();
         stand.clients.close_idle(NOW);
         stand.clients.close_idle(NOW + FIRST_REQUEST - 1);
-        assert!(!stand.clients.all_gone(), "closed while its first request was on the way");
+        assert!(!stand.clients.is_drained(), "closed while its first request was on the way");
         stand.send(REQUEST);
-        assert!(matches!(stand.notes[..], [Note::Request(..)]));
+        assert!(matches!(stand.notes[..], [DownstreamEvent::Request(..)]));
         let mut silent = Stand::deaf();
         silent.clients.close_idle(NOW + FIRST_REQUEST);
-        assert!(silent.clients.all_gone(), "it never says a word");
+        assert!(silent.clients.is_drained(), "it never says a word");
     }
 
     #[test]
@@ -520,34 +541,34 @@
         let (half, rest) = REQUEST.split_at(20);
         stand.send(half);
         stand.clients.close_idle(NOW + FIRST_REQUEST);
-        assert!(!stand.clients.all_gone(), "half a request is read");
+        assert!(!stand.clients.is_drained(), "half a request is read");
         stand.send(rest);
-        assert!(!stand.clients.all_gone(), "a request is read");
+        assert!(!stand.clients.is_drained(), "a request is read");
         let id = stand.id();
-        assert!(stand.clients.held(id, RequestId(1)));
-        assert!(!stand.clients.all_gone());
+        assert!(stand.clients.mark_in_flight(id, RequestId(1)));
+        assert!(!stand.clients.is_drained());
         stand.clients.answer(id, 200, std::iter::empty(), b"hi", NOW, &mut stand.notes);
         // The answer has left, and what its client still sends must not be met by a reset that overtakes it.
-        assert!(!stand.clients.all_gone(), "its last answer may be on the way");
+        assert!(!stand.clients.is_drained(), "its last answer may be on the way");
         stand.client.write_all(REQUEST.as_bytes()).expect("sent");
-        stand.clients.tend(NOW + LINGER - 1, &mut stand.notes);
-        assert!(!stand.clients.all_gone());
+        stand.clients.on_tick(NOW + LINGER - 1, &mut stand.notes);
+        assert!(!stand.clients.is_drained());
         let mut answer = String::new();
         stand.client.read_to_string(&mut answer).expect("a whole answer and no reset");
         assert!(answer.ends_with("hi"), "{answer}");
-        stand.clients.tend(NOW + LINGER, &mut stand.notes);
-        assert!(stand.clients.all_gone(), "one that never leaves is not waited for");
+        stand.clients.on_tick(NOW + LINGER, &mut stand.notes);
+        assert!(stand.clients.is_drained(), "one that never leaves is not waited for");
     }
 
     #[test]
     fn what_lies_unread_on_an_idle_connection_is_heard_before_it_is_closed() {
         let mut stand = Stand::deaf();
         stand.client.write_all(REQUEST.as_bytes()).expect("sent");
-        while stand.clients.clients.values().all(|c| c.conn.quiet()) {
+        while stand.clients.clients.values().all(|c| c.conn.is_quiet()) {
             std::thread::yield_now();
         }
         stand.clients.close_idle(NOW + SECOND);
-        assert!(!stand.clients.all_gone(), "its request lies in the kernel");
+        assert!(!stand.clients.is_drained(), "its request lies in the kernel");
     }
 
     #[test]
@@ -555,12 +576,12 @@
         let mut stand = Stand::deaf();
         stand.send(REQUEST);
         let id = stand.id();
-        assert!(stand.clients.held(id, RequestId(1)));
-        stand.clients.begin(id, std::iter::empty());
+        assert!(stand.clients.mark_in_flight(id, RequestId(1)));
+        stand.clients.start_response(id, std::iter::empty());
         let part = [b'x'; 16 * 1024];
-        while !stand.clients.part(id, &part, NOW, &mut stand.notes) {}
+        while !stand.clients.send_body_part(id, &part, NOW, &mut stand.notes) {}
         stand.notes.clear();
-        stand.clients.tend(NOW + STALLED - 1, &mut stand.notes);
+        stand.clients.on_tick(NOW + STALLED - 1, &mut stand.notes);
         // What it reads makes room, which the loop tells.
         let mut some = vec![0; 1024 * 1024];
         stand.client.read_exact(&mut some).expect("what has come so far");
@@ -568,22 +589,24 @@
             (NOW + STALLED - 1, Readiness { readable: false, writable: true, error: false });
         let before = stand.clients.clients[&id].conn.output.len();
         while stand.clients.clients[&id].conn.output.len() == before {
-            stand.clients.ready(id, readiness, later, &mut stand.notes);
+            stand.clients.on_ready(id, readiness, later, &mut stand.notes);
         }
-        while !stand.clients.part(id, &part, later, &mut stand.notes) {}
-        stand.clients.tend(NOW + STALLED, &mut stand.notes);
-        assert!(!stand.clients.all_gone() && !stand.notes.iter().any(|n| matches!(n, Note::Left(_))));
+        while !stand.clients.send_body_part(id, &part, later, &mut stand.notes) {}
+        stand.clients.on_tick(NOW + STALLED, &mut stand.notes);
+        assert!(
+            !stand.clients.is_drained() && !stand.notes.iter().any(|n| matches!(n, DownstreamEvent::Left(_)))
+        );
         // Nothing is taken from here on: the attempt behind it is not kept for it, nor the process.
-        stand.clients.tend(later + STALLED, &mut stand.notes);
-        assert!(stand.clients.all_gone());
-        assert!(matches!(stand.notes[..], [.., Note::Left(RequestId(1))]));
+        stand.clients.on_tick(later + STALLED, &mut stand.notes);
+        assert!(stand.clients.is_drained());
+        assert!(matches!(stand.notes[..], [.., DownstreamEvent::Left(RequestId(1))]));
     }
 
     #[test]
     fn while_it_listens_somebody_may_come() {
         let mut stand = Stand::new();
-        assert!(!stand.clients.all_gone(), "one waits to be accepted");
+        assert!(!stand.clients.is_drained(), "one waits to be accepted");
         stand.clients.stop_listening();
-        assert!(stand.clients.all_gone());
+        assert!(stand.clients.is_drained());
     }
 }
--- a/crates/proxy/src/extras.rs
+++ b/crates/proxy/src/feature_settings.rs
@@ -8,22 +8,23 @@
 use serde::Deserialize;
 
 use crate::clock::MS;
-use crate::cores::CORES_MOST;
+use crate::workers::MAX_WORKERS;
 
 /// The whole file; without one everything in it is off.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Extras {
+pub struct FeatureSettings {
     /// Verdicts go through the instances' agreement.
-    pub agreement: Option<Agreement>,
+    pub agreement: Option<ConsensusSettings>,
     /// Threads that share the front's work; one without it.
-    cores: Option<usize>,
+    #[serde(rename = "cores")]
+    worker_count: Option<usize>,
 }
 
 /// The agent on this front's machine.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Agreement {
+pub struct ConsensusSettings {
     /// Its local port.
     pub agent: SocketAddr,
     /// Longest wait for its answer to a verdict, in milliseconds; then the front casts by itself.
@@ -42,37 +43,37 @@
     1_000
 }
 
-impl Agreement {
+impl ConsensusSettings {
     /// Longest wait for an answer.
-    pub fn wait(&self) -> Micros {
+    pub fn call_timeout(&self) -> Micros {
         self.wait_ms * MS
     }
 
     /// Silence after which the agent counts as gone.
-    pub fn silence(&self) -> Micros {
+    pub fn silence_timeout(&self) -> Micros {
         self.silence_ms * MS
     }
 }
 
-impl Extras {
+impl FeatureSettings {
     /// Threads that share the front's work.
-    pub fn cores(&self) -> usize {
-        self.cores.unwrap_or(1)
+    pub fn worker_count(&self) -> usize {
+        self.worker_count.unwrap_or(1)
     }
 
     /// Reads and checks a file. The message of an error names the key.
     pub fn read(path: &Path, settings: &Settings) -> Result<Self, String> {
         let at = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| at(&e))?;
-        Extras::parse(&text, settings).map_err(|e| at(&e))
+        FeatureSettings::parse(&text, settings).map_err(|e| at(&e))
     }
 
     fn parse(text: &str, settings: &Settings) -> Result<Self, String> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let extras: Extras =
+        let extras: FeatureSettings =
             serde_path_to_error::deserialize(&mut json).map_err(|e| Faulty::from(e).to_string())?;
-        if !(1..=CORES_MOST).contains(&extras.cores()) {
-            return Err(format!("cores: 1 to {CORES_MOST} is wanted"));
+        if !(1..=MAX_WORKERS).contains(&extras.worker_count()) {
+            return Err(format!("cores: 1 to {MAX_WORKERS} is wanted"));
         }
         let Some(agreement) = &extras.agreement else { return Ok(extras) };
         let rollout = &settings.config.rollout;
@@ -106,10 +107,13 @@
 
     #[test]
     fn a_fault_names_its_key_and_one_vote_must_be_enough() {
-        let parse = |text: &str| Extras::parse(text, &settings(1));
-        assert_eq!(parse("{}"), Ok(Extras::default()));
+        let parse = |text: &str| FeatureSettings::parse(text, &settings(1));
+        assert_eq!(parse("{}"), Ok(FeatureSettings::default()));
         let whole = parse(r#"{"agreement":{"agent":"127.0.0.1:7101"}}"#).expect("whole");
-        assert_eq!(whole.agreement.map(|a| (a.wait(), a.silence())), Some((150 * MS, 1_000 * MS)));
+        assert_eq!(
+            whole.agreement.map(|a| (a.call_timeout(), a.silence_timeout())),
+            Some((150 * MS, 1_000 * MS))
+        );
         let fault = |text: &str| parse(text).expect_err("a fault");
         assert!(fault(r#"{"agrement":{}}"#).contains("agrement"));
         assert!(fault(r#"{"cores":0}"#).contains("cores") && fault(r#"{"cores":99}"#).contains("cores"));
@@ -117,7 +121,7 @@
         assert!(
             fault(r#"{"agreement":{"agent":"127.0.0.1:7101","wait_ms":1}}"#).contains("agreement.wait_ms")
         );
-        let many = Extras::parse(r#"{"agreement":{"agent":"127.0.0.1:7101"}}"#, &settings(2));
+        let many = FeatureSettings::parse(r#"{"agreement":{"agent":"127.0.0.1:7101"}}"#, &settings(2));
         assert!(many.expect_err("a fault").contains("more than one"));
     }
 }
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -2,29 +2,29 @@
 
 use garnetcrank_http::{Parsing, Response, ResponseReader};
 
-use crate::conn::Conn;
+use crate::connection::Connection;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum ExchangeStage {
     Connecting,
     Sending,
-    Waiting,
+    Receiving,
 }
 
 /// The state of one exchange. The request stands in the connection's output ring.
 #[derive(Debug)]
-pub struct Exchange {
-    stage: Stage,
+pub struct HttpExchange {
+    stage: ExchangeStage,
     reader: ResponseReader,
 }
 
 /// How far an exchange is.
 #[derive(Debug)]
-pub enum Step {
+pub enum ExchangeProgress {
     /// It goes on.
     Pending,
     /// The answer is whole; with the connection's further use.
-    Answer {
+    Response {
         /// The answer.
         response: Response,
         /// Another request may be written on this connection.
@@ -33,28 +33,28 @@
     /// No connection, or it broke before the request's last byte was written.
     NeverSent,
     /// It broke or made no sense after that.
-    Broken,
+    ConnectionLost,
 }
 
-impl Exchange {
+impl HttpExchange {
     /// On a connection that is being made.
     pub fn connecting(reader: ResponseReader) -> Self {
-        Exchange { stage: Stage::Connecting, reader }
+        HttpExchange { stage: ExchangeStage::Connecting, reader }
     }
 
     /// On a connection that is up.
-    pub fn on_open(reader: ResponseReader) -> Self {
-        Exchange { stage: Stage::Sending, reader }
+    pub fn on_open_connection(reader: ResponseReader) -> Self {
+        HttpExchange { stage: ExchangeStage::Sending, reader }
     }
 
     /// Whether the request's last byte has been written.
-    pub fn sent(&self) -> bool {
-        self.stage == Stage::Waiting
+    pub fn request_sent(&self) -> bool {
+        self.stage == ExchangeStage::Receiving
     }
 
     /// Whether the connection came up.
     pub fn connected(&self) -> bool {
-        self.stage != Stage::Connecting
+        self.stage != ExchangeStage::Connecting
     }
 
     /// The answer as far as it has come.
@@ -63,18 +63,18 @@
     }
 
     /// Goes on as far as the connection lets it.
-    pub fn step(&mut self, conn: &mut Conn) -> Step {
-        if self.stage == Stage::Connecting {
+    pub fn step(&mut self, conn: &mut Connection) -> ExchangeProgress {
+        if self.stage == ExchangeStage::Connecting {
             match conn.connected() {
-                Ok(true) => self.stage = Stage::Sending,
-                Ok(false) => return Step::Pending,
-                Err(_) => return Step::NeverSent,
+                Ok(true) => self.stage = ExchangeStage::Sending,
+                Ok(false) => return ExchangeProgress::Pending,
+                Err(_) => return ExchangeProgress::NeverSent,
             }
         }
         let mut broke = false;
-        if self.stage == Stage::Sending {
+        if self.stage == ExchangeStage::Sending {
             match conn.flush() {
-                Ok(true) => self.stage = Stage::Waiting,
+                Ok(true) => self.stage = ExchangeStage::Receiving,
                 Ok(false) => {}
                 // An answer may have come before the break, and is looked for below.
                 Err(_) => broke = true,
@@ -82,18 +82,22 @@
         }
         loop {
             let ended = conn.fill();
-            let lost = if self.sent() { Step::Broken } else { Step::NeverSent };
+            let lost = if self.request_sent() {
+                ExchangeProgress::ConnectionLost
+            } else {
+                ExchangeProgress::NeverSent
+            };
             match self.reader.read(&mut conn.input, ended) {
                 // No machine answers with 200 what it has not read: those are bytes of something else.
-                Ok(Parsing::Done(response)) if !self.sent() && response.status == 200 => return lost,
+                Ok(Parsing::Done(response)) if !self.request_sent() && response.status == 200 => return lost,
                 Ok(Parsing::Done(response)) => {
-                    let clean = self.sent() && !ended && conn.input.is_empty();
-                    return Step::Answer { reusable: clean && response.keep_alive, response };
+                    let clean = self.request_sent() && !ended && conn.input.is_empty();
+                    return ExchangeProgress::Response { reusable: clean && response.keep_alive, response };
                 }
                 Err(_) => return lost,
                 Ok(Parsing::More) if ended || broke => return lost,
                 Ok(Parsing::More) if conn.more_to_read() => {}
-                Ok(Parsing::More) => return Step::Pending,
+                Ok(Parsing::More) => return ExchangeProgress::Pending,
             }
         }
     }
--- a/crates/proxy/src/phase.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -32,7 +32,7 @@
 
 /// How far the process is: each of these holds for all that follow, too.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reached {
+pub enum LifecycleStage {
     /// No list yet.
     Starting,
     /// It may be sent clients.
@@ -40,37 +40,39 @@
     /// Every answer is the last of its connection.
     Draining,
     /// Connections between requests are closed: nobody new is sent here any more.
-    Emptying,
+    ClosingIdle,
     /// The last arrivals are in: the backlog is emptied and nobody listens.
-    Deaf,
+    NotAccepting,
     /// It may exit.
     Stopped,
 }
 
 /// The life of the process.
 #[derive(Debug)]
-pub struct Life {
+pub struct Lifecycle {
     phase: Phase,
     /// After the word to stop, all answers are given within this.
     answers_within: Micros,
 }
 
-impl Life {
+impl Lifecycle {
     /// A process that starts now, with this longest deadline of a request.
     pub fn start(now: Micros, longest: Micros) -> Self {
         let answers_within = longest.min(DEADLINE_MOST) + KILLED - BEFORE_KILLED;
-        Life { phase: Phase::Starting { since: now }, answers_within }
+        Lifecycle { phase: Phase::Starting { since: now }, answers_within }
     }
 
     /// How far it is.
-    pub fn reached(&self, now: Micros) -> Reached {
+    pub fn stage(&self, now: Micros) -> LifecycleStage {
         match self.phase {
-            Phase::Starting { .. } => Reached::Starting,
-            Phase::Serving => Reached::Serving,
-            Phase::Draining { listening: false, .. } => Reached::Deaf,
-            Phase::Draining { since, .. } if now >= since + ARRIVALS - COME_AGAIN => Reached::Emptying,
-            Phase::Draining { .. } => Reached::Draining,
-            Phase::Stopped => Reached::Stopped,
+            Phase::Starting { .. } => LifecycleStage::Starting,
+            Phase::Serving => LifecycleStage::Serving,
+            Phase::Draining { listening: false, .. } => LifecycleStage::NotAccepting,
+            Phase::Draining { since, .. } if now >= since + ARRIVALS - COME_AGAIN => {
+                LifecycleStage::ClosingIdle
+            }
+            Phase::Draining { .. } => LifecycleStage::Draining,
+            Phase::Stopped => LifecycleStage::Stopped,
         }
     }
 
@@ -86,7 +88,7 @@
 
     /// Goes on to the next phase where that is due. `heard`: discovery has told its list; `done`: nothing is
     /// owed to anyone.
-    pub fn tend(&mut self, now: Micros, heard: bool, done: bool) {
+    pub fn on_tick(&mut self, now: Micros, heard: bool, done: bool) {
         match self.phase {
             Phase::Starting { since } if heard || now >= since + START_WAIT => {
                 info!("serving{}", if heard { "" } else { " on the list of the configuration" });
@@ -110,25 +112,25 @@
 
     #[test]
     fn a_life_from_start_to_exit() {
-        let mut life = Life::start(0, 900 * MS);
-        let at = |life: &mut Life, now, heard, done| {
-            life.tend(now, heard, done);
-            life.reached(now)
+        let mut life = Lifecycle::start(0, 900 * MS);
+        let at = |life: &mut Lifecycle, now, heard, done| {
+            life.on_tick(now, heard, done);
+            life.stage(now)
         };
-        assert_eq!(life.reached(0), Reached::Starting);
-        assert_eq!(at(&mut life, MS, false, true), Reached::Starting, "the list may still come");
-        assert_eq!(at(&mut life, 2 * MS, true, true), Reached::Serving);
+        assert_eq!(life.stage(0), LifecycleStage::Starting);
+        assert_eq!(at(&mut life, MS, false, true), LifecycleStage::Starting, "the list may still come");
+        assert_eq!(at(&mut life, 2 * MS, true, true), LifecycleStage::Serving);
         assert_eq!(life.stop(SECOND), Some(2_500 * MS));
         assert_eq!(life.stop(2 * SECOND), None, "told once is enough");
-        assert_eq!(at(&mut life, SECOND + MS, true, true), Reached::Draining, "clients still arrive");
+        assert_eq!(at(&mut life, SECOND + MS, true, true), LifecycleStage::Draining, "clients still arrive");
         // Those whose connections are closed under their request come again while somebody listens.
         let closes = SECOND + ARRIVALS - COME_AGAIN;
-        assert_eq!(at(&mut life, closes - 1, true, true), Reached::Draining);
-        assert_eq!(at(&mut life, closes, true, true), Reached::Emptying);
-        assert_eq!(at(&mut life, SECOND + ARRIVALS - 1, true, true), Reached::Emptying);
-        assert_eq!(at(&mut life, 2 * SECOND, true, false), Reached::Deaf);
-        assert_eq!(at(&mut life, 2 * SECOND, true, false), Reached::Deaf, "something is owed");
-        assert_eq!(at(&mut life, 3 * SECOND, true, true), Reached::Stopped);
+        assert_eq!(at(&mut life, closes - 1, true, true), LifecycleStage::Draining);
+        assert_eq!(at(&mut life, closes, true, true), LifecycleStage::ClosingIdle);
+        assert_eq!(at(&mut life, SECOND + ARRIVALS - 1, true, true), LifecycleStage::ClosingIdle);
+        assert_eq!(at(&mut life, 2 * SECOND, true, false), LifecycleStage::NotAccepting);
+        assert_eq!(at(&mut life, 2 * SECOND, true, false), LifecycleStage::NotAccepting, "something is owed");
+        assert_eq!(at(&mut life, 3 * SECOND, true, true), LifecycleStage::Stopped);
     }
 
     #[test]
@@ -136,15 +138,15 @@
         for (longest, killed) in
             [(0, 700 * MS), (350 * MS, 1_050 * MS), (3 * SECOND, 3_700 * MS), (9 * SECOND, 3_700 * MS)]
         {
-            let by = Life::start(0, longest).stop(0).expect("the first word to stop");
+            let by = Lifecycle::start(0, longest).stop(0).expect("the first word to stop");
             assert!(by < killed && by > ARRIVALS, "{by} us of {killed}");
         }
     }
 
     #[test]
     fn without_a_word_of_discovery_it_serves_on_what_it_knows() {
-        let mut life = Life::start(0, 900 * MS);
-        life.tend(START_WAIT, false, true);
-        assert_eq!(life.reached(START_WAIT), Reached::Serving);
+        let mut life = Lifecycle::start(0, 900 * MS);
+        life.on_tick(START_WAIT, false, true);
+        assert_eq!(life.stage(START_WAIT), LifecycleStage::Serving);
     }
 }
--- a/crates/proxy/src/logs.rs
+++ b/crates/proxy/src/logging.rs
@@ -11,25 +11,25 @@
 use tracing_subscriber::{Layer, Registry};
 
 /// Lines a second that pass in the long run: what a person can still follow.
-const LINES_A_SECOND: f64 = 20.0;
+const LINES_PER_SECOND: f64 = 20.0;
 /// Lines that pass at once, such as those of a start or of a stage with many machines.
-const LINES_AT_ONCE: f64 = 200.0;
+const BURST_LINES: f64 = 200.0;
 
 /// Lets so many lines through; warnings of a kind nobody has listed must not fill a disk.
-struct Bounded {
+struct RateLimit {
     left: Mutex<(f64, Instant)>,
 }
 
-impl Bounded {
+impl RateLimit {
     fn new() -> Self {
-        Bounded { left: Mutex::new((LINES_AT_ONCE, Instant::now())) }
+        RateLimit { left: Mutex::new((BURST_LINES, Instant::now())) }
     }
 
     fn pass(&self) -> bool {
         let Ok(mut left) = self.left.lock() else { return true };
         let now = Instant::now();
-        let earned = now.duration_since(left.1).as_secs_f64() * LINES_A_SECOND;
-        *left = ((left.0 + earned).min(LINES_AT_ONCE), now);
+        let earned = now.duration_since(left.1).as_secs_f64() * LINES_PER_SECOND;
+        *left = ((left.0 + earned).min(BURST_LINES), now);
         if left.0 < 1.0 {
             return false;
         }
@@ -38,7 +38,7 @@
     }
 }
 
-impl<S> Filter<S> for Bounded {
+impl<S> Filter<S> for RateLimit {
     fn enabled(&self, metadata: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         *metadata.level() <= Level::INFO
     }
@@ -60,7 +60,7 @@
         .with_ansi(false)
         .with_target(false)
         .with_timer(uptime());
-    Registry::default().with(lines.with_filter(Bounded::new())).init();
+    Registry::default().with(lines.with_filter(RateLimit::new())).init();
 }
 
 #[cfg(test)]
@@ -69,8 +69,8 @@
 
     #[test]
     fn a_flood_of_lines_is_cut() {
-        let bounded = Bounded::new();
+        let bounded = RateLimit::new();
         let passed = (0..100_000).filter(|_| bounded.pass()).count();
-        assert!(passed >= LINES_AT_ONCE as usize && passed < 10_000, "{passed} of 100000 lines passed");
+        assert!(passed >= BURST_LINES as usize && passed < 10_000, "{passed} of 100000 lines passed");
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,25 +1,25 @@
 //! The front: one process on sockets around the decision module, told what to do by `RELAY_CONFIG`.
 
-mod call;
-mod clients;
+mod agent_client;
+mod classify;
 mod clock;
-mod conn;
-mod cores;
+mod connection;
 mod counters;
 mod discovery;
-mod driver;
-mod exchange;
-mod extras;
-mod front;
-mod link;
-mod logs;
-mod machines;
-mod phase;
-mod platform;
-mod process;
-mod ready;
-mod request;
-mod watch;
+mod dispatcher;
+mod downstream;
+mod feature_settings;
+mod http_exchange;
+mod lifecycle;
+mod logging;
+mod process_settings;
+mod proxy;
+mod readiness;
+mod release_controller;
+mod unary_call;
+mod upstream;
+mod watch_stream;
+mod workers;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -30,10 +30,10 @@
 use clap::Parser;
 use tracing::error;
 
-use extras::Extras;
-use front::{Beginning, Front};
-use process::Process;
-use ready::{Asked, Ready};
+use feature_settings::FeatureSettings;
+use process_settings::ProcessSettings;
+use proxy::{Proxy, WorkerSeed};
+use readiness::{PendingWork, TurnInputs};
 
 /// Exit code for a configuration that is missing or wrong.
 const CONFIGURATION: u8 = 2;
@@ -51,7 +51,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    logs::start();
+    logging::start();
     // Before all else: a signal that comes while the configuration is read waits, and ends nothing.
     let watched = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1];
     let signals = match Signals::new(&watched) {
@@ -61,15 +61,16 @@
             return ExitCode::FAILURE;
         }
     };
-    let process = match Process::read(|name| std::env::var(name).ok()) {
+    let process = match ProcessSettings::read(|name| std::env::var(name).ok()) {
         Ok(process) => process,
         Err(message) => {
             error!("configuration: {message}");
             return ExitCode::from(CONFIGURATION);
         }
     };
-    let extras =
-        arguments.extras.map_or(Ok(Extras::default()), |path| Extras::read(&path, &process.settings));
+    let extras = arguments
+        .extras
+        .map_or(Ok(FeatureSettings::default()), |path| FeatureSettings::read(&path, &process.settings));
     let extras = match extras {
         Ok(extras) => extras,
         Err(message) => {
@@ -86,21 +87,21 @@
     }
 }
 
-fn run(process: Process, extras: &Extras, signals: Signals) -> Result<(), String> {
-    let mut event_loop: EventLoop<'static, Ready> =
+fn run(process: ProcessSettings, extras: &FeatureSettings, signals: Signals) -> Result<(), String> {
+    let mut event_loop: EventLoop<'static, TurnInputs> =
         EventLoop::try_new().map_err(|e| format!("the event loop can't be made: {e}"))?;
     let handle = event_loop.handle();
-    let noted = |event: calloop::signals::Event, _: &mut (), ready: &mut Ready| {
-        ready.asked.push(match event.signal() {
-            Signal::SIGUSR1 => Asked::Counters,
-            Signal::SIGHUP => Asked::Reload,
-            _ => Asked::Stop,
+    let noted = |event: calloop::signals::Event, _: &mut (), ready: &mut TurnInputs| {
+        ready.pending_work.push(match event.signal() {
+            Signal::SIGUSR1 => PendingWork::PrintCounters,
+            Signal::SIGHUP => PendingWork::Reload,
+            _ => PendingWork::Stop,
         });
     };
     handle.insert_source(signals, noted).map_err(|e| format!("signals can't be watched: {e}"))?;
     let listen = process.listen;
     let (mut front, others) =
-        Front::new(handle, process, extras).map_err(|e| format!("listen: {listen}: {e}"))?;
+        Proxy::new(handle, process, extras).map_err(|e| format!("listen: {listen}: {e}"))?;
     let mut threads = Vec::new();
     for (number, (beginning, source)) in others.into_iter().enumerate() {
         let run = move || {
@@ -123,21 +124,23 @@
     Ok(())
 }
 
-fn turns(event_loop: &mut EventLoop<'static, Ready>, front: &mut Front) -> Result<(), String> {
-    let mut ready = Ready::default();
-    while !front.stopped() {
-        event_loop.dispatch(front.wait(), &mut ready).map_err(|e| format!("the event loop broke: {e}"))?;
+fn turns(event_loop: &mut EventLoop<'static, TurnInputs>, front: &mut Proxy) -> Result<(), String> {
+    let mut ready = TurnInputs::default();
+    while !front.is_stopped() {
+        event_loop
+            .dispatch(front.poll_timeout(), &mut ready)
+            .map_err(|e| format!("the event loop broke: {e}"))?;
         front.turn(&mut ready);
     }
     Ok(())
 }
 
 /// Another thread of the front.
-fn further(beginning: Beginning, source: PingSource) -> Result<(), String> {
-    let mut event_loop: EventLoop<'static, Ready> =
+fn further(beginning: WorkerSeed, source: PingSource) -> Result<(), String> {
+    let mut event_loop: EventLoop<'static, TurnInputs> =
         EventLoop::try_new().map_err(|e| format!("the event loop can't be made: {e}"))?;
     let mut front =
-        Front::begin(event_loop.handle(), beginning, source).map_err(|e| format!("listen: {e}"))?;
+        Proxy::start_worker(event_loop.handle(), beginning, source).map_err(|e| format!("listen: {e}"))?;
     turns(&mut event_loop, &mut front)
 }
 
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process_settings.rs
@@ -5,8 +5,8 @@
 use garnetcrank_settings::{Faulty, Settings};
 use serde::Deserialize;
 
-use crate::discovery::List;
-use crate::platform::State;
+use crate::discovery::MemberList;
+use crate::release_controller::RolloutState;
 
 /// Memory assumed where no limit is told, in MiB.
 const MEMORY_MB: u64 = 192;
@@ -15,7 +15,7 @@
 
 /// All that a front is told at its start.
 #[derive(Debug)]
-pub struct Process {
+pub struct ProcessSettings {
     /// Its name.
     pub name: String,
     /// Where clients connect.
@@ -31,9 +31,9 @@
     /// Where the platform answers.
     pub platform: SocketAddr,
     /// Where the newest build stood.
-    pub news: State,
+    pub rollout_state: RolloutState,
     /// The list this front last held.
-    pub known: List,
+    pub cached_members: MemberList,
     /// The settings of the deployment.
     pub settings: Settings,
     /// The same, as they were told.
@@ -41,7 +41,7 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct SettingsFile {
     name: Option<String>,
     listen: Option<SocketAddr>,
     discovery: Option<SocketAddr>,
@@ -49,7 +49,7 @@
     #[serde(default)]
     limits: Limits,
     pipeline: Pipeline,
-    known: List,
+    known: MemberList,
     settings: serde_json::Value,
 }
 
@@ -62,27 +62,27 @@
 #[derive(Deserialize)]
 struct Pipeline {
     address: SocketAddr,
-    news: State,
+    news: RolloutState,
 }
 
 /// What a configuration that is read again may change, and what it would change but can't.
 #[derive(Debug)]
-pub struct Renewal {
+pub struct ReloadedSettings {
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// Where the platform answers.
     pub platform: SocketAddr,
     /// Where the newest build stood.
-    pub news: State,
+    pub rollout_state: RolloutState,
     /// A list of machines.
-    pub known: List,
+    pub cached_members: MemberList,
     /// Keys whose new values need a restart.
-    pub fixed: Vec<&'static str>,
+    pub ignored_keys: Vec<&'static str>,
 }
 
 /// What can't change while the front runs, to be compared with what is read later.
 #[derive(Debug)]
-pub struct Fixed {
+pub struct StartupSettings {
     name: String,
     listen: SocketAddr,
     memory_mb: u64,
@@ -90,17 +90,17 @@
     told: serde_json::Value,
 }
 
-impl Fixed {
+impl StartupSettings {
     /// Of the configuration at the start.
-    pub fn of(process: &Process) -> Self {
-        let Process { listen, memory_mb, sockets, .. } = *process;
-        Fixed { name: process.name.clone(), listen, memory_mb, sockets, told: process.told.clone() }
+    pub fn from_process(process: &ProcessSettings) -> Self {
+        let ProcessSettings { listen, memory_mb, sockets, .. } = *process;
+        StartupSettings { name: process.name.clone(), listen, memory_mb, sockets, told: process.told.clone() }
     }
 
     /// Reads the file again. Addresses in it stand above the environment, which is that of the start.
-    pub fn read_again(&self, variable: impl Fn(&str) -> Option<String>) -> Result<Renewal, String> {
+    pub fn reload(&self, variable: impl Fn(&str) -> Option<String>) -> Result<ReloadedSettings, String> {
         let at_start = |name: &str| variable(name).filter(|_| name != "RELAY_DISCOVERY");
-        let new = Process::read(at_start)?;
+        let new = ProcessSettings::read(at_start)?;
         let differs = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
@@ -108,28 +108,28 @@
             ("limits.sockets", self.sockets != new.sockets),
             ("settings", self.told != new.told),
         ];
-        Ok(Renewal {
+        Ok(ReloadedSettings {
             discovery: new.discovery,
             platform: new.platform,
-            news: new.news,
-            known: new.known,
-            fixed: differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect(),
+            rollout_state: new.rollout_state,
+            cached_members: new.cached_members,
+            ignored_keys: differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect(),
         })
     }
 }
 
-impl Process {
+impl ProcessSettings {
     /// Reads the file named in `RELAY_CONFIG`. `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` stand above
     /// what the file says. The message of an error names the variable or the key.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let path = variable("RELAY_CONFIG").ok_or("RELAY_CONFIG is not set")?;
         let text = std::fs::read_to_string(&path).map_err(|e| format!("RELAY_CONFIG: {path}: {e}"))?;
-        Process::parse(&text, variable).map_err(|e| format!("{path}: {e}"))
+        ProcessSettings::parse(&text, variable).map_err(|e| format!("{path}: {e}"))
     }
 
     fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let file: File =
+        let file: SettingsFile =
             serde_path_to_error::deserialize(&mut json).map_err(|e| Faulty::from(e).to_string())?;
         let address = |name: &str, key: &str, told: Option<SocketAddr>| match variable(name) {
             Some(text) => text.parse().map_err(|_| format!("{name}: {text:?} is no address with a port")),
@@ -145,7 +145,7 @@
         if memory_mb < 16 {
             return Err(format!("limits.memory_mb: {memory_mb} is too little, 16 are needed"));
         }
-        Ok(Process {
+        Ok(ProcessSettings {
             name: variable("RELAY_NAME").or(file.name).unwrap_or_else(|| "front".to_owned()),
             listen: address("RELAY_LISTEN", "listen", file.listen)?,
             discovery: address("RELAY_DISCOVERY", "discovery", file.discovery)?,
@@ -153,8 +153,8 @@
             memory_mb,
             sockets,
             platform: file.pipeline.address,
-            news: file.pipeline.news,
-            known: file.known,
+            rollout_state: file.pipeline.news,
+            cached_members: file.known,
             settings: Settings::read(&file.settings).map_err(|e| format!("settings: {e}"))?,
             told: file.settings,
         })
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/proxy.rs
@@ -13,20 +13,20 @@
 use rustix::process::{Resource, getrlimit};
 use tracing::{info, warn};
 
-use crate::clients::{self, BadRequest, Clients};
+use crate::agent_client::{self, AgentClient};
+use crate::classify::classify;
 use crate::clock::{Clock, MS, SECOND, Timers};
-use crate::cores::{Core, Letter, Shared, home_of};
 use crate::counters::{Counters, resources};
-use crate::discovery::{Discovery, FleetNews};
-use crate::driver::{Command, Driver};
-use crate::extras::Extras;
-use crate::link::{self, Link};
-use crate::machines::{self, Job, Machines};
-use crate::phase::{Life, Reached};
-use crate::platform::Platform;
-use crate::process::{Fixed, Process};
-use crate::ready::{Asked, ConnId, ConnIds, Handle, Ready, Who};
-use crate::request::meaning;
+use crate::discovery::{Discovery, DiscoveryUpdate};
+use crate::dispatcher::{Command, Dispatcher};
+use crate::downstream::{self, BadRequest, Downstream};
+use crate::feature_settings::FeatureSettings;
+use crate::lifecycle::{Lifecycle, LifecycleStage};
+use crate::process_settings::{ProcessSettings, StartupSettings};
+use crate::readiness::{ConnId, ConnIds, Handle, PendingWork, Source, TurnInputs};
+use crate::release_controller::ReleaseController;
+use crate::upstream::{self, Upstream, UpstreamRequest};
+use crate::workers::{WorkerId, WorkerMessage, WorkerShared, owner_of};
 
 /// Descriptors for all but clients and machines: 3 standard streams, 4 of the loop, 2 for the listener, 2 for
 /// discovery, 9 for the platform with its votes, one to read a file, and a margin.
@@ -68,17 +68,17 @@
 /// What the first thread alone has.
 struct News {
     discovery: Discovery,
-    platform: Platform,
+    platform: ReleaseController,
     /// To the agent on this machine, where the instances may talk to each other.
-    link: Option<Link>,
-    life: Life,
-    fixed: Fixed,
+    link: Option<AgentClient>,
+    life: Lifecycle,
+    fixed: StartupSettings,
 }
 
 /// What another thread begins with.
-pub struct Beginning {
-    core: Core,
-    shared: Arc<Shared>,
+pub struct WorkerSeed {
+    core: WorkerId,
+    shared: Arc<WorkerShared>,
     clock: Clock,
     listener: TcpListener,
     settings: garnetcrank_settings::Settings,
@@ -95,9 +95,9 @@
 }
 
 /// One thread's part of the front, but the event loop.
-pub struct Front {
-    core: Core,
-    shared: Arc<Shared>,
+pub struct Proxy {
+    core: WorkerId,
+    shared: Arc<WorkerShared>,
     news: Option<News>,
     handle: Handle,
     ids: ConnIds,
@@ -106,37 +106,37 @@
     /// Sweeps planned so far; only the last one counts.
     sweeps: u64,
     resting: bool,
-    clients: Clients,
-    machines: Machines,
+    downstream: Downstream,
+    upstream: Upstream,
     counters: Counters,
     settings: garnetcrank_settings::Settings,
     budgets: Budgets,
     commands: Vec<Command>,
-    client_notes: Vec<clients::Note>,
-    machine_notes: Vec<machines::Note>,
+    downstream_events: Vec<downstream::DownstreamEvent>,
+    upstream_events: Vec<upstream::UpstreamEvent>,
     /// When bad requests were last told of.
     bad_told: Micros,
     /// The cap last told, and of which build.
     cap: Option<(Build, f64)>,
 }
 
-impl Front {
+impl Proxy {
     /// Opens the listening socket and tells the decisions what is known: the first thread, and what the others begin
     /// with.
     pub fn new(
         handle: Handle,
-        process: Process,
-        extras: &Extras,
-    ) -> io::Result<(Self, Vec<(Beginning, PingSource)>)> {
+        process: ProcessSettings,
+        extras: &FeatureSettings,
+    ) -> io::Result<(Self, Vec<(WorkerSeed, PingSource)>)> {
         let clock = Clock::start();
         let now = clock.now();
-        let fixed = Fixed::of(&process);
-        let cores = extras.cores();
-        let Process { settings, sockets, memory_mb, .. } = process;
+        let fixed = StartupSettings::from_process(&process);
+        let cores = extras.worker_count();
+        let ProcessSettings { settings, sockets, memory_mb, .. } = process;
         // The system's own limit may be below the one told.
         let system = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
         let sockets = sockets.min(usize::try_from(system).unwrap_or(usize::MAX));
-        let linked = if extras.agreement.is_some() { link::DESCRIPTORS } else { 0 };
+        let linked = if extras.agreement.is_some() { agent_client::DESCRIPTORS } else { 0 };
         let more = (cores - 1) * FOR_A_CORE;
         let descriptors = sockets.saturating_sub(RESERVED + linked + more).max(8 * cores) / cores;
         let crowd = descriptors / CROWD + 1;
@@ -150,10 +150,10 @@
             held: most_held,
             bytes: usize::try_from(memory_mb * 1024 * 1024 / BODY_PART).unwrap_or(usize::MAX),
         };
-        let driver = Driver::new(process.seed, &settings, cores);
-        let (shared, sources) = Shared::new(driver, cores)?;
+        let driver = Dispatcher::new(process.seed, &settings, cores);
+        let (shared, sources) = WorkerShared::new(driver, cores)?;
         let shared = Arc::new(shared);
-        let clients = Clients::listen(&handle, process.listen)?;
+        let clients = Downstream::listen(&handle, process.listen)?;
         let mut others = Vec::new();
         for (core, source) in sources.into_iter().enumerate() {
             if core == 0 {
@@ -162,23 +162,30 @@
             }
             let (shared, settings) = (Arc::clone(&shared), settings.clone());
             let listener = clients.listener()?;
-            let core = Core(core);
+            let core = WorkerId(core);
             others.push((
-                Beginning { core, shared, clock: clock.clone(), listener, settings, budgets },
+                WorkerSeed { core, shared, clock: clock.clone(), listener, settings, budgets },
                 source,
             ));
         }
         let news = News {
             discovery: Discovery::new(process.discovery, &settings, process.seed),
-            platform: Platform::new(process.platform, settings.config.rollout.vote_timeout, process.seed),
+            platform: ReleaseController::new(
+                process.platform,
+                settings.config.rollout.vote_timeout,
+                process.seed,
+            ),
             link: extras
                 .agreement
                 .as_ref()
-                .map(|a| Link::new(a, &process.name, settings.config.rollout.vote_ttl, process.seed)),
-            life: Life::start(now, settings.config.classes.iter().map(|c| c.deadline).max().unwrap_or(0)),
+                .map(|a| AgentClient::new(a, &process.name, settings.config.rollout.vote_ttl, process.seed)),
+            life: Lifecycle::start(
+                now,
+                settings.config.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
+            ),
             fixed,
         };
-        let mut front = Front::with(Core::FIRST, shared, handle, clock, clients, settings, budgets);
+        let mut front = Proxy::with_parts(WorkerId::FIRST, shared, handle, clock, clients, settings, budgets);
         info!(
             "{} starts on {}: {} descriptors, {} clients and {} requests at the most",
             process.name,
@@ -191,8 +198,8 @@
             info!("{cores} threads, each with {} of the descriptors", budgets.descriptors);
         }
         let news = front.news.insert(news);
-        let known = news.discovery.known(process.known);
-        let stage = news.platform.news(process.news, now);
+        let known = news.discovery.load_cached(process.cached_members);
+        let stage = news.platform.on_rollout_state(process.rollout_state, now);
         front.fleet(known);
         front.staged(stage.map(Event::RolloutUpdated).into_iter().collect());
         front.plan_sweep(now);
@@ -200,26 +207,26 @@
     }
 
     /// Another thread's part.
-    pub fn begin(handle: Handle, beginning: Beginning, source: PingSource) -> io::Result<Self> {
-        let Beginning { core, shared, clock, listener, settings, budgets } = beginning;
+    pub fn start_worker(handle: Handle, beginning: WorkerSeed, source: PingSource) -> io::Result<Self> {
+        let WorkerSeed { core, shared, clock, listener, settings, budgets } = beginning;
         woken(&handle, source)?;
-        let clients = Clients::on(&handle, listener)?;
+        let clients = Downstream::with_listener(&handle, listener)?;
         let now = clock.now();
-        let mut front = Front::with(core, shared, handle, clock, clients, settings, budgets);
+        let mut front = Proxy::with_parts(core, shared, handle, clock, clients, settings, budgets);
         front.plan_sweep(now);
         Ok(front)
     }
 
-    fn with(
-        core: Core,
-        shared: Arc<Shared>,
+    fn with_parts(
+        core: WorkerId,
+        shared: Arc<WorkerShared>,
         handle: Handle,
         clock: Clock,
-        clients: Clients,
+        clients: Downstream,
         settings: garnetcrank_settings::Settings,
         budgets: Budgets,
     ) -> Self {
-        Front {
+        Proxy {
             core,
             shared,
             news: None,
@@ -229,69 +236,73 @@
             timers: Timers::default(),
             sweeps: 0,
             resting: false,
-            clients,
-            machines: Machines::new(settings.transport.clone()),
+            downstream: clients,
+            upstream: Upstream::new(settings.transport.clone()),
             counters: Counters::default(),
             settings,
             budgets,
             commands: Vec::new(),
-            client_notes: Vec::new(),
-            machine_notes: Vec::new(),
+            downstream_events: Vec::new(),
+            upstream_events: Vec::new(),
             bad_told: 0,
             cap: None,
         }
     }
 
     /// How long the loop may sleep.
-    pub fn wait(&self) -> Option<std::time::Duration> {
+    pub fn poll_timeout(&self) -> Option<std::time::Duration> {
         let now = self.clock.now();
         let until = |at: Micros| std::time::Duration::from_micros(at.saturating_sub(now));
-        let due = [self.timers.due_at(), self.machines.due(), self.shared.driver().due(self.core)];
+        let due = [
+            self.timers.due_at(),
+            self.upstream.next_deadline(),
+            self.shared.dispatcher().next_deadline(self.core),
+        ];
         due.into_iter().flatten().min().map(until)
     }
 
     /// Whether the process may exit.
-    pub fn stopped(&self) -> bool {
-        self.reached(self.clock.now()) == Reached::Stopped
+    pub fn is_stopped(&self) -> bool {
+        self.lifecycle_stage(self.clock.now()) == LifecycleStage::Stopped
     }
 
-    fn reached(&self, now: Micros) -> Reached {
-        self.news.as_ref().map_or_else(|| self.shared.reached(), |news| news.life.reached(now))
+    fn lifecycle_stage(&self, now: Micros) -> LifecycleStage {
+        self.news.as_ref().map_or_else(|| self.shared.stage(), |news| news.life.stage(now))
     }
 
     /// One turn: all that the loop has told, news of fleet and stage first, then what is due.
-    pub fn turn(&mut self, ready: &mut Ready) {
+    pub fn turn(&mut self, ready: &mut TurnInputs) {
         let now = self.clock.now();
-        for asked in ready.asked.drain(..) {
+        for asked in ready.pending_work.drain(..) {
             match asked {
-                Asked::Counters => self.print_counters(),
-                Asked::Reload => self.reload(now),
-                Asked::Stop => {
+                PendingWork::PrintCounters => self.print_counters(),
+                PendingWork::Reload => self.reload(now),
+                PendingWork::Stop => {
                     if let Some(by) = self.news.as_mut().and_then(|news| news.life.stop(now)) {
-                        self.clients.closing = true;
-                        self.shared.driver().answer_by(by);
+                        self.downstream.closing = true;
+                        self.shared.dispatcher().answer_by(by);
                     }
                 }
             }
         }
         self.take_letters(now);
-        let order = |who: &Who| match who {
-            Who::Discovery(_) | Who::Platform(_) | Who::Agent(_) => 0,
-            Who::Machine(_) => 1,
-            Who::Client(_) | Who::Listener => 2,
+        let order = |who: &Source| match who {
+            Source::Discovery(_) | Source::ReleaseController(_) | Source::Agent(_) => 0,
+            Source::Upstream(_) => 1,
+            Source::Downstream(_) | Source::Listener => 2,
         };
-        ready.conns.sort_by_key(|(who, _)| order(who));
-        for (who, readiness) in ready.conns.drain(..) {
+        ready.connections.sort_by_key(|(who, _)| order(who));
+        for (who, readiness) in ready.connections.drain(..) {
             self.ready(who, readiness, now);
         }
         self.accept(now);
-        self.machines.late(now, &mut self.machine_notes);
+        self.upstream.expire_attempts(now, &mut self.upstream_events);
         // An answer that was read in this turn goes before the failure for want of any.
         self.take_machine_notes(now);
-        self.shared.driver().overdue(self.core, now, &mut self.commands);
+        self.shared.dispatcher().expire_overdue(self.core, now, &mut self.commands);
         while let Some(due) = self.timers.due(now) {
             match due {
-                Due::Decisions(token) => self.shared.driver().event(Event::Timer(token)),
+                Due::Decisions(token) => self.shared.dispatcher().queue_event(Event::Timer(token)),
                 Due::Sweep(number) if number == self.sweeps => self.sweep(now),
                 Due::Sweep(_) => {}
             }
@@ -306,27 +317,36 @@
         if took >= LONG_TURN {
             warn!("a turn of the loop took {} ms", took / MS);
         }
-        let (clients, conns) = (self.clients.len() as u64, self.machines.len() as u64);
+        let (clients, conns) = (self.downstream.len() as u64, self.upstream.len() as u64);
         let c = &mut self.counters;
         c.longest_turn_us = c.longest_turn_us.max(took);
         c.peak_clients = c.peak_clients.max(clients);
         c.peak_machine_conns = c.peak_machine_conns.max(conns);
-        c.peak_held = c.peak_held.max(self.shared.driver().held() as u64);
-        if self.shared.cores() > 1 {
-            self.shared.publish(self.core, self.clients.len(), self.clients.all_gone(), &self.counters);
+        c.peak_held = c.peak_held.max(self.shared.dispatcher().in_flight_count() as u64);
+        if self.shared.worker_count() > 1 {
+            self.shared.publish(
+                self.core,
+                self.downstream.len(),
+                self.downstream.is_drained(),
+                &self.counters,
+            );
         }
     }
 
     /// Letters of the other threads.
     fn take_letters(&mut self, now: Micros) {
-        if self.shared.cores() == 1 {
+        if self.shared.worker_count() == 1 {
             return;
         }
-        for letter in self.shared.letters(self.core) {
+        for letter in self.shared.take_messages(self.core) {
             match letter {
-                Letter::Command(command) => self.carry_out(command, now),
-                Letter::Place(place) => self.machines.place(&place, now, &mut self.machine_notes),
-                Letter::Less(build) => self.machines.recall_build(build, now, &mut self.machine_notes),
+                WorkerMessage::Command(command) => self.carry_out(command, now),
+                WorkerMessage::EndpointChanged(place) => {
+                    self.upstream.update_address(&place, now, &mut self.upstream_events)
+                }
+                WorkerMessage::ExposureLowered(build) => {
+                    self.upstream.recall_build(build, now, &mut self.upstream_events)
+                }
             }
         }
     }
@@ -334,7 +354,7 @@
     /// Reads the configuration again. A faulty one changes nothing; nothing that is held is dropped.
     fn reload(&mut self, now: Micros) {
         let Some(news) = &mut self.news else { return };
-        let renewal = match news.fixed.read_again(|name| std::env::var(name).ok()) {
+        let renewal = match news.fixed.reload(|name| std::env::var(name).ok()) {
             Ok(renewal) => renewal,
             Err(message) => {
                 self.counters.reloads_refused += 1;
@@ -343,11 +363,11 @@
         };
         self.counters.reloads += 1;
         info!("reload: discovery at {}, platform at {}", renewal.discovery, renewal.platform);
-        for key in &renewal.fixed {
+        for key in &renewal.ignored_keys {
             warn!("reload: {key}: a new value counts from the next start on");
         }
-        let fleet = news.discovery.renew(renewal.discovery, renewal.known, now);
-        let events = news.platform.renew(renewal.platform, renewal.news, now);
+        let fleet = news.discovery.reconfigure(renewal.discovery, renewal.cached_members, now);
+        let events = news.platform.reconfigure(renewal.platform, renewal.rollout_state, now);
         self.fleet(fleet);
         self.staged(events);
         self.tend_news(now);
@@ -356,9 +376,9 @@
     /// Connects to discovery and the platform where that is due.
     fn tend_news(&mut self, now: Micros) {
         let Some(news) = &mut self.news else { return };
-        let fleet = news.discovery.tend(&self.handle, &mut self.ids, now);
-        let events = news.platform.tend(&self.handle, &mut self.ids, now);
-        let steps = news.link.as_mut().map(|link| link.tend(&self.handle, &mut self.ids, now));
+        let fleet = news.discovery.on_tick(&self.handle, &mut self.ids, now);
+        let events = news.platform.on_tick(&self.handle, &mut self.ids, now);
+        let steps = news.link.as_mut().map(|link| link.on_tick(&self.handle, &mut self.ids, now));
         self.fleet(fleet);
         self.staged(events);
         self.ballots(steps.unwrap_or_default(), now);
@@ -370,7 +390,7 @@
             match step {
                 RouterAction::CastVote(vote, origin) => self.cast(vote, origin, now),
                 RouterAction::VoteCompleted(ballot) => {
-                    self.shared.driver().event(Event::VoteCompleted(ballot, None))
+                    self.shared.dispatcher().queue_event(Event::VoteCompleted(ballot, None))
                 }
                 RouterAction::RolloutUpdated(stage) => self.tell(Event::RolloutUpdated(stage)),
                 RouterAction::SendToAgent(_) => {} // sent by the link itself
@@ -381,49 +401,51 @@
     fn cast(&mut self, vote: Vote, origin: VoteOrigin, now: Micros) {
         let Some(news) = &mut self.news else { return };
         self.counters.votes += 1;
-        let event = news.platform.vote(&self.handle, &mut self.ids, now, vote, origin);
-        event.into_iter().for_each(|e| self.shared.driver().event(e));
+        let event = news.platform.cast_vote(&self.handle, &mut self.ids, now, vote, origin);
+        event.into_iter().for_each(|e| self.shared.dispatcher().queue_event(e));
     }
 
     /// News for the decisions. What was decided before it and is not on its way yet is decided anew.
     fn tell(&self, event: Event) {
-        self.shared.tell(event);
+        self.shared.deliver(event);
     }
 
-    fn ready(&mut self, who: Who, readiness: Readiness, now: Micros) {
+    fn ready(&mut self, who: Source, readiness: Readiness, now: Micros) {
         match who {
-            Who::Discovery(id) => {
+            Source::Discovery(id) => {
                 let Some(news) = &mut self.news else { return };
-                let fleet = news.discovery.ready(id, readiness, now);
+                let fleet = news.discovery.on_ready(id, readiness, now);
                 self.fleet(fleet);
             }
-            Who::Platform(id) => {
+            Source::ReleaseController(id) => {
                 let Some(news) = &mut self.news else { return };
-                let events = news.platform.ready(id, readiness, now);
+                let events = news.platform.on_ready(id, readiness, now);
                 self.staged(events);
             }
-            Who::Agent(id) => {
+            Source::Agent(id) => {
                 let Some(link) = self.news.as_mut().and_then(|news| news.link.as_mut()) else { return };
-                let steps = link.ready(&self.handle, &mut self.ids, id, readiness, now);
+                let steps = link.on_ready(&self.handle, &mut self.ids, id, readiness, now);
                 self.ballots(steps, now);
             }
-            Who::Machine(id) => self.machines.ready(id, readiness, now, &mut self.machine_notes),
-            Who::Client(id) => self.clients.ready(id, readiness, now, &mut self.client_notes),
-            Who::Listener => self.clients.waiting = true,
+            Source::Upstream(id) => self.upstream.on_ready(id, readiness, now, &mut self.upstream_events),
+            Source::Downstream(id) => {
+                self.downstream.on_ready(id, readiness, now, &mut self.downstream_events)
+            }
+            Source::Listener => self.downstream.waiting = true,
         }
     }
 
-    fn fleet(&mut self, news: FleetNews) {
+    fn fleet(&mut self, news: DiscoveryUpdate) {
         let now = self.clock.now();
-        for place in &news.places {
-            self.machines.place(place, now, &mut self.machine_notes);
+        for place in &news.addresses {
+            self.upstream.update_address(place, now, &mut self.upstream_events);
         }
-        if !news.places.is_empty() {
+        if !news.addresses.is_empty() {
             for other in self.shared.others(self.core) {
-                self.shared.post(other, news.places.iter().cloned().map(Letter::Place));
+                self.shared.post(other, news.addresses.iter().cloned().map(WorkerMessage::EndpointChanged));
             }
         }
-        news.fleet.into_iter().for_each(|f| self.tell(Event::EndpointsUpdated(f)));
+        news.endpoint_updates.into_iter().for_each(|f| self.tell(Event::EndpointsUpdated(f)));
     }
 
     fn staged(&mut self, events: Vec<Event>) {
@@ -433,10 +455,10 @@
             let link = self.news.as_mut().and_then(|news| news.link.as_mut());
             let event = match (event, link) {
                 (Event::RolloutUpdated(stage), Some(link)) => {
-                    Event::RolloutUpdated(link.news(self.clock.now(), stage))
+                    Event::RolloutUpdated(link.on_rollout_status(self.clock.now(), stage))
                 }
                 (Event::VoteCompleted(ballot, Some(stage)), Some(link)) => {
-                    Event::VoteCompleted(ballot, Some(link.news(self.clock.now(), stage)))
+                    Event::VoteCompleted(ballot, Some(link.on_rollout_status(self.clock.now(), stage)))
                 }
                 (event, _) => event,
             };
@@ -452,9 +474,9 @@
         let before = self.cap.replace((stage.build, stage.exposure_cap));
         if before.is_some_and(|(build, cap)| build == stage.build && stage.exposure_cap < cap) {
             let now = self.clock.now();
-            self.machines.recall_build(stage.build, now, &mut self.machine_notes);
+            self.upstream.recall_build(stage.build, now, &mut self.upstream_events);
             for other in self.shared.others(self.core) {
-                self.shared.post(other, [Letter::Less(stage.build)]);
+                self.shared.post(other, [WorkerMessage::ExposureLowered(stage.build)]);
             }
         }
     }
@@ -463,34 +485,36 @@
     fn accept(&mut self, now: Micros) {
         // With half of the places taken, answers close their connections: those who come by the hundreds, ask
         // once and stay would fill the rest before any of them had rested long enough to make way.
-        self.clients.crowded = self.clients.len() > self.budgets.clients / 2;
+        self.downstream.crowded = self.downstream.len() > self.budgets.clients / 2;
         for _ in 0..ACCEPTS {
-            if !self.clients.waiting {
+            if !self.downstream.waiting {
                 return;
             }
             // One that has fewer takes it: all threads hear of a connection that waits.
-            if self.shared.cores() > 1 && !self.shared.least(self.core, self.clients.len()) {
+            if self.shared.worker_count() > 1
+                && !self.shared.has_fewest_clients(self.core, self.downstream.len())
+            {
                 return;
             }
-            let room = if self.clients.len() >= self.budgets.clients {
+            let room = if self.downstream.len() >= self.budgets.clients {
                 self.client_makes_way(now)
             } else {
                 self.find_room(now)
             };
             if !room {
                 // Those who wait get in as soon as answers close connections, or others have rested long enough.
-                self.clients.crowded = true;
+                self.downstream.crowded = true;
                 self.counters.accepts_paused += 1;
                 return;
             }
-            if self.clients.accept(&mut self.ids, now) {
+            if self.downstream.accept(&mut self.ids, now) {
                 self.counters.client_conns += 1;
             }
         }
     }
 
     fn room(&self) -> bool {
-        self.clients.len() + self.machines.len() < self.budgets.descriptors
+        self.downstream.len() + self.upstream.len() < self.budgets.descriptors
     }
 
     /// Whether there is a descriptor: a free one, or that of a kept connection or a client that makes way.
@@ -499,13 +523,13 @@
     }
 
     fn client_makes_way(&mut self, now: Micros) -> bool {
-        let made = self.clients.make_way(now);
+        let made = self.downstream.evict_idle(now);
         self.counters.clients_made_way += u64::from(made);
         made
     }
 
     fn make_room(&mut self) -> bool {
-        let made = self.machines.evict_idle();
+        let made = self.upstream.evict_idle();
         self.counters.idle_evicted += u64::from(made);
         made
     }
@@ -513,7 +537,7 @@
     /// Whether an exchange with this machine can have a connection; a kept one to another may make way, or a
     /// client without a request.
     fn room_for(&mut self, machine: EndpointId, now: Micros) -> bool {
-        self.machines.has_idle(machine, now) || self.find_room(now)
+        self.upstream.has_idle(machine, now) || self.find_room(now)
     }
 
     fn plan_sweep(&mut self, at: Micros) {
@@ -524,36 +548,38 @@
     /// Whether nothing but requests needs looking after.
     fn quiet(&self, now: Micros) -> bool {
         let news = self.news.as_ref().is_none_or(|news| {
-            let linked = news.link.as_ref().is_none_or(Link::at_rest);
-            linked && news.discovery.at_rest() && news.platform.at_rest()
+            let linked = news.link.as_ref().is_none_or(AgentClient::is_idle);
+            linked && news.discovery.is_idle() && news.platform.is_idle()
         });
-        self.reached(now) == Reached::Serving && !self.clients.waiting && news
+        self.lifecycle_stage(now) == LifecycleStage::Serving && !self.downstream.waiting && news
     }
 
     fn sweep(&mut self, now: Micros) {
         // The flags of the process are looked at here alone, so a thread that has no news rests less.
-        self.resting = self.quiet(now) && self.shared.driver().held() == 0 && self.shared.cores() == 1;
+        self.resting = self.quiet(now)
+            && self.shared.dispatcher().in_flight_count() == 0
+            && self.shared.worker_count() == 1;
         self.plan_sweep(now + if self.resting { RESTING } else { SWEEP });
         self.tend_news(now);
-        self.machines.tend(now);
-        self.clients.tend(now, &mut self.client_notes);
-        let held = self.shared.driver().held();
-        let done = held == 0 && self.clients.all_gone() && self.shared.others_gone(self.core);
+        self.upstream.on_tick(now);
+        self.downstream.on_tick(now, &mut self.downstream_events);
+        let held = self.shared.dispatcher().in_flight_count();
+        let done = held == 0 && self.downstream.is_drained() && self.shared.others_drained(self.core);
         if let Some(news) = &mut self.news {
-            news.life.tend(now, news.discovery.heard, done);
-            self.shared.reach(news.life.reached(now));
+            news.life.on_tick(now, news.discovery.heard, done);
+            self.shared.set_stage(news.life.stage(now));
         }
-        let reached = self.shared.reached();
-        self.clients.closing = reached >= Reached::Draining;
-        if reached >= Reached::Deaf && self.clients.listens() {
+        let reached = self.shared.stage();
+        self.downstream.closing = reached >= LifecycleStage::Draining;
+        if reached >= LifecycleStage::NotAccepting && self.downstream.is_listening() {
             // What waits to be accepted has been taken by this machine already.
-            while self.clients.accept(&mut self.ids, now) {
+            while self.downstream.accept(&mut self.ids, now) {
                 self.counters.client_conns += 1;
             }
-            self.clients.stop_listening();
+            self.downstream.stop_listening();
         }
-        if reached >= Reached::Emptying {
-            self.clients.close_idle(now);
+        if reached >= LifecycleStage::ClosingIdle {
+            self.downstream.close_idle(now);
         }
     }
 
@@ -562,17 +588,17 @@
         loop {
             let now = self.clock.now();
             self.take_machine_notes(now);
-            for note in std::mem::take(&mut self.client_notes) {
+            for note in std::mem::take(&mut self.downstream_events) {
                 self.client_note(note, now);
             }
             for command in std::mem::take(&mut self.commands) {
                 self.direct(command, now);
             }
-            let waiting = !self.machine_notes.is_empty() || !self.client_notes.is_empty();
+            let waiting = !self.upstream_events.is_empty() || !self.downstream_events.is_empty();
             let stepped = {
-                let mut driver = self.shared.driver();
+                let mut driver = self.shared.dispatcher();
                 let stepped = driver.step(now, &mut self.commands);
-                self.shared.empty(&mut driver, now, &mut self.commands);
+                self.shared.drain_dispatcher(&mut driver, now, &mut self.commands);
                 stepped
             };
             if !stepped && !waiting && self.commands.is_empty() {
@@ -583,63 +609,64 @@
 
     /// Carries a command out, or leaves it to the thread whose connection it is for.
     fn direct(&mut self, command: Command, now: Micros) {
-        if self.shared.cores() == 1 {
+        if self.shared.worker_count() == 1 {
             return self.carry_out(command, now);
         }
         let home = match &command {
-            Command::Place { id, .. } | Command::Withdraw { id, .. } => self.shared.home(*id),
-            Command::Pass { client, .. }
-            | Command::Refuse { client, .. }
+            Command::Forward { id, .. } | Command::Cancel { id, .. } => self.shared.owner(*id),
+            Command::Respond { client, .. }
+            | Command::Reject { client, .. }
             | Command::Fail { client }
-            | Command::Overdue { client }
-            | Command::Begin { client, .. }
-            | Command::Finish { client, .. } => home_of(*client),
+            | Command::DeadlineExceeded { client }
+            | Command::StartResponse { client, .. }
+            | Command::FinishResponse { client, .. } => owner_of(*client),
             Command::CloseIdle(machine) => {
                 for other in self.shared.others(self.core) {
-                    self.shared.post(other, [Letter::Command(Command::CloseIdle(*machine))]);
+                    self.shared.post(other, [WorkerMessage::Command(Command::CloseIdle(*machine))]);
                 }
                 self.core
             }
             Command::Log(_) => self.core,
             Command::Timer { .. }
-            | Command::Probe(_)
-            | Command::Subscribe(_)
-            | Command::AskFleet
-            | Command::Vote(..) => Core::FIRST,
+            | Command::HealthCheck(_)
+            | Command::WatchEndpoints(_)
+            | Command::PollEndpoints
+            | Command::Vote(..) => WorkerId::FIRST,
         };
         if home == self.core {
             self.carry_out(command, now);
         } else {
-            self.shared.post(home, [Letter::Command(command)]);
+            self.shared.post(home, [WorkerMessage::Command(command)]);
         }
     }
 
     fn take_machine_notes(&mut self, now: Micros) {
-        for note in std::mem::take(&mut self.machine_notes) {
+        for note in std::mem::take(&mut self.upstream_events) {
             self.machine_note(note, now);
         }
     }
 
-    fn machine_note(&mut self, note: machines::Note, now: Micros) {
+    fn machine_note(&mut self, note: upstream::UpstreamEvent, now: Micros) {
         match note {
-            machines::Note::Begun { id, attempt, headers } => {
-                let begun = self.shared.driver().begun(id, attempt, headers, &mut self.commands);
+            upstream::UpstreamEvent::Begun { id, attempt, headers } => {
+                let begun =
+                    self.shared.dispatcher().on_response_started(id, attempt, headers, &mut self.commands);
                 if !begun {
-                    self.machines.cut(id, attempt, now, &mut self.machine_notes);
+                    self.upstream.abort(id, attempt, now, &mut self.upstream_events);
                 }
                 // Its head leaves before its first part.
                 for command in std::mem::take(&mut self.commands) {
                     self.direct(command, now);
                 }
             }
-            machines::Note::Part { id, bytes } => {
-                let held = self.shared.driver().get(id).map(|held| (held.client, held.begun));
+            upstream::UpstreamEvent::Part { id, bytes } => {
+                let held = self.shared.dispatcher().get(id).map(|held| (held.client, held.streaming_attempt));
                 let Some((client, Some(attempt))) = held else { return };
-                if self.clients.part(client, &bytes, now, &mut self.client_notes) {
-                    self.machines.pause(id, attempt, true, now, &mut self.machine_notes);
+                if self.downstream.send_body_part(client, &bytes, now, &mut self.downstream_events) {
+                    self.upstream.pause(id, attempt, true, now, &mut self.upstream_events);
                 }
             }
-            machines::Note::Ended { id, attempt, outcome, lag, load, answer } => {
+            upstream::UpstreamEvent::Ended { id, attempt, outcome, lag, load, answer } => {
                 self.count(outcome);
                 let done = AttemptResult {
                     id,
@@ -649,12 +676,12 @@
                     request_finished: false,
                     load_report: load,
                 };
-                let mut driver = self.shared.driver();
-                driver.ended(done, answer, &mut self.commands);
-                self.shared.empty(&mut driver, now, &mut self.commands);
+                let mut driver = self.shared.dispatcher();
+                driver.on_attempt_completed(done, answer, &mut self.commands);
+                self.shared.drain_dispatcher(&mut driver, now, &mut self.commands);
             }
-            machines::Note::Probed { machine, outcome, lag, load } => {
-                self.shared.driver().event(Event::HealthCheckCompleted {
+            upstream::UpstreamEvent::Probed { machine, outcome, lag, load } => {
+                self.shared.dispatcher().queue_event(Event::HealthCheckCompleted {
                     endpoint: machine,
                     outcome,
                     latency: lag,
@@ -678,21 +705,21 @@
         } += 1;
     }
 
-    fn client_note(&mut self, note: clients::Note, now: Micros) {
+    fn client_note(&mut self, note: downstream::DownstreamEvent, now: Micros) {
         match note {
-            clients::Note::Request(client, message) => self.request(client, message, now),
-            clients::Note::Bad(bad) => self.bad(bad, now),
-            clients::Note::Left(id) => {
+            downstream::DownstreamEvent::Request(client, message) => self.request(client, message, now),
+            downstream::DownstreamEvent::Bad(bad) => self.bad(bad, now),
+            downstream::DownstreamEvent::Left(id) => {
                 self.counters.left += 1;
-                let begun = self.shared.driver().left(id);
+                let begun = self.shared.dispatcher().on_disconnect(id);
                 if let Some(attempt) = begun {
-                    self.machines.cut(id, attempt, now, &mut self.machine_notes);
+                    self.upstream.abort(id, attempt, now, &mut self.upstream_events);
                 }
             }
-            clients::Note::Drained(id) => {
-                let begun = self.shared.driver().get(id).and_then(|h| h.begun);
+            downstream::DownstreamEvent::Drained(id) => {
+                let begun = self.shared.dispatcher().get(id).and_then(|h| h.streaming_attempt);
                 if let Some(attempt) = begun {
-                    self.machines.pause(id, attempt, false, now, &mut self.machine_notes);
+                    self.upstream.pause(id, attempt, false, now, &mut self.upstream_events);
                 }
             }
         }
@@ -729,90 +756,90 @@
 
     fn request(&mut self, client: ConnId, message: garnetcrank_http::Request, now: Micros) {
         if message.target == "/healthz" {
-            let (status, words) = if self.reached(now) == Reached::Serving {
+            let (status, words) = if self.lifecycle_stage(now) == LifecycleStage::Serving {
                 (200, "serving\n")
             } else {
                 (503, "not serving\n")
             };
-            let notes = &mut self.client_notes;
-            return self.clients.answer(client, status, std::iter::empty(), words.as_bytes(), now, notes);
+            let notes = &mut self.downstream_events;
+            return self.downstream.answer(client, status, std::iter::empty(), words.as_bytes(), now, notes);
         }
-        let notes = &mut self.client_notes;
-        let meaning = match meaning(&self.settings, &message) {
+        let notes = &mut self.downstream_events;
+        let meaning = match classify(&self.settings, &message) {
             Ok(meaning) => meaning,
             Err((status, words)) => {
-                self.clients.answer_bad(client, status, words, now, notes);
+                self.downstream.answer_bad(client, status, words, now, notes);
                 return self.bad(BadRequest::Meaningless(words), now);
             }
         };
         // Held until the request is in: two threads must not both find its name free, nor the last place.
-        let mut driver = self.shared.driver();
+        let mut driver = self.shared.dispatcher();
         if driver.is_open(&message) {
             drop(driver);
             let words = "a request of this Request-Id is still open";
-            self.clients.answer_bad(client, 409, words, now, notes);
+            self.downstream.answer_bad(client, 409, words, now, notes);
             return self.bad(BadRequest::NameTaken, now);
         }
-        let bytes = driver.held_bytes() + message.body.len();
-        if driver.held_by(self.core) >= self.budgets.held || bytes > self.budgets.bytes {
+        let bytes = driver.in_flight_bytes() + message.body.len();
+        if driver.in_flight_count_of(self.core) >= self.budgets.held || bytes > self.budgets.bytes {
             drop(driver);
             self.counters.over_limit += 1;
-            return self.clients.answer(client, 503, std::iter::empty(), b"", now, notes);
+            return self.downstream.answer(client, 503, std::iter::empty(), b"", now, notes);
         }
         self.counters.requests += 1;
-        let id = driver.request(client, message, meaning, now);
-        self.shared.empty(&mut driver, now, &mut self.commands);
+        let id = driver.on_request(client, message, meaning, now);
+        self.shared.drain_dispatcher(&mut driver, now, &mut self.commands);
         drop(driver);
-        if !self.clients.held(client, id) {
-            self.client_note(clients::Note::Left(id), now);
+        if !self.downstream.mark_in_flight(client, id) {
+            self.client_note(downstream::DownstreamEvent::Left(id), now);
         }
     }
 
     fn carry_out(&mut self, command: Command, now: Micros) {
-        let notes = &mut self.client_notes;
+        let notes = &mut self.downstream_events;
         match command {
-            Command::Place { id, attempt, machine, until, stamp } => {
+            Command::Forward { id, attempt, machine, until, stamp } => {
                 self.place((id, attempt), machine, until, stamp, now);
             }
-            Command::Withdraw { id, attempt } => {
-                self.machines.withdraw(id, attempt, now, &mut self.machine_notes);
+            Command::Cancel { id, attempt } => {
+                self.upstream.cancel(id, attempt, now, &mut self.upstream_events);
             }
-            Command::Pass { client, answer } => {
+            Command::Respond { client, answer } => {
                 self.counters.passed += 1;
-                self.clients.answer(client, 200, passed_on(&answer.headers), &answer.body, now, notes);
+                self.downstream.answer(client, 200, passed_on(&answer.headers), &answer.body, now, notes);
             }
-            Command::Refuse { client, come_back } => {
+            Command::Reject { client, come_back } => {
                 self.counters.refused += 1;
                 let after = come_back.map(|span| format!("{:.3}", span as f64 / 1e6));
                 let lines = after.as_ref().map(|a| ("Retry-After", a.as_bytes()));
-                self.clients.answer(client, 503, lines.into_iter(), b"", now, notes);
+                self.downstream.answer(client, 503, lines.into_iter(), b"", now, notes);
             }
             Command::Fail { client } => {
                 self.counters.failed += 1;
-                self.clients.answer(client, 502, std::iter::empty(), b"", now, notes);
+                self.downstream.answer(client, 502, std::iter::empty(), b"", now, notes);
             }
-            Command::Overdue { client } => {
+            Command::DeadlineExceeded { client } => {
                 self.counters.overdue += 1;
-                self.clients.answer(client, 504, std::iter::empty(), b"", now, notes);
+                self.downstream.answer(client, 504, std::iter::empty(), b"", now, notes);
             }
-            Command::Begin { client, headers } => {
-                self.clients.begin(client, passed_on(&headers));
+            Command::StartResponse { client, headers } => {
+                self.downstream.start_response(client, passed_on(&headers));
             }
-            Command::Finish { client, whole: true } => {
+            Command::FinishResponse { client, whole: true } => {
                 self.counters.passed += 1;
-                self.clients.finish(client, now, notes);
+                self.downstream.finish_response(client, now, notes);
             }
-            Command::Finish { client, whole: false } => {
+            Command::FinishResponse { client, whole: false } => {
                 self.counters.failed += 1;
-                self.clients.break_off(client);
+                self.downstream.abort_response(client);
             }
             Command::Timer { at, token } => self.timers.set(at, Due::Decisions(token)),
-            Command::Probe(machine) => {
+            Command::HealthCheck(machine) => {
                 self.counters.probes += 1;
                 let started = match self.room_for(machine, now) {
                     true => {
-                        let notes = &mut self.machine_notes;
-                        self.machines.probe(&self.handle, &mut self.ids, now, machine, notes)
+                        let notes = &mut self.upstream_events;
+                        self.upstream.start_health_check(&self.handle, &mut self.ids, now, machine, notes)
                     }
                     false => Err(Outcome::NotSent),
                 };
@@ -823,25 +850,25 @@
                         latency: 0,
                         load_report: Vec::new(),
                     };
-                    self.shared.driver().event(probed);
+                    self.shared.dispatcher().queue_event(probed);
                 });
             }
-            Command::CloseIdle(machine) => self.machines.close_idle(machine),
-            Command::Subscribe(want) => {
+            Command::CloseIdle(machine) => self.upstream.close_idle(machine),
+            Command::WatchEndpoints(want) => {
                 let Some(news) = &mut self.news else { return };
-                let fleet = news.discovery.subscribe(want, now);
+                let fleet = news.discovery.set_watching(want, now);
                 self.fleet(fleet);
             }
-            Command::AskFleet => {
+            Command::PollEndpoints => {
                 let Some(news) = &mut self.news else { return };
-                let fleet = news.discovery.ask(&self.handle, &mut self.ids, now);
+                let fleet = news.discovery.poll(&self.handle, &mut self.ids, now);
                 self.fleet(fleet);
             }
             Command::Vote(build, stage, verdict) => {
                 match self.news.as_mut().and_then(|news| news.link.as_mut()) {
                     None => self.cast((build, stage, verdict), VoteOrigin::Own, now),
                     Some(link) => {
-                        let steps = link.votes(&self.handle, &mut self.ids, now, (build, stage, verdict));
+                        let steps = link.on_vote(&self.handle, &mut self.ids, now, (build, stage, verdict));
                         self.ballots(steps, now);
                     }
                 }
@@ -859,21 +886,21 @@
         now: Micros,
     ) {
         // Its client may have left since the decision.
-        let held = self.shared.driver().get(id).map(|held| (Arc::clone(&held.message), held.class));
+        let held = self.shared.dispatcher().get(id).map(|held| (Arc::clone(&held.message), held.class));
         let Some((request, class)) = held else {
-            return self.shared.driver().not_started(id, attempt, Outcome::NotSent);
+            return self.shared.dispatcher().on_attempt_not_started(id, attempt, Outcome::NotSent);
         };
         if !self.shared.may_send(stamp, now) {
             self.counters.decided_anew += 1;
-            return self.shared.driver().not_started(id, attempt, Outcome::NotSent);
+            return self.shared.dispatcher().on_attempt_not_started(id, attempt, Outcome::NotSent);
         }
         let room = self.room_for(machine, now);
         let streamed = self.settings.config.classes[class.0].streamed;
-        let job = Job { id, attempt, machine, request: &request, until, streamed };
+        let job = UpstreamRequest { id, attempt, machine, request: &request, until, streamed };
         let started = match room {
             true => {
-                let notes = &mut self.machine_notes;
-                self.machines.attempt(&self.handle, &mut self.ids, now, &job, notes)
+                let notes = &mut self.upstream_events;
+                self.upstream.start_attempt(&self.handle, &mut self.ids, now, &job, notes)
             }
             false => {
                 self.counters.no_descriptor += 1;
@@ -882,15 +909,15 @@
         };
         started.unwrap_or_else(|outcome| {
             self.count(outcome);
-            self.shared.driver().not_started(id, attempt, outcome);
+            self.shared.dispatcher().on_attempt_not_started(id, attempt, outcome);
         });
     }
 
     /// Prints the counters in one line.
     pub fn print_counters(&mut self) {
         let c = &mut self.counters;
-        (c.machine_conns, c.reused) = (self.machines.opened, self.machines.reused);
-        c.idle_clients_closed = self.clients.idle_closed;
+        (c.machine_conns, c.reused) = (self.upstream.opened, self.upstream.reused);
+        c.idle_clients_closed = self.downstream.idle_closed;
         if let Some(news) = &self.news {
             c.discovery_reconnects = news.discovery.reconnects;
             (c.platform_reconnects, c.stale_news) = (news.platform.reconnects, news.platform.stale);
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/readiness.rs
@@ -9,48 +9,48 @@
 
 impl ConnId {
     /// The thread that has the connection stands above this bit.
-    pub const CORE_SHIFT: u32 = 56;
+    pub const WORKER_SHIFT: u32 = 56;
 }
 
 /// Whose connection it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Who {
+pub enum Source {
     /// The listening socket.
     Listener,
     /// A client's connection.
-    Client(ConnId),
+    Downstream(ConnId),
     /// A connection to a machine.
-    Machine(ConnId),
+    Upstream(ConnId),
     /// A connection to discovery.
     Discovery(ConnId),
     /// A connection to the platform.
-    Platform(ConnId),
+    ReleaseController(ConnId),
     /// A connection to the agent on this machine.
     Agent(ConnId),
 }
 
 /// A process signal that the front answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum PendingWork {
     /// Finish what is held and exit.
     Stop,
     /// Read the configuration again.
     Reload,
     /// Print the counters.
-    Counters,
+    PrintCounters,
 }
 
 /// The event loop's data: filled by callbacks, emptied by the turn.
 #[derive(Debug, Default)]
-pub struct Ready {
+pub struct TurnInputs {
     /// Ready connections, in the order told.
-    pub conns: Vec<(Who, Readiness)>,
+    pub connections: Vec<(Source, Readiness)>,
     /// Signals.
-    pub asked: Vec<Asked>,
+    pub pending_work: Vec<PendingWork>,
 }
 
 /// The loop as connections are registered with it.
-pub type Handle = LoopHandle<'static, Ready>;
+pub type Handle = LoopHandle<'static, TurnInputs>;
 
 /// Gives out connection numbers.
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
 impl ConnIds {
     /// Numbers of one thread's connections.
     pub fn of(core: usize) -> Self {
-        ConnIds((core as u64) << ConnId::CORE_SHIFT)
+        ConnIds((core as u64) << ConnId::WORKER_SHIFT)
     }
 
     /// The next one.
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
-use crate::call::{Ask, Call, CallEnd};
 use crate::clock::{MS, SECOND};
-use crate::ready::{ConnId, ConnIds, Handle, Who};
-use crate::watch::{Again, FIRST_WORD, Heard, Watch};
+use crate::readiness::{ConnId, ConnIds, Handle, Source};
+use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
+use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
 
 /// Silence after which the stream of news is dead: three of its signs of life, one a second.
 const SILENCE: Micros = 3_500 * MS;
@@ -24,7 +24,7 @@
 
 /// Where the newest build stands, in the platform's words.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
-pub struct State {
+pub struct RolloutState {
     release: u32,
     tranche: usize,
     mode: Mode,
@@ -42,7 +42,7 @@
     RolledBack,
 }
 
-impl State {
+impl RolloutState {
     fn stage(&self) -> RolloutStatus {
         RolloutStatus {
             build: Build(self.release),
@@ -69,26 +69,26 @@
 }
 
 #[derive(Serialize)]
-struct Ruling {
+struct VoteRequest {
     release: u32,
     tranche: usize,
     ruling: &'static str,
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct ControllerMessage {
     #[serde(rename = "type")]
     kind: Option<String>,
     object: Option<serde_json::Value>,
 }
 
 /// The front's view of the platform.
-pub struct Platform {
+pub struct ReleaseController {
     address: SocketAddr,
-    watch: Watch,
-    votes: Vec<(Call, VoteOrigin)>,
+    watch: WatchStream,
+    votes: Vec<(UnaryCall, VoteOrigin)>,
     vote_wait: Micros,
-    known: Option<(State, Micros)>, // with the moment when it came to stand so
+    known: Option<(RolloutState, Micros)>, // with the moment when it came to stand so
     unread: bool,
     /// Connections made anew.
     pub reconnects: u64,
@@ -96,12 +96,18 @@
     pub stale: u64,
 }
 
-impl Platform {
+impl ReleaseController {
     /// A view that knows nothing yet.
     pub fn new(address: SocketAddr, vote_wait: Micros, seed: u64) -> Self {
-        Platform {
+        ReleaseController {
             address,
-            watch: Watch::new("platform", address, (SILENCE, FIRST_WORD), Again::FAR, seed),
+            watch: WatchStream::new(
+                "platform",
+                address,
+                (SILENCE, FIRST_BYTE_TIMEOUT),
+                ReconnectBackoff::REMOTE,
+                seed,
+            ),
             votes: Vec::new(),
             vote_wait: if vote_wait > 0 { vote_wait } else { SECOND },
             known: None,
@@ -112,7 +118,7 @@
     }
 
     /// News, unless it is older than what is known.
-    pub fn news(&mut self, state: State, now: Micros) -> Option<RolloutStatus> {
+    pub fn on_rollout_state(&mut self, state: RolloutState, now: Micros) -> Option<RolloutStatus> {
         let since = now.saturating_sub(state.age());
         let newer = self.known.is_none_or(|(known, known_since)| {
             state.order() > known.order() || state.order() == known.order() && since + TRAVEL >= known_since
@@ -127,24 +133,24 @@
 
     /// The configuration was read again. What stands there counts only if it is newer; the next connections
     /// go to the new address, while votes under way end on theirs.
-    pub fn renew(&mut self, address: SocketAddr, state: State, now: Micros) -> Vec<Event> {
+    pub fn reconfigure(&mut self, address: SocketAddr, state: RolloutState, now: Micros) -> Vec<Event> {
         self.address = address;
         let last = self.watch.retarget(address, now);
         let mut events = self.heard(last, now);
         let held = self.known.map(|(known, _)| known.order());
         if held.is_none_or(|held| state.order() > held) {
-            events.extend(self.news(state, now).map(Event::RolloutUpdated));
+            events.extend(self.on_rollout_state(state, now).map(Event::RolloutUpdated));
         }
         events
     }
 
     /// Whether nothing is to be done but to listen.
-    pub fn at_rest(&self) -> bool {
-        self.votes.is_empty() && self.watch.stands()
+    pub fn is_idle(&self) -> bool {
+        self.votes.is_empty() && self.watch.is_connected()
     }
 
     /// Casts a vote. The answer comes later, or at once if the vote cannot leave.
-    pub fn vote(
+    pub fn cast_vote(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -160,14 +166,20 @@
             Verdict::RollBack => "ROLLBACK",
         };
         let body =
-            serde_json::to_vec(&Ruling { release: build.0, tranche: stage, ruling }).unwrap_or_default();
+            serde_json::to_vec(&VoteRequest { release: build.0, tranche: stage, ruling }).unwrap_or_default();
         let until = now + self.vote_wait;
         let id = ids.next();
-        let ask =
-            Ask { to: self.address, method: "POST", target: "/votes", body: &body, most: ANSWER_MOST, until };
+        let ask = CallRequest {
+            to: self.address,
+            method: "POST",
+            target: "/votes",
+            body: &body,
+            max_response_bytes: ANSWER_MOST,
+            deadline: until,
+        };
         let started = match self.votes.len() {
             VOTES_MOST.. => Err(std::io::Error::other("too many under way")),
-            _ => Call::start(handle, id, Who::Platform(id), ask),
+            _ => UnaryCall::start(handle, id, Source::ReleaseController(id), ask),
         };
         match started {
             Ok(call) => {
@@ -182,12 +194,12 @@
     }
 
     /// Connects where that is due, and gives up what has been silent for too long.
-    pub fn tend(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<Event> {
-        let heard = self.watch.tend(handle, ids, Who::Platform, now, || "/events".to_owned());
+    pub fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<Event> {
+        let heard = self.watch.on_tick(handle, ids, Source::ReleaseController, now, || "/events".to_owned());
         let mut events = self.heard(heard, now);
         let mut ends = Vec::new();
         self.votes.retain(|(vote, origin)| {
-            let end = vote.late(now);
+            let end = vote.check_timeout(now);
             let goes_on = end.is_none();
             ends.extend(end.map(|end| (end, *origin)));
             goes_on
@@ -197,26 +209,26 @@
     }
 
     /// Takes what has come on one of its connections.
-    pub fn ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
+    pub fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
         if let Some(at) = self.votes.iter().position(|(vote, _)| vote.id == id) {
-            let Some(end) = self.votes[at].0.ready(readiness) else { return Vec::new() };
+            let Some(end) = self.votes[at].0.on_ready(readiness) else { return Vec::new() };
             let (_, origin) = self.votes.remove(at);
             return self.answered(end, origin, now).into_iter().collect();
         }
-        let heard = self.watch.ready(id, readiness, now);
+        let heard = self.watch.on_ready(id, readiness, now);
         self.heard(heard, now)
     }
 
     /// What the stream of news has to say.
-    fn heard(&mut self, heard: Heard, now: Micros) -> Vec<Event> {
+    fn heard(&mut self, heard: WatchEvents, now: Micros) -> Vec<Event> {
         self.reconnects += u64::from(heard.lost);
         let mut events = Vec::new();
-        for line in heard.told() {
+        for line in heard.non_empty_lines() {
             match self.told(line, now) {
                 Ok(stage) => events.extend(stage.map(Event::RolloutUpdated)),
                 Err(e) => {
                     warn!("platform: {e}");
-                    self.watch.lose(now, "news that can't be read");
+                    self.watch.disconnect(now, "news that can't be read");
                     self.reconnects += 1;
                     break;
                 }
@@ -226,9 +238,11 @@
     }
 
     fn told(&mut self, line: &[u8], now: Micros) -> Result<Option<RolloutStatus>, serde_json::Error> {
-        let told: Told = serde_json::from_slice(line)?;
+        let told: ControllerMessage = serde_json::from_slice(line)?;
         match (told.kind.as_deref(), told.object) {
-            (Some("progress"), Some(object)) => Ok(self.news(serde_json::from_value(object)?, now)),
+            (Some("progress"), Some(object)) => {
+                Ok(self.on_rollout_state(serde_json::from_value(object)?, now))
+            }
             (None, _) => Ok(None), // a sign of life
             (Some(kind), _) => {
                 // Its form is not told, so it is not guessed.
@@ -241,22 +255,22 @@
     }
 
     /// The end of a vote, as far as the decisions hear of it: of one that they did not cast, the news alone.
-    fn answered(&mut self, end: CallEnd, origin: VoteOrigin, now: Micros) -> Option<Event> {
+    fn answered(&mut self, end: CallOutcome, origin: VoteOrigin, now: Micros) -> Option<Event> {
         match (self.voted(end, now), origin) {
             (Event::VoteCompleted(_, stage), VoteOrigin::Cluster) => stage.map(Event::RolloutUpdated),
             (event, _) => Some(event),
         }
     }
 
-    fn voted(&mut self, end: CallEnd, now: Micros) -> Event {
+    fn voted(&mut self, end: CallOutcome, now: Micros) -> Event {
         let response = match end {
-            CallEnd::Answer(response) => response,
-            CallEnd::NeverSent => return Event::VoteCompleted(VoteResult::Failed, None),
-            CallEnd::Doubtful => return Event::VoteCompleted(VoteResult::Unknown, None),
+            CallOutcome::Response(response) => response,
+            CallOutcome::NeverSent => return Event::VoteCompleted(VoteResult::Failed, None),
+            CallOutcome::Unknown => return Event::VoteCompleted(VoteResult::Unknown, None),
         };
         match response.status {
-            200 => match serde_json::from_slice::<State>(&response.body) {
-                Ok(state) => Event::VoteCompleted(VoteResult::Counted, self.news(state, now)),
+            200 => match serde_json::from_slice::<RolloutState>(&response.body) {
+                Ok(state) => Event::VoteCompleted(VoteResult::Counted, self.on_rollout_state(state, now)),
                 Err(e) => {
                     warn!("platform: the answer to a vote can't be read: {e}");
                     Event::VoteCompleted(VoteResult::Unknown, None)
@@ -281,39 +295,39 @@
 mod tests {
     use super::*;
 
-    fn platform() -> Platform {
-        Platform::new("127.0.0.1:1".parse().expect("an address"), SECOND, 7)
+    fn platform() -> ReleaseController {
+        ReleaseController::new("127.0.0.1:1".parse().expect("an address"), SECOND, 7)
     }
 
-    fn state(release: u32, tranche: usize, mode: Mode, exposure: f64, old_ms: f64) -> State {
-        State { release, tranche, mode, exposure, old_ms }
+    fn state(release: u32, tranche: usize, mode: Mode, exposure: f64, old_ms: f64) -> RolloutState {
+        RolloutState { release, tranche, mode, exposure, old_ms }
     }
 
     #[test]
     fn older_news_undoes_nothing() {
         let (mut p, now) = (platform(), 100 * SECOND);
-        assert!(p.news(state(42, 1, Mode::InProgress, 0.28, 300.0), now).is_some());
-        assert!(p.news(state(42, 0, Mode::InProgress, 0.05, 900.0), now).is_none());
-        assert!(p.news(state(41, 3, Mode::Complete, 1.0, 9000.0), now).is_none());
-        assert!(p.news(state(42, 1, Mode::RollingBack, 0.0, 0.0), now).is_some());
-        assert!(p.news(state(42, 2, Mode::InProgress, 0.6, 0.0), now).is_none());
-        assert!(p.news(state(43, 0, Mode::InProgress, 0.05, 0.0), now).is_some());
+        assert!(p.on_rollout_state(state(42, 1, Mode::InProgress, 0.28, 300.0), now).is_some());
+        assert!(p.on_rollout_state(state(42, 0, Mode::InProgress, 0.05, 900.0), now).is_none());
+        assert!(p.on_rollout_state(state(41, 3, Mode::Complete, 1.0, 9000.0), now).is_none());
+        assert!(p.on_rollout_state(state(42, 1, Mode::RollingBack, 0.0, 0.0), now).is_some());
+        assert!(p.on_rollout_state(state(42, 2, Mode::InProgress, 0.6, 0.0), now).is_none());
+        assert!(p.on_rollout_state(state(43, 0, Mode::InProgress, 0.05, 0.0), now).is_some());
         assert_eq!(p.stale, 3);
     }
 
     #[test]
     fn a_released_build_can_still_go_back() {
         let mut p = platform();
-        assert!(p.news(state(42, 3, Mode::Complete, 1.0, 0.0), SECOND).is_some());
-        let back = p.news(state(42, 3, Mode::RollingBack, 0.0, 0.0), 2 * SECOND);
+        assert!(p.on_rollout_state(state(42, 3, Mode::Complete, 1.0, 0.0), SECOND).is_some());
+        let back = p.on_rollout_state(state(42, 3, Mode::RollingBack, 0.0, 0.0), 2 * SECOND);
         assert_eq!(back.expect("news").phase, RolloutPhase::RollingBack);
     }
 
     #[test]
     fn of_one_state_the_later_cap_stands() {
         let (mut p, now) = (platform(), 100 * SECOND);
-        assert!(p.news(state(42, 1, Mode::InProgress, 0.2, 0.0), now).is_some());
-        assert!(p.news(state(42, 1, Mode::InProgress, 0.5, 30_000.0), now).is_none());
+        assert!(p.on_rollout_state(state(42, 1, Mode::InProgress, 0.2, 0.0), now).is_some());
+        assert!(p.on_rollout_state(state(42, 1, Mode::InProgress, 0.5, 30_000.0), now).is_none());
     }
 
     #[test]
@@ -327,7 +341,7 @@
             let garnetcrank_http::Parsing::Done(r) = reader.read(&mut ring, false).expect("an answer") else {
                 panic!("half an answer");
             };
-            CallEnd::Answer(r)
+            CallOutcome::Response(r)
         };
         let ballot = |end| match platform().voted(end, SECOND) {
             Event::VoteCompleted(ballot, stage) => (ballot, stage.map(|s| s.exposure_cap)),
@@ -339,8 +353,8 @@
         assert_eq!(ballot(answer(429, b"{}")), (VoteResult::RateLimited, None));
         assert_eq!(ballot(answer(500, b"{}")), (VoteResult::Failed, None));
         assert_eq!(ballot(answer(400, b"{}")), (VoteResult::Failed, None));
-        assert_eq!(ballot(CallEnd::NeverSent), (VoteResult::Failed, None));
-        assert_eq!(ballot(CallEnd::Doubtful), (VoteResult::Unknown, None));
+        assert_eq!(ballot(CallOutcome::NeverSent), (VoteResult::Failed, None));
+        assert_eq!(ballot(CallOutcome::Unknown), (VoteResult::Unknown, None));
     }
 
     #[test]
--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/unary_call.rs
@@ -7,35 +7,35 @@
 use garnetcrank_http::{Response, ResponseReader, write_request};
 use garnetcrank_policy::api::Micros;
 
-use crate::conn::Conn;
-use crate::exchange::{Exchange, Step};
-use crate::ready::{ConnId, Handle, Who};
+use crate::connection::Connection;
+use crate::http_exchange::{ExchangeProgress, HttpExchange};
+use crate::readiness::{ConnId, Handle, Source};
 
 /// Room for what such a call sends and for what waits to be read of its answer.
 const RING_MOST: usize = 32 * 1024;
 
 /// A call under way.
-pub struct Call {
+pub struct UnaryCall {
     /// Number of its connection.
     pub id: ConnId,
-    conn: Conn,
-    exchange: Exchange,
-    until: Micros,
+    conn: Connection,
+    exchange: HttpExchange,
+    deadline: Micros,
 }
 
 /// How a call ended.
 #[derive(Debug)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// With an answer.
-    Answer(Response),
+    Response(Response),
     /// Without having been sent whole.
     NeverSent,
     /// Unknown: it may have been carried out.
-    Doubtful,
+    Unknown,
 }
 
 /// Where a call goes and what it says.
-pub struct Ask<'a> {
+pub struct CallRequest<'a> {
     /// The other side.
     pub to: SocketAddr,
     /// Method.
@@ -45,15 +45,15 @@
     /// Body, in JSON.
     pub body: &'a [u8],
     /// Longest body of the answer.
-    pub most: usize,
+    pub max_response_bytes: usize,
     /// When it is given up.
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
-impl Call {
+impl UnaryCall {
     /// Starts a call.
-    pub fn start(handle: &Handle, id: ConnId, who: Who, ask: Ask<'_>) -> io::Result<Self> {
-        let mut conn = Conn::connect(handle, ask.to, who, RING_MOST, RING_MOST)?;
+    pub fn start(handle: &Handle, id: ConnId, who: Source, ask: CallRequest<'_>) -> io::Result<Self> {
+        let mut conn = Connection::connect(handle, ask.to, who, RING_MOST, RING_MOST)?;
         let host = ask.to.to_string();
         let lines: [(&str, &[u8]); 3] = [
             ("Host", host.as_bytes()),
@@ -64,24 +64,24 @@
         ];
         write_request(&mut conn.output, ask.method, ask.target, lines.into_iter(), ask.body)
             .map_err(|_| io::Error::other("a call larger than its buffer"))?;
-        let exchange = Exchange::connecting(ResponseReader::whole(ask.most));
-        Ok(Call { id, conn, exchange, until: ask.until })
+        let exchange = HttpExchange::connecting(ResponseReader::whole(ask.max_response_bytes));
+        Ok(UnaryCall { id, conn, exchange, deadline: ask.deadline })
     }
 
     /// Goes on; its end, if it has come.
-    pub fn ready(&mut self, readiness: Readiness) -> Option<CallEnd> {
-        self.conn.note(readiness);
+    pub fn on_ready(&mut self, readiness: Readiness) -> Option<CallOutcome> {
+        self.conn.update_readiness(readiness);
         match self.exchange.step(&mut self.conn) {
-            Step::Pending => None,
-            Step::Answer { response, .. } => Some(CallEnd::Answer(response)),
-            Step::NeverSent => Some(CallEnd::NeverSent),
-            Step::Broken => Some(CallEnd::Doubtful),
+            ExchangeProgress::Pending => None,
+            ExchangeProgress::Response { response, .. } => Some(CallOutcome::Response(response)),
+            ExchangeProgress::NeverSent => Some(CallOutcome::NeverSent),
+            ExchangeProgress::ConnectionLost => Some(CallOutcome::Unknown),
         }
     }
 
     /// Its end for want of time, if that has come.
-    pub fn late(&self, now: Micros) -> Option<CallEnd> {
-        let end = || if self.exchange.sent() { CallEnd::Doubtful } else { CallEnd::NeverSent };
-        (now >= self.until).then(end)
+    pub fn check_timeout(&self, now: Micros) -> Option<CallOutcome> {
+        let end = || if self.exchange.request_sent() { CallOutcome::Unknown } else { CallOutcome::NeverSent };
+        (now >= self.deadline).then(end)
     }
 }
