--- a/crates/proxy/src/machines.rs
+++ b/crates/proxy/src/upstream.rs
@@ -11,15 +11,15 @@
 use rustc_hash::FxHashMap;
 
 use crate::clock::{MS, SECOND};
-use crate::conn::Conn;
-use crate::discovery::Place;
-use crate::exchange::{Exchange, Step};
-use crate::ready::{ConnId, ConnIds, Handle, Who};
+use crate::connection::Connection;
+use crate::discovery::EndpointAddress;
+use crate::http_exchange::{ExchangeProgress, HttpExchange};
+use crate::readiness::{ConnId, ConnIds, Handle, Source};
 
 /// Largest body that a message may have.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Room for a request: its body, and its head with a margin for what we add.
-const OUT_MOST: usize = BODY_MOST + 40 * 1024;
+const OUT_MOST: usize = MAX_BODY_BYTES + 40 * 1024;
 /// Room for what has come of an answer and is not yet taken apart.
 const IN_MOST: usize = 32 * 1024;
 /// Part of the machines' idle limit for which a connection is kept: well before the other side closes it.
@@ -39,9 +39,9 @@
     Probe,
 }
 
-struct UnderWay {
+struct ActiveExchange {
     purpose: Purpose,
-    exchange: Exchange,
+    exchange: HttpExchange,
     placed: Micros,
     connect_until: Micros,
     /// When it is next looked at: at the end of its time, or of that to connect.
@@ -50,17 +50,17 @@
     begun: bool,
 }
 
-struct Link {
-    conn: Conn,
+struct UpstreamConnection {
+    conn: Connection,
     machine: EndpointId,
     /// Of the process that the connection was made to.
     generation: u64,
-    under_way: Option<UnderWay>,
+    under_way: Option<ActiveExchange>,
     idle_since: Micros,
     paused: bool,
 }
 
-impl Link {
+impl UpstreamConnection {
     /// Whether whatever belongs to the last answer has surely come.
     fn rested(&self, now: Micros) -> bool {
         now >= self.idle_since + REST
@@ -77,7 +77,7 @@
 
 /// What happened on the connections.
 #[derive(Debug)]
-pub enum Note {
+pub enum UpstreamEvent {
     /// A streamed answer has begun.
     Begun {
         /// The request.
@@ -123,7 +123,7 @@
 }
 
 /// An attempt to be made.
-pub struct Job<'a> {
+pub struct UpstreamRequest<'a> {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt.
@@ -139,31 +139,31 @@
 }
 
 /// All connections to machines.
-pub struct Machines {
+pub struct Upstream {
     transport: Transport,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     /// Processes told of so far: no two connections to different ones bear the same number.
     generations: u64,
-    links: FxHashMap<ConnId, Link>,
+    links: FxHashMap<ConnId, UpstreamConnection>,
     attempts: FxHashMap<(RequestId, usize), ConnId>,
     /// When exchanges, or their connecting, are given up: one entry for each under way.
-    due: BTreeSet<(Micros, ConnId)>,
+    next_deadline: BTreeSet<(Micros, ConnId)>,
     /// Connections opened.
     pub opened: u64,
     /// Exchanges on kept connections.
     pub reused: u64,
 }
 
-impl Machines {
+impl Upstream {
     /// None yet.
     pub fn new(transport: Transport) -> Self {
-        Machines {
+        Upstream {
             transport,
             endpoints: BTreeMap::new(),
             generations: 0,
             links: FxHashMap::default(),
             attempts: FxHashMap::default(),
-            due: BTreeSet::new(),
+            next_deadline: BTreeSet::new(),
             opened: 0,
             reused: 0,
         }
@@ -176,37 +176,42 @@
 
     /// News of where a machine listens. Kept connections to another process than that are dropped; what is
     /// under way on one ends by itself, unless it has not begun: that was decided on what is no longer so.
-    pub fn place(&mut self, place: &Place, now: Micros, notes: &mut Vec<Note>) {
+    pub fn update_address(&mut self, place: &EndpointAddress, now: Micros, notes: &mut Vec<UpstreamEvent>) {
         let Some(address) = place.address else {
             // Nothing is kept for a machine that is gone; what is under way there ends by itself.
-            self.close_idle(place.machine);
-            self.endpoints.remove(&place.machine);
-            return self.recall(now, notes, |link| link.machine == place.machine);
+            self.close_idle(place.endpoint);
+            self.endpoints.remove(&place.endpoint);
+            return self.recall_pending(now, notes, |link| link.machine == place.endpoint);
         };
-        let endpoint = self.endpoints.entry(place.machine).or_default();
-        let same = endpoint.address == Some(address) && !place.renewed;
+        let endpoint = self.endpoints.entry(place.endpoint).or_default();
+        let same = endpoint.address == Some(address) && !place.restarted;
         (endpoint.address, endpoint.build) = (Some(address), place.build);
         if !same {
             self.generations += 1;
             endpoint.generation = self.generations;
-            self.close_idle(place.machine);
+            self.close_idle(place.endpoint);
         }
-        if !same || place.drains {
-            self.recall(now, notes, |link| link.machine == place.machine);
+        if !same || place.draining {
+            self.recall_pending(now, notes, |link| link.machine == place.endpoint);
         }
     }
 
     /// Takes back the attempts at a build of which less may be sent from now on, where none of their bytes has left.
-    pub fn recall_build(&mut self, build: Build, now: Micros, notes: &mut Vec<Note>) {
+    pub fn recall_build(&mut self, build: Build, now: Micros, notes: &mut Vec<UpstreamEvent>) {
         let of_build = self.endpoints.iter().filter(|(_, e)| e.build == build).map(|(machine, _)| *machine);
         let machines: BTreeSet<EndpointId> = of_build.collect();
-        self.recall(now, notes, |link| machines.contains(&link.machine));
+        self.recall_pending(now, notes, |link| machines.contains(&link.machine));
     }
 
     /// Takes back attempts whose connection is not up yet: they would be sent whenever it comes up, to a machine that
     /// takes nothing new by then, or to another process than the one chosen. They are decided anew.
-    fn recall(&mut self, now: Micros, notes: &mut Vec<Note>, which: impl Fn(&Link) -> bool) {
-        let waits = |l: &Link| l.under_way.as_ref().is_some_and(|u| !u.exchange.connected());
+    fn recall_pending(
+        &mut self,
+        now: Micros,
+        notes: &mut Vec<UpstreamEvent>,
+        which: impl Fn(&UpstreamConnection) -> bool,
+    ) {
+        let waits = |l: &UpstreamConnection| l.under_way.as_ref().is_some_and(|u| !u.exchange.connected());
         let mut back: Vec<ConnId> =
             self.links.iter().filter(|(_, l)| waits(l) && which(l)).map(|(id, _)| *id).collect();
         back.sort_unstable(); // in the order in which they were decided
@@ -214,13 +219,13 @@
     }
 
     /// Starts an attempt. An error is the outcome of one that could not start.
-    pub fn attempt(
+    pub fn start_attempt(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
         now: Micros,
-        job: &Job<'_>,
-        notes: &mut Vec<Note>,
+        job: &UpstreamRequest<'_>,
+        notes: &mut Vec<UpstreamEvent>,
     ) -> Result<(), Outcome> {
         let wait = (job.until.saturating_sub(now) / MS).max(1).to_string();
         let skipped = ["request-timeout-ms", "server-load"];
@@ -235,13 +240,13 @@
     }
 
     /// Sends a probe.
-    pub fn probe(
+    pub fn start_health_check(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
         now: Micros,
         machine: EndpointId,
-        notes: &mut Vec<Note>,
+        notes: &mut Vec<UpstreamEvent>,
     ) -> Result<(), Outcome> {
         let target = if self.transport.report_columns.is_empty() { "/healthz" } else { "/load" };
         let host = self.endpoints.get(&machine).and_then(|e| e.address).map(|a| a.to_string());
@@ -265,29 +270,35 @@
         ids: &mut ConnIds,
         now: Micros,
         (machine, purpose, until): (EndpointId, Purpose, Micros),
-        notes: &mut Vec<Note>,
+        notes: &mut Vec<UpstreamEvent>,
         write: impl FnOnce(&mut garnetcrank_http::Ring) -> bool,
     ) -> Result<(), Outcome> {
         let reader = match purpose {
-            Purpose::Attempt { streamed: true, .. } => ResponseReader::streamed(BODY_MOST),
-            _ => ResponseReader::whole(BODY_MOST),
+            Purpose::Attempt { streamed: true, .. } => ResponseReader::streamed(MAX_BODY_BYTES),
+            _ => ResponseReader::whole(MAX_BODY_BYTES),
         };
-        let (id, mut link, exchange, connect_until) = match self.kept(machine, now) {
+        let (id, mut link, exchange, connect_until) = match self.take_idle(machine, now) {
             Some((id, link)) => {
                 self.reused += 1;
-                (id, link, Exchange::on_open(reader), until)
+                (id, link, HttpExchange::on_open_connection(reader), until)
             }
             None => {
                 let endpoint = self.endpoints.get(&machine).ok_or(Outcome::NotSent)?;
                 let (address, generation) = (endpoint.address.ok_or(Outcome::NotSent)?, endpoint.generation);
                 let id = ids.next();
-                let conn = Conn::connect(handle, address, Who::Machine(id), IN_MOST, OUT_MOST);
+                let conn = Connection::connect(handle, address, Source::Upstream(id), IN_MOST, OUT_MOST);
                 let conn = conn.map_err(|e| failed_start(&e))?;
                 self.opened += 1;
-                let link =
-                    Link { conn, machine, generation, under_way: None, idle_since: now, paused: false };
+                let link = UpstreamConnection {
+                    conn,
+                    machine,
+                    generation,
+                    under_way: None,
+                    idle_since: now,
+                    paused: false,
+                };
                 let connect_until = now + self.transport.connect_timeout;
-                (id, link, Exchange::connecting(reader), connect_until)
+                (id, link, HttpExchange::connecting(reader), connect_until)
             }
         };
         if !write(&mut link.conn.output) {
@@ -297,21 +308,21 @@
         let placed = now;
         let due = connect_until.min(until);
         link.under_way =
-            Some(UnderWay { purpose, exchange, placed, connect_until, due, until, begun: false });
-        self.due.insert((due, id));
+            Some(ActiveExchange { purpose, exchange, placed, connect_until, due, until, begun: false });
+        self.next_deadline.insert((due, id));
         if let Purpose::Attempt { id: request, attempt, .. } = purpose {
             self.attempts.insert((request, attempt), id);
         }
         self.links.insert(id, link);
         // A connection that is being made tells when it is up.
         if up {
-            self.go_on(id, now, notes);
+            self.resume(id, now, notes);
         }
         Ok(())
     }
 
     /// Takes the newest kept connection that has rested and is surely open still.
-    fn kept(&mut self, machine: EndpointId, now: Micros) -> Option<(ConnId, Link)> {
+    fn take_idle(&mut self, machine: EndpointId, now: Micros) -> Option<(ConnId, UpstreamConnection)> {
         let keep = self.keep();
         let endpoint = self.endpoints.get_mut(&machine)?;
         let rested = |id: &ConnId| self.links.get(id).is_none_or(|l| l.rested(now));
@@ -320,7 +331,7 @@
             most -= 1;
             let id = endpoint.idle.remove(most);
             let link = self.links.remove(&id);
-            if let Some(link) = link.filter(|l| l.conn.quiet() && now < l.idle_since + keep) {
+            if let Some(link) = link.filter(|l| l.conn.is_quiet() && now < l.idle_since + keep) {
                 return Some((id, link));
             }
         }
@@ -332,12 +343,12 @@
     }
 
     /// Writes what a new exchange left in the connection's ring, and takes what comes.
-    pub fn go_on(&mut self, id: ConnId, now: Micros, notes: &mut Vec<Note>) {
+    pub fn resume(&mut self, id: ConnId, now: Micros, notes: &mut Vec<UpstreamEvent>) {
         let Some(link) = self.links.get_mut(&id) else { return };
         while !link.paused {
             let Some(under_way) = &mut link.under_way else {
                 // Nothing was asked on an idle connection: whatever comes on it ends it.
-                if !link.conn.quiet() {
+                if !link.conn.is_quiet() {
                     self.forget(id);
                 }
                 return;
@@ -349,22 +360,22 @@
             // A streamed answer: its parts are passed on, if it serves.
             let serves = under_way.exchange.reader().begun().filter(|r| r.status == 200);
             if let Some(headers) = serves.filter(|_| !under_way.begun).map(|r| r.headers.clone()) {
-                notes.push(Note::Begun { id: request, attempt, headers });
+                notes.push(UpstreamEvent::Begun { id: request, attempt, headers });
                 under_way.begun = true;
             }
             if !under_way.begun {
                 return self.stepped(id, step, now, notes);
             }
             let bytes = match &mut step {
-                Step::Answer { response, .. } => std::mem::take(&mut response.body),
+                ExchangeProgress::Response { response, .. } => std::mem::take(&mut response.body),
                 _ => under_way.exchange.reader().take_body(),
             };
             let more = !bytes.is_empty();
             under_way.until = now + STREAM_SILENCE; // looked at again when its first time is over
             if more {
-                notes.push(Note::Part { id: request, bytes });
+                notes.push(UpstreamEvent::Part { id: request, bytes });
             }
-            if !matches!(step, Step::Pending) {
+            if !matches!(step, ExchangeProgress::Pending) {
                 return self.stepped(id, step, now, notes);
             } else if !more || link.conn.input.is_empty() && !link.conn.more_to_read() {
                 return;
@@ -373,19 +384,25 @@
     }
 
     /// Takes what the loop told of a connection.
-    pub fn ready(&mut self, id: ConnId, readiness: Readiness, now: Micros, notes: &mut Vec<Note>) {
+    pub fn on_ready(
+        &mut self,
+        id: ConnId,
+        readiness: Readiness,
+        now: Micros,
+        notes: &mut Vec<UpstreamEvent>,
+    ) {
         if let Some(link) = self.links.get_mut(&id) {
-            link.conn.note(readiness);
-            self.go_on(id, now, notes);
+            link.conn.update_readiness(readiness);
+            self.resume(id, now, notes);
         }
     }
 
-    fn stepped(&mut self, id: ConnId, step: Step, now: Micros, notes: &mut Vec<Note>) {
+    fn stepped(&mut self, id: ConnId, step: ExchangeProgress, now: Micros, notes: &mut Vec<UpstreamEvent>) {
         match step {
-            Step::Pending => {}
-            Step::NeverSent => self.end(id, Outcome::ConnectFailed, None, now, notes),
-            Step::Broken => self.end(id, Outcome::ConnectionLost, None, now, notes),
-            Step::Answer { response, reusable } => {
+            ExchangeProgress::Pending => {}
+            ExchangeProgress::NeverSent => self.end(id, Outcome::ConnectFailed, None, now, notes),
+            ExchangeProgress::ConnectionLost => self.end(id, Outcome::ConnectionLost, None, now, notes),
+            ExchangeProgress::Response { response, reusable } => {
                 let outcome = outcome(&response);
                 self.end(id, outcome, Some((response, reusable)), now, notes);
             }
@@ -399,11 +416,11 @@
         outcome: Outcome,
         answer: Option<(Response, bool)>,
         now: Micros,
-        notes: &mut Vec<Note>,
+        notes: &mut Vec<UpstreamEvent>,
     ) {
         let Some(mut link) = self.links.remove(&id) else { return };
         let Some(under_way) = link.under_way.take() else { return };
-        self.due.remove(&(under_way.due, id));
+        self.next_deadline.remove(&(under_way.due, id));
         let lag = now.saturating_sub(under_way.placed);
         let (response, reusable) = answer.map_or((None, false), |(r, reusable)| (Some(r), reusable));
         let load = response.as_ref().map(|r| self.load(r, under_way.purpose)).unwrap_or_default();
@@ -411,9 +428,9 @@
             Purpose::Attempt { id, attempt, .. } => {
                 self.attempts.remove(&(id, attempt));
                 let answer = response.filter(|_| outcome == Outcome::Success && !under_way.begun);
-                Note::Ended { id, attempt, outcome, lag, load, answer }
+                UpstreamEvent::Ended { id, attempt, outcome, lag, load, answer }
             }
-            Purpose::Probe => Note::Probed { machine: link.machine, outcome, lag, load },
+            Purpose::Probe => UpstreamEvent::Probed { machine: link.machine, outcome, lag, load },
         });
         let endpoint = self.endpoints.get_mut(&link.machine);
         if let Some(endpoint) = endpoint.filter(|e| reusable && e.generation == link.generation) {
@@ -437,19 +454,20 @@
     }
 
     /// When the first exchange must be looked at.
-    pub fn due(&self) -> Option<Micros> {
-        self.due.first().map(|(at, _)| *at)
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.next_deadline.first().map(|(at, _)| *at)
     }
 
     /// Gives up the exchanges whose time, or whose time to connect, is over.
-    pub fn late(&mut self, now: Micros, notes: &mut Vec<Note>) {
-        while self.due().is_some_and(|at| at <= now) {
-            let Some((due, id)) = self.due.pop_first() else { return };
-            let sent = |l: &&mut Link| l.under_way.as_ref().is_some_and(|u| u.exchange.sent());
+    pub fn expire_attempts(&mut self, now: Micros, notes: &mut Vec<UpstreamEvent>) {
+        while self.next_deadline().is_some_and(|at| at <= now) {
+            let Some((due, id)) = self.next_deadline.pop_first() else { return };
+            let sent =
+                |l: &&mut UpstreamConnection| l.under_way.as_ref().is_some_and(|u| u.exchange.request_sent());
             if let Some(link) = self.links.get_mut(&id).filter(sent) {
                 // What lies there came in time, though the loop has not told of it yet.
-                link.conn.look();
-                self.go_on(id, now, notes);
+                link.conn.poll_readable();
+                self.resume(id, now, notes);
             }
             let Some(link) = self.links.get_mut(&id) else { continue };
             let Some(under_way) = link.under_way.as_mut().filter(|u| u.due == due) else { continue };
@@ -461,12 +479,12 @@
                     Outcome::ConnectFailed
                 }
                 () if now >= under_way.until && under_way.begun => Outcome::ConnectionLost,
-                () if now >= under_way.until && under_way.exchange.sent() => Outcome::TimedOut,
+                () if now >= under_way.until && under_way.exchange.request_sent() => Outcome::TimedOut,
                 // Its time is over before its last byte was written: the machine never begins it.
                 () if now >= under_way.until => Outcome::NotSent,
                 () => {
                     under_way.due = under_way.until;
-                    self.due.insert((under_way.due, id));
+                    self.next_deadline.insert((under_way.due, id));
                     continue;
                 }
             };
@@ -475,27 +493,34 @@
     }
 
     /// Calls an attempt off; one whose stream has begun goes on.
-    pub fn withdraw(&mut self, id: RequestId, attempt: usize, now: Micros, notes: &mut Vec<Note>) {
+    pub fn cancel(&mut self, id: RequestId, attempt: usize, now: Micros, notes: &mut Vec<UpstreamEvent>) {
         let Some(&conn) = self.attempts.get(&(id, attempt)) else { return };
-        let begun = |l: &Link| l.under_way.as_ref().is_some_and(|u| u.begun);
+        let begun = |l: &UpstreamConnection| l.under_way.as_ref().is_some_and(|u| u.begun);
         if !self.links.get(&conn).is_some_and(begun) {
             self.end(conn, Outcome::Cancelled, None, now, notes);
         }
     }
 
     /// Ends a begun stream that nobody listens to any more.
-    pub fn cut(&mut self, id: RequestId, attempt: usize, now: Micros, notes: &mut Vec<Note>) {
+    pub fn abort(&mut self, id: RequestId, attempt: usize, now: Micros, notes: &mut Vec<UpstreamEvent>) {
         if let Some(&conn) = self.attempts.get(&(id, attempt)) {
             self.end(conn, Outcome::Cancelled, None, now, notes);
         }
     }
 
     /// Stops reading a stream, or reads on: its client takes it no faster.
-    pub fn pause(&mut self, id: RequestId, attempt: usize, paused: bool, now: Micros, notes: &mut Vec<Note>) {
+    pub fn pause(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        paused: bool,
+        now: Micros,
+        notes: &mut Vec<UpstreamEvent>,
+    ) {
         let Some(&conn) = self.attempts.get(&(id, attempt)) else { return };
         if let Some(link) = self.links.get_mut(&conn) {
             link.paused = paused;
-            self.go_on(conn, now, notes);
+            self.resume(conn, now, notes);
         }
     }
 
@@ -516,9 +541,9 @@
     }
 
     /// Closes what has been idle for too long.
-    pub fn tend(&mut self, now: Micros) {
+    pub fn on_tick(&mut self, now: Micros) {
         let keep = self.keep();
-        let old = |l: &Link| l.under_way.is_none() && now >= l.idle_since + keep;
+        let old = |l: &UpstreamConnection| l.under_way.is_none() && now >= l.idle_since + keep;
         let idle: Vec<ConnId> = self.links.iter().filter(|(_, l)| old(l)).map(|(id, _)| *id).collect();
         idle.into_iter().for_each(|id| self.forget(id));
     }
@@ -572,11 +597,11 @@
 
     /// Connections to one machine, whose every byte the test writes; the clock is the test's.
     struct Stand {
-        event_loop: calloop::EventLoop<'static, crate::ready::Ready>,
+        event_loop: calloop::EventLoop<'static, crate::readiness::TurnInputs>,
         machine: std::net::TcpListener,
-        machines: Machines,
+        machines: Upstream,
         ids: ConnIds,
-        notes: Vec<Note>,
+        notes: Vec<UpstreamEvent>,
         request: Request,
     }
 
@@ -594,26 +619,35 @@
                 report_columns: Vec::new(),
             };
             let event_loop = calloop::EventLoop::try_new().expect("a loop");
-            let (machines, ids) = (Machines::new(transport), ConnIds::default());
+            let (machines, ids) = (Upstream::new(transport), ConnIds::default());
             let mut stand = Stand { event_loop, machine, machines, ids, notes: Vec::new(), request };
             stand.told(stand.there());
             stand
         }
 
-        fn there(&self) -> Place {
+        fn there(&self) -> EndpointAddress {
             let address = Some(self.machine.local_addr().expect("an address"));
-            Place { machine: EndpointId(1), address, renewed: false, drains: false, build: Build(7) }
+            EndpointAddress {
+                endpoint: EndpointId(1),
+                address,
+                restarted: false,
+                draining: false,
+                build: Build(7),
+            }
         }
 
-        fn told(&mut self, place: Place) {
-            self.machines.place(&place, NOW, &mut self.notes);
+        fn told(&mut self, place: EndpointAddress) {
+            self.machines.update_address(&place, NOW, &mut self.notes);
         }
 
         fn attempt(&mut self, id: u32, now: Micros) {
             let (id, machine, until) = (RequestId(id), EndpointId(1), now + 4 * SECOND);
-            let job = Job { id, attempt: 0, machine, request: &self.request, until, streamed: false };
+            let job =
+                UpstreamRequest { id, attempt: 0, machine, request: &self.request, until, streamed: false };
             let handle = self.event_loop.handle();
-            self.machines.attempt(&handle, &mut self.ids, now, &job, &mut self.notes).expect("it starts");
+            self.machines
+                .start_attempt(&handle, &mut self.ids, now, &job, &mut self.notes)
+                .expect("it starts");
         }
 
         /// The machine's end of the newest connection, once the request is there.
@@ -629,19 +663,19 @@
         fn tell(&mut self, now: Micros) {
             let ids: Vec<ConnId> = self.machines.links.keys().copied().collect();
             let readiness = Readiness { readable: true, writable: true, error: false };
-            ids.into_iter().for_each(|id| self.machines.ready(id, readiness, now, &mut self.notes));
+            ids.into_iter().for_each(|id| self.machines.on_ready(id, readiness, now, &mut self.notes));
         }
 
         /// Waits until bytes lie at a connection; nobody is told.
         fn until_there(&self) {
-            while self.machines.links.values().all(|l| l.conn.quiet()) {
+            while self.machines.links.values().all(|l| l.conn.is_quiet()) {
                 std::thread::yield_now();
             }
         }
 
         fn ends(&mut self) -> Vec<(u32, Outcome)> {
             let end = |note| match note {
-                Note::Ended { id, outcome, .. } => (id.0, outcome),
+                UpstreamEvent::Ended { id, outcome, .. } => (id.0, outcome),
                 other => panic!("{other:?}"),
             };
             self.notes.drain(..).map(end).collect()
@@ -664,11 +698,11 @@
     #[test]
     fn an_attempt_that_waits_for_its_connection_is_taken_back_when_its_machine_changes() {
         let elsewhere = Some("127.0.0.1:1".parse().expect("an address"));
-        let changes: [fn(Place, Option<SocketAddr>) -> Place; 4] = [
-            |place, _| Place { drains: true, ..place },
-            |place, _| Place { address: None, drains: true, renewed: true, ..place },
-            |place, _| Place { renewed: true, build: Build(8), ..place },
-            |place, elsewhere| Place { address: elsewhere, ..place },
+        let changes: [fn(EndpointAddress, Option<SocketAddr>) -> EndpointAddress; 4] = [
+            |place, _| EndpointAddress { draining: true, ..place },
+            |place, _| EndpointAddress { address: None, draining: true, restarted: true, ..place },
+            |place, _| EndpointAddress { restarted: true, build: Build(8), ..place },
+            |place, elsewhere| EndpointAddress { address: elsewhere, ..place },
         ];
         for change in changes {
             let mut stand = Stand::new();
@@ -696,7 +730,10 @@
         assert!(stand.ends().is_empty());
         stand.machines.recall_build(Build(7), NOW, &mut stand.notes);
         assert_eq!(stand.ends(), [(1, Outcome::NotSent)]);
-        assert!(stand.machines.due().is_none() && stand.machines.len() == 0, "something is kept for it");
+        assert!(
+            stand.machines.next_deadline().is_none() && stand.machines.len() == 0,
+            "something is kept for it"
+        );
     }
 
     #[test]
@@ -734,16 +771,16 @@
         let mut machine = stand.accept();
         say(&mut machine, ANSWER);
         stand.until_there();
-        stand.machines.late(LATER, &mut stand.notes);
+        stand.machines.expire_attempts(LATER, &mut stand.notes);
         assert_eq!(stand.ends(), [(1, Outcome::Success)]);
         // What could not be sent in time is not sent at the end of it.
         stand.attempt(2, LATER + REST);
         hear(&mut machine);
-        stand.machines.late(LATER + 5 * SECOND, &mut stand.notes);
+        stand.machines.expire_attempts(LATER + 5 * SECOND, &mut stand.notes);
         assert_eq!(stand.ends(), [(2, Outcome::TimedOut)]);
         stand.attempt(3, LATER);
         let (mut waits, _) = stand.machine.accept().expect("a connection");
-        stand.machines.late(LATER + 5 * SECOND, &mut stand.notes);
+        stand.machines.expire_attempts(LATER + 5 * SECOND, &mut stand.notes);
         assert_eq!(stand.ends(), [(3, Outcome::ConnectFailed)]);
         assert_eq!(std::io::Read::read(&mut waits, &mut [0; 8]).expect("its end"), 0);
     }
@@ -775,7 +812,7 @@
             report_columns: vec!["util".into(), "queue".into()],
         };
         let text = "HTTP/1.1 200 OK\r\nServer-Load: {\"inflight\":7,\"queue\":2,\"util\":0.61}\r\nContent-Length: 0\r\n\r\n";
-        let load = |t: &Transport| Machines::new(t.clone()).load(&answer(text), Purpose::Probe);
+        let load = |t: &Transport| Upstream::new(t.clone()).load(&answer(text), Purpose::Probe);
         assert_eq!(load(&transport), [0.61, 2.0]);
         transport.report_columns.push("unheard".into());
         assert!(load(&transport).is_empty(), "half a report is none");
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/watch_stream.rs
@@ -9,30 +9,30 @@
 use tracing::{info, warn};
 
 use crate::clock::MS;
-use crate::conn::Conn;
-use crate::ready::{ConnId, ConnIds, Handle, Who};
+use crate::connection::Connection;
+use crate::readiness::{ConnId, ConnIds, Handle, Source};
 
 /// Longest first wait before a connection that broke or was refused is made anew, doubled each time up to the other; from
 /// half of it on, lest all fronts come back in step. One that is mute is made anew at once, which its own limit bounds:
 /// what comes back speaks to the connections that are open, and what it says then may count from that moment on.
 #[derive(Debug, Clone, Copy)]
-pub struct Again {
+pub struct ReconnectBackoff {
     /// The first one.
-    pub first: Micros,
+    pub initial: Micros,
     /// The longest.
-    pub most: Micros,
+    pub max: Micros,
 }
 
-impl Again {
+impl ReconnectBackoff {
     /// The other side may be overloaded, and what it tells is wanted within four seconds, over a few connections that are
     /// spoilt one after another.
-    pub const FAR: Again = Again { first: 100 * MS, most: 800 * MS };
+    pub const REMOTE: ReconnectBackoff = ReconnectBackoff { initial: 100 * MS, max: 800 * MS };
     /// It is on this machine, for this front alone: what it holds counts as told whether or not we are connected.
-    pub const HERE: Again = Again { first: 20 * MS, most: 100 * MS };
+    pub const LOCAL: ReconnectBackoff = ReconnectBackoff { initial: 20 * MS, max: 100 * MS };
 }
 /// One that speaks at once where it is alive: a connection without a word for so long is mute. What it has to tell counts
 /// soon after, whether or not it arrived, so a mute connection must leave time for two more.
-pub const FIRST_WORD: Micros = 1_000 * MS;
+pub const FIRST_BYTE_TIMEOUT: Micros = 1_000 * MS;
 /// A connection that has not come up within this never will: it is made anew.
 const CONNECT_MOST: Micros = 1_000 * MS;
 /// Room for what has come and is not yet taken apart.
@@ -40,23 +40,23 @@
 /// Longest line: a list of some ten thousand machines.
 const LINE_MOST: usize = 4 * 1024 * 1024;
 
-struct Open {
+struct OpenStream {
     id: ConnId,
-    conn: Conn,
+    conn: Connection,
     reader: StreamReader,
     up: bool,
     told: bool,
 }
 
 /// One such source of news.
-pub struct Watch {
+pub struct WatchStream {
     name: &'static str,
     to: SocketAddr,
     silence: Micros,
     first_word: Micros,
-    again: Again,
+    again: ReconnectBackoff,
     rng: Rng,
-    open: Option<Open>,
+    open: Option<OpenStream>,
     heard: Micros,
     again_at: Micros,
     wait: Micros,
@@ -64,59 +64,59 @@
 
 /// What a watch has to say.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct WatchEvents {
     /// Lines, empty ones (signs of life) among them.
     pub lines: Vec<Vec<u8>>,
     /// The connection was lost.
     pub lost: bool,
 }
 
-impl Heard {
+impl WatchEvents {
     /// The lines that say something.
-    pub fn told(&self) -> impl Iterator<Item = &[u8]> {
+    pub fn non_empty_lines(&self) -> impl Iterator<Item = &[u8]> {
         self.lines.iter().map(Vec::as_slice).filter(|l| !l.trim_ascii().is_empty())
     }
 }
 
-impl Watch {
+impl WatchStream {
     /// A watch that connects when first tended. Nothing heard for `silence`, or for `first_word` on a new connection,
     /// means that it is dead.
     pub fn new(
         name: &'static str,
         to: SocketAddr,
         (silence, first_word): (Micros, Micros),
-        again: Again,
+        again: ReconnectBackoff,
         seed: u64,
     ) -> Self {
         let rng = Rng::with_seed(seed);
-        let (open, heard, again_at, wait) = (None, 0, 0, again.first);
-        Watch { name, to, silence, first_word, again, rng, open, heard, again_at, wait }
+        let (open, heard, again_at, wait) = (None, 0, 0, again.initial);
+        WatchStream { name, to, silence, first_word, again, rng, open, heard, again_at, wait }
     }
 
     /// Whether a connection stands and has told something.
-    pub fn stands(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.told)
     }
 
     /// Drops the connection; the next one may be made at once. What the old one has told and nobody has read yet counts
     /// as told, so it is returned.
-    pub fn close(&mut self, now: Micros) -> Heard {
+    pub fn close(&mut self, now: Micros) -> WatchEvents {
         let last = self.look(now);
         (self.open, self.again_at) = (None, 0);
-        Heard { lost: false, ..last }
+        WatchEvents { lost: false, ..last }
     }
 
     /// The source is at another address from now on: the old connection is let go, after its last words.
-    pub fn retarget(&mut self, to: SocketAddr, now: Micros) -> Heard {
+    pub fn retarget(&mut self, to: SocketAddr, now: Micros) -> WatchEvents {
         if self.to == to {
-            return Heard::default();
+            return WatchEvents::default();
         }
-        (self.to, self.wait) = (to, self.again.first);
+        (self.to, self.wait) = (to, self.again.initial);
         self.close(now)
     }
 
     /// Gives the connection up, for a reason that on-call should know.
-    pub fn lose(&mut self, now: Micros, reason: &str) {
+    pub fn disconnect(&mut self, now: Micros, reason: &str) {
         if self.open.take().is_some() {
             self.later(now, reason);
         }
@@ -126,18 +126,18 @@
         let wait = self.rng.u64(self.wait / 2..=self.wait);
         warn!("{}: {reason}; connecting anew in {} ms", self.name, wait / MS);
         self.again_at = now + wait;
-        self.wait = (self.wait * 2).min(self.again.most);
+        self.wait = (self.wait * 2).min(self.again.max);
     }
 
     /// Connects where that is due. Lost when a connection was given up or could not be started.
-    pub fn tend(
+    pub fn on_tick(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
-        who: fn(ConnId) -> Who,
+        who: fn(ConnId) -> Source,
         now: Micros,
         target: impl FnOnce() -> String,
-    ) -> Heard {
+    ) -> WatchEvents {
         if let Some(open) = &self.open {
             let (limit, reason) = match (open.up, open.told) {
                 (false, _) => (CONNECT_MOST, "cannot connect: it never came up"),
@@ -145,7 +145,7 @@
                 (true, true) => (self.silence, "no sign of life"),
             };
             if now < self.heard + limit {
-                return Heard::default();
+                return WatchEvents::default();
             }
             // This process may have stood still for as long, and the word may lie there.
             let last = self.look(now);
@@ -154,69 +154,70 @@
             }
             warn!("{}: {reason}; connecting anew", self.name);
             (self.open, self.again_at) = (None, now);
-            return Heard { lost: true, ..last };
+            return WatchEvents { lost: true, ..last };
         }
         if now < self.again_at {
-            return Heard::default();
+            return WatchEvents::default();
         }
         let id = ids.next();
         let host = self.to.to_string();
-        let started = Conn::connect(handle, self.to, who(id), RING_MOST, RING_MOST).and_then(|mut conn| {
-            let lines = std::iter::once(("Host", host.as_bytes()));
-            write_request(&mut conn.output, "GET", &target(), lines, b"")
-                .map_err(|_| std::io::Error::other("a request larger than its buffer"))?;
-            Ok(conn)
-        });
+        let started =
+            Connection::connect(handle, self.to, who(id), RING_MOST, RING_MOST).and_then(|mut conn| {
+                let lines = std::iter::once(("Host", host.as_bytes()));
+                write_request(&mut conn.output, "GET", &target(), lines, b"")
+                    .map_err(|_| std::io::Error::other("a request larger than its buffer"))?;
+                Ok(conn)
+            });
         self.heard = now;
         match started {
             Ok(conn) => {
                 let reader = StreamReader::new(LINE_MOST);
-                self.open = Some(Open { id, conn, reader, up: false, told: false });
-                Heard::default()
+                self.open = Some(OpenStream { id, conn, reader, up: false, told: false });
+                WatchEvents::default()
             }
             Err(e) => {
                 self.later(now, &format!("cannot connect: {e}"));
-                Heard { lines: Vec::new(), lost: true }
+                WatchEvents { lines: Vec::new(), lost: true }
             }
         }
     }
 
     /// Takes what has come.
-    pub fn ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Heard {
-        let Some(open) = self.open.as_mut().filter(|o| o.id == id) else { return Heard::default() };
-        open.conn.note(readiness);
+    pub fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> WatchEvents {
+        let Some(open) = self.open.as_mut().filter(|o| o.id == id) else { return WatchEvents::default() };
+        open.conn.update_readiness(readiness);
         self.take(now)
     }
 
     /// Takes what has come and the loop has not told of yet.
-    fn look(&mut self, now: Micros) -> Heard {
+    fn look(&mut self, now: Micros) -> WatchEvents {
         if let Some(open) = &mut self.open {
-            open.conn.look();
+            open.conn.poll_readable();
         }
         self.take(now)
     }
 
-    fn take(&mut self, now: Micros) -> Heard {
-        let Some(open) = &mut self.open else { return Heard::default() };
+    fn take(&mut self, now: Micros) -> WatchEvents {
+        let Some(open) = &mut self.open else { return WatchEvents::default() };
         let mut lines = Vec::new();
         let (came, trouble) = open.take(&mut lines);
         if came {
             self.heard = now; // half a list is a sign of life, too
         }
         if !lines.is_empty() {
-            self.wait = self.again.first;
+            self.wait = self.again.initial;
             if !std::mem::replace(&mut open.told, true) {
                 info!("{}: connected", self.name);
             }
         }
         if let Some(reason) = &trouble {
-            self.lose(now, reason);
+            self.disconnect(now, reason);
         }
-        Heard { lines, lost: trouble.is_some() }
+        WatchEvents { lines, lost: trouble.is_some() }
     }
 }
 
-impl Open {
+impl OpenStream {
     /// Adds all lines that have come: whether anything came, and what ended the connection, if anything did.
     fn take(&mut self, lines: &mut Vec<Vec<u8>>) -> (bool, Option<String>) {
         let mut came = false;
@@ -261,7 +262,7 @@
 mod tests {
     use super::*;
     use crate::clock::SECOND;
-    use crate::ready::Ready;
+    use crate::readiness::TurnInputs;
     use calloop::EventLoop;
     use std::io::{Read, Write};
     use std::net::{TcpListener, TcpStream};
@@ -270,9 +271,9 @@
 
     /// A watch on a peer whose every byte the test writes, and a clock that the test moves.
     struct Stand {
-        event_loop: EventLoop<'static, Ready>,
+        event_loop: EventLoop<'static, TurnInputs>,
         peer: TcpListener,
-        watch: Watch,
+        watch: WatchStream,
         ids: ConnIds,
         now: Micros,
         /// When connections were begun.
@@ -282,21 +283,22 @@
     impl Stand {
         fn new(seed: u64) -> Stand {
             let peer = TcpListener::bind("127.0.0.1:0").expect("a port");
-            let watch = Watch::new(
+            let watch = WatchStream::new(
                 "test",
                 peer.local_addr().expect("an address"),
-                (SILENCE, FIRST_WORD),
-                Again::FAR,
+                (SILENCE, FIRST_BYTE_TIMEOUT),
+                ReconnectBackoff::REMOTE,
                 seed,
             );
             let event_loop = EventLoop::try_new().expect("a loop");
             Stand { event_loop, peer, watch, ids: ConnIds::default(), now: 100 * SECOND, begun: Vec::new() }
         }
 
-        fn tend(&mut self) -> Heard {
+        fn tend(&mut self) -> WatchEvents {
             let before = self.watch.open.as_ref().map(|o| o.id);
             let handle = self.event_loop.handle();
-            let heard = self.watch.tend(&handle, &mut self.ids, Who::Discovery, self.now, || "/w".to_owned());
+            let heard =
+                self.watch.on_tick(&handle, &mut self.ids, Source::Discovery, self.now, || "/w".to_owned());
             let after = self.watch.open.as_ref().map(|o| o.id);
             self.begun.extend((after.is_some() && after != before).then_some(self.now));
             heard
@@ -312,9 +314,9 @@
         }
 
         /// What the watch takes when it is told that something is there.
-        fn heard(&mut self) -> Heard {
+        fn heard(&mut self) -> WatchEvents {
             let id = self.watch.open.as_ref().expect("a connection").id;
-            self.watch.ready(id, Readiness { readable: true, writable: true, error: false }, self.now)
+            self.watch.on_ready(id, Readiness { readable: true, writable: true, error: false }, self.now)
         }
 
         /// Connected, and told a first line.
@@ -327,7 +329,7 @@
                 .expect("sent");
             until_there(&stand);
             assert_eq!(stand.heard().lines, [b"first"]);
-            assert!(stand.watch.stands());
+            assert!(stand.watch.is_connected());
             (stand, stream)
         }
     }
@@ -335,7 +337,7 @@
     /// Waits until bytes lie at the watch's socket; the watch is not told.
     fn until_there(stand: &Stand) {
         let conn = &stand.watch.open.as_ref().expect("a connection").conn;
-        while conn.quiet() {
+        while conn.is_quiet() {
             std::thread::yield_now();
         }
     }
@@ -411,7 +413,7 @@
         stand.now += 2 * SILENCE;
         let heard = stand.tend();
         assert_eq!(heard.lines, [b"lies"]);
-        assert!(!heard.lost && stand.watch.stands());
+        assert!(!heard.lost && stand.watch.is_connected());
         stand.now += SILENCE;
         assert!(stand.tend().lost, "and then nothing more");
     }
@@ -431,11 +433,11 @@
         let mut waits = std::collections::BTreeSet::new();
         for seed in 0..20 {
             let (mut stand, _stream) = Stand::told(seed);
-            stand.watch.lose(stand.now, "a test");
+            stand.watch.disconnect(stand.now, "a test");
             waits.insert(stand.watch.again_at - stand.now);
         }
         assert!(waits.len() > 10, "in step: {waits:?}");
-        let first = Again::FAR.first;
+        let first = ReconnectBackoff::REMOTE.initial;
         assert!(waits.iter().all(|w| (first / 2..=first).contains(w)), "{waits:?}");
     }
 }
--- a/crates/proxy/tests/front.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,7 +1,7 @@
 //! The whole program on loopback, between small stand-ins for clients, machines, discovery and the platform.
 
-mod agreement;
-mod cores;
+mod consensus;
+mod workers;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Output};
@@ -311,7 +311,7 @@
     });
     let lower = progress(&state(5, 0, "ROLLING_BACK", 0.0));
     platform.publish(&lower, &lower);
-    wait_until("the lower cap is known", || front.log().contains("GoingBack"));
+    wait_until("the lower cap is known", || front.log().contains("RollingBack"));
     let sent = new.requests().len();
     for _ in 0..20 {
         assert_eq!(client.look().body, b"old");
@@ -338,7 +338,7 @@
         voted("ROLLBACK")
     });
     assert!(platform.votes()[0].contains(r#""release":5,"tranche":0,"ruling":"HOLD""#));
-    wait_until("the answer is taken as news", || front.log().contains("GoingBack"));
+    wait_until("the answer is taken as news", || front.log().contains("RollingBack"));
 }
 
 #[test]
@@ -838,7 +838,7 @@
     discovery.publish("", &back);
     platform.publish("", &progress(&state(5, 0, "IN_PROGRESS", 0.5)));
     wait_until("the list is back", || client.look().body == b"old");
-    wait_until("the platform's news is back", || front.log().contains("build 5 stage 0: Trial"));
+    wait_until("the platform's news is back", || front.log().contains("build 5 stage 0: OnTrial"));
 }
 
 #[test]
--- a/crates/proxy/tests/cores/mod.rs
+++ b/crates/proxy/tests/workers/mod.rs
@@ -87,7 +87,7 @@
             told.store(true, Ordering::SeqCst);
         }
         let mut since = since.lock().expect("a lock");
-        if since.is_none() && front.log().contains("GoingBack") {
+        if since.is_none() && front.log().contains("RollingBack") {
             // What was on its way then has arrived a moment later.
             std::thread::sleep(std::time::Duration::from_millis(150));
             *since = Some((new.requests().len(), old.requests().len()));
