--- a/crates/agent/tests/frame_bytes.rs
+++ b/crates/agent/tests/frame_bytes.rs
@@ -4,9 +4,9 @@
 //! makes them.
 
 use garnetcrank_agent::wire::{Frame, Hello, MAGIC, VERSION, Welcome, decode, encode};
-use garnetcrank_agreement::ids::InstanceId;
-use garnetcrank_agreement::ledger::Member;
-use garnetcrank_agreement::pieces::Piece;
+use garnetcrank_consensus::chunking::Chunk;
+use garnetcrank_consensus::ids::InstanceId;
+use garnetcrank_consensus::replicated_state::Member;
 use serde::{Deserialize, Serialize};
 
 /// Asserts what `value` is as a frame, behind its length of four bytes, and that it is read from that.
@@ -36,7 +36,7 @@
 #[test]
 fn the_frames_behind_them_keep_their_bytes() {
     assert_frame(&Frame::Message(vec![1, 2, 3]), b"\x00\x03\x01\x02\x03");
-    let piece = Piece { transfer: 5, at: 6, whole: 130, bytes: vec![0xfe, 0xff] };
+    let piece = Chunk { transfer: 5, offset: 6, total_len: 130, bytes: vec![0xfe, 0xff] };
     assert_frame(&Frame::Piece(piece), b"\x01\x05\x06\x82\x01\x02\xfe\xff");
     assert_frame(&Frame::Alive, b"\x02");
 }
--- a/crates/agent/tests/stored_data.rs
+++ b/crates/agent/tests/stored_data.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use garnetcrank_standins::agents::{client, get, until};
+use garnetcrank_test_support::agent_cluster::{client, get, wait_until};
 use serde_json::{Value, json};
 
 struct Agent {
@@ -54,7 +54,7 @@
 #[test]
 fn the_agent_goes_on_from_a_store_of_an_earlier_version() {
     let agent = Agent::start();
-    until("all that was decided is applied", || agent.get("/v1/status")["node"]["applied"] == 329);
+    wait_until("all that was decided is applied", || agent.get("/v1/status")["node"]["applied"] == 329);
 
     let mut status = agent.get("/v1/status");
     let running = status.as_object_mut().expect("an object");
--- a/crates/consensus/tests/stored_data.rs
+++ b/crates/consensus/tests/stored_data.rs
@@ -10,11 +10,13 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use garnetcrank_agreement::ids::{Index, InstanceId, Role, Sequence, SessionId, Subject};
-use garnetcrank_agreement::ledger::{Command, Ledger, Proposal, Reply, SESSIONS_MOST, Standing};
-use garnetcrank_agreement::members::Change;
-use garnetcrank_agreement::node::{Message, Node, Settings};
-use garnetcrank_agreement::trust::{self, Opinion, Word};
+use garnetcrank_consensus::build_verdicts::{self, BuildVerdict, VerdictKind};
+use garnetcrank_consensus::ids::{Index, InstanceId, Role, Sequence, SessionId, Subject};
+use garnetcrank_consensus::membership::MembershipChange;
+use garnetcrank_consensus::raft_node::{Message, RaftNode, RaftSettings};
+use garnetcrank_consensus::replicated_state::{
+    Command, MAX_SESSIONS, Proposal, ReplicatedState, Reply, SubjectState,
+};
 use garnetcrank_store::{Loaded, Store};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, ConfState, MessageType};
@@ -35,18 +37,18 @@
 }
 
 /// The replicated state that the snapshot holds.
-fn snapshot_state() -> Ledger {
+fn snapshot_state() -> ReplicatedState {
     let snapshot = loaded().snapshot.expect("a snapshot");
-    let state: Ledger = postcard::from_bytes(&snapshot.data).expect("the replicated state");
+    let state: ReplicatedState = postcard::from_bytes(&snapshot.data).expect("the replicated state");
     assert_eq!(postcard::to_stdvec(&state).expect("bytes"), snapshot.data, "it is written as it was");
     state
 }
 
 /// An instance that goes on from the fixture and has applied all that was decided.
-fn restarted() -> Node {
-    let mut node = Node::start(Settings::default(), ALMA, 4, loaded()).expect("the instance starts");
-    while node.work().expect("its work").is_some() {
-        node.written().expect("a write");
+fn restarted() -> RaftNode {
+    let mut node = RaftNode::start(RaftSettings::default(), ALMA, 4, loaded()).expect("the instance starts");
+    while node.ready().expect("its work").is_some() {
+        node.on_persisted().expect("a write");
     }
     node
 }
@@ -68,115 +70,119 @@
 
 fn command_text(command: &Command) -> String {
     match command {
-        Command::Open { nonce } => format!("open a session: nonce {nonce:016x}"),
+        Command::OpenSession { nonce } => format!("open a session: nonce {nonce:016x}"),
         Command::Decide { subject, value } => format!("decide {subject}: {}", hex(value)),
-        Command::Take { role, holder, expect, life } => {
+        Command::AcquireLease { role, holder, expected_epoch: expect, ttl: life } => {
             format!("acquire the lease {role}: for {:016x}, after epoch {expect}, life {life}", holder.0)
         }
-        Command::Renew { role, epoch } => format!("renew the lease {role}: epoch {epoch}"),
-        Command::Leave { role, epoch, to } => {
+        Command::RenewLease { role, epoch } => format!("renew the lease {role}: epoch {epoch}"),
+        Command::ReleaseLease { role, epoch, successor: to } => {
             format!("release the lease {role}: epoch {epoch}, to {}", holder_text(*to))
         }
-        Command::Hand { role, epoch, order } => format!("dispatch {order}: by {role}, epoch {epoch}"),
-        Command::Settle { role, epoch, order, ran } => {
+        Command::DispatchOrder { role, epoch, order } => {
+            format!("dispatch {order}: by {role}, epoch {epoch}")
+        }
+        Command::ResolveOrder { role, epoch, order, executed: ran } => {
             format!("resolve {order}: by {role}, epoch {epoch}, ran {ran}")
         }
-        Command::Post { from, board, value } => {
+        Command::PublishNotice { from, topic: board, value } => {
             format!("notice on {board}: from {:016x}, {}", from.0, value_text(value.as_deref()))
         }
-        Command::Retire { space, below } => format!("retire {space}: below {below}"),
+        Command::RetireSubjects { space, below } => format!("retire {space}: below {below}"),
     }
 }
 
 fn reply_text(reply: &Reply) -> String {
     match reply {
-        Reply::Opened(session) => format!("opened {session}"),
+        Reply::SessionOpened(session) => format!("opened {session}"),
         Reply::Decided { value, first } => format!("decided {} first {first}", hex(value)),
-        Reply::Granted(epoch) => format!("granted epoch {epoch}"),
+        Reply::LeaseAcquired(epoch) => format!("granted epoch {epoch}"),
         Reply::Done => "done".to_owned(),
-        Reply::Handed(epoch) => format!("dispatched in epoch {epoch}"),
+        Reply::Dispatched(epoch) => format!("dispatched in epoch {epoch}"),
         Reply::InDoubt(epoch) => format!("in doubt since epoch {epoch}"),
-        Reply::Ran(epoch) => format!("ran in epoch {epoch}"),
-        Reply::Stale { current } => format!("stale, the epoch is {current}"),
+        Reply::Executed(epoch) => format!("ran in epoch {epoch}"),
+        Reply::StaleEpoch { current } => format!("stale, the epoch is {current}"),
         Reply::Retired { below } => format!("retired below {below}"),
-        Reply::SessionLost => "session lost".to_owned(),
-        Reply::Overtaken => "overtaken".to_owned(),
-        Reply::Full => "full".to_owned(),
-        Reply::Refused(why) => format!("refused: {why}"),
+        Reply::SessionExpired => "session lost".to_owned(),
+        Reply::Superseded => "overtaken".to_owned(),
+        Reply::CapacityExceeded => "full".to_owned(),
+        Reply::Rejected(why) => format!("refused: {why}"),
     }
 }
 
-fn standing_text(standing: &Standing) -> String {
+fn standing_text(standing: &SubjectState) -> String {
     match standing {
-        Standing::Decided(value) => format!("decided {}", hex(value)),
-        Standing::Handed(epoch) => format!("dispatched in epoch {epoch}"),
-        Standing::Ran(epoch) => format!("ran in epoch {epoch}"),
+        SubjectState::Decided(value) => format!("decided {}", hex(value)),
+        SubjectState::Dispatched(epoch) => format!("dispatched in epoch {epoch}"),
+        SubjectState::Executed(epoch) => format!("ran in epoch {epoch}"),
     }
 }
 
 fn opinion_text(bytes: &[u8]) -> String {
-    let Ok(Opinion { build, stage, word }) = postcard::from_bytes::<Opinion>(bytes) else {
+    let Ok(BuildVerdict { build, stage, kind: word }) = postcard::from_bytes::<BuildVerdict>(bytes) else {
         return "no opinion".to_owned();
     };
     let word = match word {
-        Word::None => "none",
-        Word::On => "on",
-        Word::Hold => "hold",
-        Word::Back => "back",
+        VerdictKind::Abstain => "none",
+        VerdictKind::Advance => "on",
+        VerdictKind::Hold => "hold",
+        VerdictKind::RollBack => "back",
     };
     format!("build {build} stage {stage} {word}")
 }
 
-fn change_text(change: &Change) -> String {
+fn change_text(change: &MembershipChange) -> String {
     match change {
-        Change::Add(member) => format!("add {:016x} {} at {}", member.id.0, member.name, member.address),
-        Change::Remove(id) => format!("remove {:016x}", id.0),
+        MembershipChange::Add(member) => {
+            format!("add {:016x} {} at {}", member.id.0, member.name, member.address)
+        }
+        MembershipChange::Remove(id) => format!("remove {:016x}", id.0),
     }
 }
 
 /// A command that a session that has it already does not run: only its place counts.
 fn probe(session: SessionId, sequence: u64) -> Proposal {
-    let command = Command::Retire { space: "probe".to_owned(), below: 0 };
+    let command = Command::RetireSubjects { space: "probe".to_owned(), below: 0 };
     Proposal { session, sequence: Sequence(sequence), command }
 }
 
 /// The place that a session has reached and its last reply, as a proposal that is sent again is answered.
-fn last_reply(state: &Ledger, session: SessionId) -> Option<(u64, Reply)> {
+fn last_reply(state: &ReplicatedState, session: SessionId) -> Option<(u64, Reply)> {
     (0..1000).find_map(|sequence| {
         let reply = state.clone().apply(Index(state.applied().0 + 1), &probe(session, sequence));
         match reply {
-            Reply::SessionLost | Reply::Overtaken => None,
+            Reply::SessionExpired | Reply::Superseded => None,
             reply => Some((sequence, reply)),
         }
     })
 }
 
 /// The sessions held.
-fn sessions(state: &Ledger) -> Vec<SessionId> {
+fn sessions(state: &ReplicatedState) -> Vec<SessionId> {
     let lost = |id: u64| {
         let reply = state.clone().apply(Index(1000), &probe(SessionId(id), 0));
-        reply == Reply::SessionLost
+        reply == Reply::SessionExpired
     };
     (0..=state.applied().0).filter(|id| !lost(*id)).map(SessionId).collect()
 }
 
 /// The sessions in the order in which they make room for others: the one used longest ago first.
-fn sessions_by_use(state: &Ledger) -> Vec<u64> {
+fn sessions_by_use(state: &ReplicatedState) -> Vec<u64> {
     let (mut state, mut left) = (state.clone(), sessions(state));
     let mut index = 1000;
-    let mut open = |state: &mut Ledger| {
+    let mut open = |state: &mut ReplicatedState| {
         index += 1;
-        let command = Command::Open { nonce: index };
+        let command = Command::OpenSession { nonce: index };
         state.apply(Index(index), &Proposal { session: SessionId(0), sequence: Sequence(0), command });
     };
-    while state.session_count() < SESSIONS_MOST {
+    while state.session_count() < MAX_SESSIONS {
         open(&mut state);
     }
     let mut order = Vec::new();
     while !left.is_empty() {
         open(&mut state);
         let gone =
-            |id: &SessionId| state.clone().apply(Index(u64::MAX), &probe(*id, 0)) == Reply::SessionLost;
+            |id: &SessionId| state.clone().apply(Index(u64::MAX), &probe(*id, 0)) == Reply::SessionExpired;
         let at = left.iter().position(gone).expect("one session makes room");
         order.push(left.remove(at).0);
     }
@@ -184,9 +190,10 @@
 }
 
 /// The lowest number of a space that is not retired.
-fn retired_below(state: &Ledger, space: &str) -> Option<u64> {
+fn retired_below(state: &ReplicatedState, space: &str) -> Option<u64> {
     let mut state = state.clone();
-    let open = Proposal { session: SessionId(0), sequence: Sequence(0), command: Command::Open { nonce: 0 } };
+    let open =
+        Proposal { session: SessionId(0), sequence: Sequence(0), command: Command::OpenSession { nonce: 0 } };
     state.apply(Index(2000), &open);
     let command = Command::Decide { subject: Subject::new(space, 0), value: Vec::new() };
     let decide = Proposal { session: SessionId(2000), sequence: Sequence(1), command };
@@ -197,7 +204,7 @@
 }
 
 /// Everything that a replicated state holds, in words.
-fn state_text(name: &str, state: &Ledger) -> String {
+fn state_text(name: &str, state: &ReplicatedState) -> String {
     let mut text = format!("{name} applied {}\n", state.applied());
     for member in state.members() {
         let _ = writeln!(text, "{name} member {:016x} {} at {}", member.id.0, member.name, member.address);
@@ -208,24 +215,26 @@
     for space in ["condemned", "held", "order", "other"] {
         let _ = writeln!(text, "{name} space {space}: retired below {:?}", retired_below(state, space));
     }
-    for (role, grant) in state.grants() {
+    for (role, grant) in state.leases() {
         let _ = writeln!(
             text,
             "{name} lease {role}: holder {}, epoch {}, life {}, renewed at {}",
             holder_text(grant.holder),
             grant.epoch,
-            grant.life,
+            grant.ttl,
             grant.renewed
         );
     }
-    let boards = (1..=64).map(|n| format!("b{n}")).chain(["one-more".to_owned(), trust::BOARD.to_owned()]);
+    let boards = (1..=64)
+        .map(|n| format!("b{n}"))
+        .chain(["one-more".to_owned(), build_verdicts::VERDICT_TOPIC.to_owned()]);
     for board in boards {
         for (from, notice) in state.notices(&board) {
             let (value, opinion) = (hex(&notice.value), opinion_text(&notice.value));
             let _ = writeln!(
                 text,
                 "{name} notice on {board} from {:016x} at {}: {value} ({opinion})",
-                from.0, notice.posted
+                from.0, notice.published_at
             );
         }
     }
@@ -240,7 +249,7 @@
 }
 
 /// The instance, run and ticket that asked for a change, and the change, as the log holds them.
-type NotedChange = ((u64, u64, u64), Change);
+type NotedChange = ((u64, u64, u64), MembershipChange);
 
 /// Every entry behind the snapshot, in words.
 fn log_text(loaded: &Loaded) -> String {
@@ -293,7 +302,7 @@
     );
     found.push_str(&state_text("snapshot", &snapshot_state()));
     found.push_str(&log_text(&loaded));
-    found.push_str(&state_text("restarted", node.ledger()));
+    found.push_str(&state_text("restarted", node.state()));
     let expected = std::fs::read_to_string(fixture("state.txt")).expect("the expected text");
     for (number, (found, expected)) in found.lines().zip(expected.lines()).enumerate() {
         assert_eq!(found, expected, "state.txt, line {}", number + 1);
@@ -304,9 +313,9 @@
 #[test]
 fn all_130_decisions_stand_and_the_retired_ones_do_not() {
     let node = restarted();
-    let held: Vec<(u64, Vec<u8>)> = (node.ledger().subjects("condemned", 0))
+    let held: Vec<(u64, Vec<u8>)> = (node.state().subjects("condemned", 0))
         .map(|(subject, standing)| match standing {
-            Standing::Decided(value) => (subject.number, value.clone()),
+            SubjectState::Decided(value) => (subject.number, value.clone()),
             other => panic!("{subject}: {}", standing_text(other)),
         })
         .collect();
@@ -321,30 +330,30 @@
         .collect();
     assert_eq!(held.len(), 130);
     assert_eq!(held, expected);
-    assert_eq!(retired_below(node.ledger(), "condemned"), Some(1001));
+    assert_eq!(retired_below(node.state(), "condemned"), Some(1001));
 }
 
 #[test]
 fn leases_members_and_sessions_have_these_values() {
     let node = restarted();
-    let state = node.ledger();
+    let state = node.state();
     let lease = |role: &str| {
-        let grant = state.grant(&Role(role.to_owned())).expect("a lease");
-        (grant.holder, grant.epoch.0, grant.life)
+        let grant = state.lease(&Role(role.to_owned())).expect("a lease");
+        (grant.holder, grant.epoch.0, grant.ttl)
     };
-    assert_eq!(trust::role(), Role("votes".to_owned()));
+    assert_eq!(build_verdicts::vote_role(), Role("votes".to_owned()));
     assert_eq!(lease("votes"), (Some(ALMA), 2, 41));
     assert_eq!(lease("orders"), (Some(ALMA), 2, 25));
     assert_eq!(lease("later"), (Some(ALMA), 2, 19));
     assert_eq!(lease("left"), (None, 2, 33));
     assert_eq!(lease("of-citrom"), (None, 2, 17), "its holder was removed");
     let before = snapshot_state();
-    let grant = before.grant(&Role("of-citrom".to_owned())).expect("a lease");
+    let grant = before.lease(&Role("of-citrom".to_owned())).expect("a lease");
     assert_eq!((grant.holder, grant.epoch.0), (Some(CITROM), 1));
     let members: Vec<(InstanceId, &str, &str)> =
         state.members().map(|m| (m.id, m.name.as_str(), m.address.as_str())).collect();
     assert_eq!(members, [(ALMA, "alma", "127.0.0.1:7101"), (BIRS, "birs", "127.0.0.1:7102")]);
-    assert!(node.votes(ALMA) && node.votes(BIRS) && !node.votes(CITROM));
+    assert!(node.is_voter(ALMA) && node.is_voter(BIRS) && !node.is_voter(CITROM));
     // Every kind of reply that a session can keep.
     let kinds: BTreeSet<String> = sessions(&before)
         .into_iter()
@@ -371,8 +380,11 @@
 fn a_restarted_instance_has_its_term_and_vote_and_goes_on_from_what_was_decided() {
     let mut node = restarted();
     let status = node.status();
-    assert_eq!((status.term.0, status.committed.0, status.applied.0, status.last.0), (4, 329, 329, 331));
-    assert_eq!(node.ledger().member(InstanceId(0x0da1_5e00_0000_0004)), None, "not decided");
+    assert_eq!(
+        (status.term.0, status.committed.0, status.applied.0, status.last_index.0),
+        (4, 329, 329, 331)
+    );
+    assert_eq!(node.state().member(InstanceId(0x0da1_5e00_0000_0004)), None, "not decided");
     // In term 4 it has voted for itself: whoever else asks in that term gets no vote, in a later one it does.
     for (term, refused) in [(4, true), (5, false)] {
         let mut ask =
@@ -380,9 +392,9 @@
         ask.set_msg_type(MessageType::MsgRequestVote);
         node.receive(ask);
         let mut answers = Vec::new();
-        while let Some(work) = node.work().expect("its work") {
-            answers.extend(work.send);
-            node.written().expect("a write");
+        while let Some(work) = node.ready().expect("its work") {
+            answers.extend(work.messages);
+            node.on_persisted().expect("a write");
         }
         let answer = answers.iter().find(|m| m.get_msg_type() == MessageType::MsgRequestVoteResponse);
         assert_eq!(answer.map(|m| (m.term, m.reject)), Some((term, refused)));
@@ -393,7 +405,7 @@
 fn replies_that_no_session_keeps_have_their_places_among_the_others() {
     let bytes = |reply: &Reply| postcard::to_stdvec(reply).expect("bytes");
     assert_eq!(bytes(&Reply::Retired { below: 3 }), [8, 3]);
-    assert_eq!(bytes(&Reply::SessionLost), [9]);
-    assert_eq!(bytes(&Reply::Overtaken), [10]);
-    assert_eq!(bytes(&Reply::Full), [11]);
+    assert_eq!(bytes(&Reply::SessionExpired), [9]);
+    assert_eq!(bytes(&Reply::Superseded), [10]);
+    assert_eq!(bytes(&Reply::CapacityExceeded), [11]);
 }
