--- a/crates/proxy/src/feature_settings.rs
+++ b/crates/proxy/src/feature_settings.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use garnetcrank_policy::api::{Micros, VoteMode};
-use garnetcrank_settings::{Faulty, Settings};
+use garnetcrank_settings::{Settings, SettingsError};
 use serde::Deserialize;
 
 use crate::clock::MS;
@@ -71,7 +71,7 @@
     fn parse(text: &str, settings: &Settings) -> Result<Self, String> {
         let mut json = serde_json::Deserializer::from_str(text);
         let extras: FeatureSettings =
-            serde_path_to_error::deserialize(&mut json).map_err(|e| Faulty::from(e).to_string())?;
+            serde_path_to_error::deserialize(&mut json).map_err(|e| SettingsError::from(e).to_string())?;
         if !(1..=MAX_WORKERS).contains(&extras.worker_count()) {
             return Err(format!("cores: 1 to {MAX_WORKERS} is wanted"));
         }
--- a/crates/proxy/src/process_settings.rs
+++ b/crates/proxy/src/process_settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use garnetcrank_settings::{Faulty, Settings};
+use garnetcrank_settings::{Settings, SettingsError};
 use serde::Deserialize;
 
 use crate::discovery::MemberList;
@@ -130,7 +130,7 @@
     fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let mut json = serde_json::Deserializer::from_str(text);
         let file: SettingsFile =
-            serde_path_to_error::deserialize(&mut json).map_err(|e| Faulty::from(e).to_string())?;
+            serde_path_to_error::deserialize(&mut json).map_err(|e| SettingsError::from(e).to_string())?;
         let address = |name: &str, key: &str, told: Option<SocketAddr>| match variable(name) {
             Some(text) => text.parse().map_err(|_| format!("{name}: {text:?} is no address with a port")),
             None => told.ok_or_else(|| format!("{key} is missing")),
--- /dev/null
+++ b/crates/settings/src/validate.rs
@@ -0,0 +1,55 @@
+//! Checks that deserialization cannot make: that values fit together and lie in their ranges.
+
+use crate::error::SettingsError;
+use crate::raw::{RawClass, RawLimits, RawRollout, RawSettings};
+
+/// Checks a settings object; the first fault found is returned.
+pub(crate) fn validate(raw: &RawSettings) -> Result<(), SettingsError> {
+    if raw.grades.is_empty() {
+        return Err(SettingsError::NoClasses);
+    }
+    validate_stages(&raw.specifics)?;
+    if raw.limits.max_attempts == 0 {
+        return Err(SettingsError::NoAttempts);
+    }
+    for index in 0..raw.grades.len() {
+        validate_class(&raw.grades, index)?;
+    }
+    validate_connection_times(&raw.limits)
+}
+
+fn validate_stages(rollout: &RawRollout) -> Result<(), SettingsError> {
+    let stages = rollout.steps.len();
+    let caps = rollout.most_shares.len();
+    if stages != caps || stages == 0 {
+        return Err(SettingsError::StageCount { stages, caps });
+    }
+    Ok(())
+}
+
+fn validate_class(classes: &[RawClass], index: usize) -> Result<(), SettingsError> {
+    let class = &classes[index];
+    if classes[..index].iter().any(|earlier| earlier.name == class.name) {
+        return Err(SettingsError::DuplicateClass { index, name: class.name.clone() });
+    }
+    // Written so that a NaN is rejected too.
+    let positive = class.deadline > 0.0 && class.goal_time > 0.0;
+    if !positive {
+        return Err(SettingsError::ClassTimes {
+            index,
+            goal_time: class.goal_time,
+            deadline: class.deadline,
+        });
+    }
+    Ok(())
+}
+
+fn validate_connection_times(limits: &RawLimits) -> Result<(), SettingsError> {
+    if limits.connect_timeout <= 0.0 || limits.conn_idle <= 0.0 {
+        return Err(SettingsError::ConnectionTimes {
+            connect_timeout: limits.connect_timeout,
+            conn_idle: limits.conn_idle,
+        });
+    }
+    Ok(())
+}
