--- /dev/null
+++ b/crates/sim-adapter/src/instance.rs
@@ -0,0 +1,321 @@
+//! One instance: translation between the simulator's lines and the policy's events and actions.
+
+use std::collections::HashMap;
+
+use garnetcrank_policy::Policy;
+use garnetcrank_policy::api::{
+    Action, AttemptResult, Build, CellId, ClassId, EndpointId, EndpointRecord, EndpointStatus,
+    EndpointUpdate, Event, KeyId, KindId, Micros, Outcome, PeerId, Request, RequestId, RolloutPhase,
+    RolloutStatus, TenantId, Verdict, VoteResult, ZoneId,
+};
+use garnetcrank_settings::{Settings, micros};
+
+use crate::error::ProtocolError;
+use crate::name_table::NameTable;
+use crate::protocol::{
+    ALL_PEERS, EndpointAvailability, EndpointRow, FLAG_HINTED, FLAG_RETRY, Input, ListUpdateKind,
+    OutcomeCode, Output, Recipient, TenantRef, VOTE_ANSWER,
+};
+
+/// Microseconds in a millisecond.
+const MICROS_PER_MS: f64 = 1000.0;
+
+fn millis(span: Micros) -> f64 {
+    span as f64 / MICROS_PER_MS
+}
+
+/// An instance of the policy, and the numbers that it knows names by.
+pub struct Instance {
+    /// The decisions.
+    pub policy: Policy,
+    endpoints: NameTable,
+    zones: NameTable,
+    kinds: NameTable,
+    keys: NameTable,
+    classes: Vec<String>,
+    tenants: Vec<String>,
+}
+
+impl Instance {
+    /// A new instance with these settings.
+    pub fn new(seed: u64, settings: Settings) -> Self {
+        Instance {
+            policy: Policy::new(seed, settings.config),
+            endpoints: NameTable::default(),
+            zones: NameTable::with_names(&settings.zones),
+            kinds: NameTable::with_names(&settings.kinds),
+            keys: NameTable::default(),
+            classes: settings.classes,
+            tenants: settings.tenants,
+        }
+    }
+
+    /// The event that a line tells of; none: the line tells nothing that the policy has to know.
+    ///
+    /// # Errors
+    /// The line names a class, a list or a phase that does not exist, or a message that can't be decoded.
+    pub fn to_event(
+        &mut self,
+        line: Input,
+        lists: &HashMap<u32, Vec<EndpointRow>>,
+    ) -> Result<Option<Event>, ProtocolError> {
+        let event = match line {
+            Input::BatchBegin { .. }
+            | Input::BatchEnd {}
+            | Input::EndpointList { .. }
+            | Input::StartInstance { .. }
+            | Input::StopInstance { .. } => return Ok(None),
+            Input::EndpointUpdate { how, list_id, .. } => {
+                Event::EndpointsUpdated(self.endpoint_update(how, list_id, lists)?)
+            }
+            Input::Request { request, class, tenant, key, deadline, work_hint, flags, .. } => {
+                let hinted = flags & FLAG_HINTED != 0;
+                Event::Request(Request {
+                    id: RequestId(request),
+                    class: self.class(&class)?,
+                    tenant: self.tenant(tenant),
+                    key: key.map(|name| KeyId(self.keys.number_of(&name))),
+                    deadline: micros(deadline),
+                    work_hint: work_hint.filter(|work| hinted && *work > 0.0).map(micros),
+                    is_retry: flags & FLAG_RETRY != 0,
+                })
+            }
+            Input::ResponseStarted { request, attempt, .. } => {
+                Event::ResponseStarted { id: RequestId(request), attempt }
+            }
+            Input::AttemptCompleted {
+                request,
+                attempt,
+                outcome,
+                latency,
+                request_finished,
+                load_report,
+                ..
+            } => Event::AttemptCompleted(AttemptResult {
+                id: RequestId(request),
+                attempt,
+                outcome: outcome.to_outcome(),
+                latency: micros(latency),
+                request_finished,
+                load_report: load_report.unwrap_or_default(),
+            }),
+            Input::ClientDisconnected { request, .. } => Event::ClientDisconnected(RequestId(request)),
+            Input::Timer { token, .. } => Event::Timer(token),
+            Input::HealthCheckCompleted { endpoint, latency, outcome, load_report, .. } => {
+                Event::HealthCheckCompleted {
+                    endpoint: self.endpoint(&endpoint),
+                    outcome: outcome.to_outcome(),
+                    latency: micros(latency),
+                    load_report: load_report.unwrap_or_default(),
+                }
+            }
+            Input::Gossip { from, bytes_hex, .. } => {
+                Event::GossipReceived { from: PeerId(from), bytes: decode_hex(&bytes_hex)? }
+            }
+            Input::RolloutStatus { build, stage, phase, how, outcome, exposure_cap, age, .. } => {
+                let status = RolloutStatus {
+                    build: Build(build),
+                    stage,
+                    phase: rollout_phase(phase)?,
+                    exposure_cap,
+                    age: micros(age),
+                };
+                return Ok(rollout_event(how, outcome, status));
+            }
+            Input::BuildTally { class, build, latency, errors, age, count, .. } => Event::Tally {
+                build: Build(build),
+                class: self.class(&class)?,
+                count,
+                errors,
+                mean: micros(latency),
+                age: micros(age),
+            },
+            Input::AnswerFlagged { endpoint, age, class, .. } => Event::AnswerFlagged {
+                endpoint: self.endpoint(&endpoint),
+                class: self.class(&class)?,
+                age: micros(age),
+            },
+        };
+        Ok(Some(event))
+    }
+
+    /// The line that an action becomes.
+    pub fn to_output<'a>(&'a self, instance: u32, action: &'a Action) -> Output<'a> {
+        let name_of = |endpoint: &EndpointId| self.endpoints.name_of(endpoint.0);
+        match action {
+            Action::Forward { id, endpoint, timeout } => Output::Forward {
+                instance,
+                request: id.0,
+                endpoint: name_of(endpoint),
+                timeout: timeout.map(millis),
+            },
+            Action::Cancel { id, attempt } => Output::Cancel { instance, request: id.0, attempt: *attempt },
+            Action::Reject { id, retry_after } => {
+                Output::Reject { instance, request: id.0, retry_after: retry_after.map(millis) }
+            }
+            Action::Fail(id) => Output::Fail { instance, request: id.0 },
+            Action::SetTimer { after, token } => {
+                Output::SetTimer { instance, delay: millis(*after), token: *token }
+            }
+            Action::HealthCheck(endpoint) => Output::HealthCheck { instance, endpoint: name_of(endpoint) },
+            Action::CloseIdle(endpoint) => Output::CloseIdle { instance, endpoint: name_of(endpoint) },
+            Action::SendGossip { to, bytes } => {
+                Output::SendGossip { instance, to: recipient(*to), bytes_hex: encode_hex(bytes) }
+            }
+            Action::WatchEndpoints(want) => Output::WatchEndpoints { instance, want: *want },
+            Action::PollEndpoints => Output::PollEndpoints { instance },
+            Action::Vote { build, stage, verdict } => {
+                Output::Vote { instance, build: build.0, stage: *stage, how: verdict_code(*verdict) }
+            }
+            Action::Log(text) => Output::Log { instance, text },
+        }
+    }
+
+    fn class(&self, name: &str) -> Result<ClassId, ProtocolError> {
+        match self.classes.iter().position(|class| class == name) {
+            Some(position) => Ok(ClassId(position)),
+            None => Err(ProtocolError::UnknownClass { name: name.to_owned() }),
+        }
+    }
+
+    /// A tenant that the settings do not name counts as none.
+    fn tenant(&self, tenant: Option<TenantRef>) -> Option<TenantId> {
+        let Some(TenantRef::Name(name)) = tenant else { return None };
+        self.tenants.iter().position(|known| *known == name).map(TenantId)
+    }
+
+    fn endpoint(&mut self, name: &str) -> EndpointId {
+        EndpointId(self.endpoints.number_of(name))
+    }
+
+    fn endpoint_update(
+        &mut self,
+        how: ListUpdateKind,
+        list_id: u32,
+        lists: &HashMap<u32, Vec<EndpointRow>>,
+    ) -> Result<EndpointUpdate, ProtocolError> {
+        if how == ListUpdateKind::Failed {
+            return Ok(EndpointUpdate::Unavailable);
+        }
+        let rows = lists.get(&list_id).ok_or(ProtocolError::UnknownList { list_id })?;
+        let endpoints = rows.iter().map(|row| self.endpoint_record(row)).collect();
+        Ok(match how {
+            ListUpdateKind::Incremental => EndpointUpdate::Delta(endpoints),
+            _ => EndpointUpdate::Snapshot { endpoints, cached: how == ListUpdateKind::Saved },
+        })
+    }
+
+    fn endpoint_record(&mut self, row: &EndpointRow) -> EndpointRecord {
+        EndpointRecord {
+            endpoint: self.endpoint(&row.endpoint),
+            kind: KindId(self.kinds.number_of(&row.kind) as usize),
+            zone: ZoneId(self.zones.number_of(&row.zone) as usize),
+            cell: CellId(row.cell),
+            build: Build(row.build as u32),
+            status: match row.status {
+                EndpointAvailability::On => EndpointStatus::Active,
+                EndpointAvailability::Fading => EndpointStatus::Draining,
+                EndpointAvailability::Off => EndpointStatus::Removed,
+            },
+            started: row.started.filter(|at| *at > 0.0).map(micros),
+            rating: row.rating,
+        }
+    }
+}
+
+impl Input {
+    /// The instance that a line belongs to; 0 for lines that belong to the batch.
+    pub fn instance(&self) -> u32 {
+        match *self {
+            Input::BatchBegin { .. } | Input::BatchEnd {} | Input::EndpointList { .. } => 0,
+            Input::StartInstance { instance, .. }
+            | Input::StopInstance { instance }
+            | Input::EndpointUpdate { instance, .. }
+            | Input::Request { instance, .. }
+            | Input::ResponseStarted { instance, .. }
+            | Input::AttemptCompleted { instance, .. }
+            | Input::ClientDisconnected { instance, .. }
+            | Input::Timer { instance, .. }
+            | Input::HealthCheckCompleted { instance, .. }
+            | Input::Gossip { instance, .. }
+            | Input::RolloutStatus { instance, .. }
+            | Input::BuildTally { instance, .. }
+            | Input::AnswerFlagged { instance, .. } => instance,
+        }
+    }
+}
+
+impl OutcomeCode {
+    fn to_outcome(self) -> Outcome {
+        match self {
+            OutcomeCode::Pass => Outcome::Success,
+            OutcomeCode::Fault => Outcome::Error,
+            OutcomeCode::NoRoom => Outcome::Overloaded,
+            OutcomeCode::TooSlow => Outcome::TimedOut,
+            OutcomeCode::NoRoute => Outcome::ConnectFailed,
+            OutcomeCode::Cut => Outcome::ConnectionLost,
+            OutcomeCode::Undone => Outcome::Cancelled,
+            OutcomeCode::StaleSend => Outcome::NotSent,
+        }
+    }
+
+    fn to_vote_result(self) -> VoteResult {
+        match self {
+            OutcomeCode::Pass => VoteResult::Counted,
+            OutcomeCode::StaleSend => VoteResult::Obsolete,
+            OutcomeCode::NoRoom => VoteResult::RateLimited,
+            OutcomeCode::TooSlow => VoteResult::Unknown,
+            _ => VoteResult::Failed,
+        }
+    }
+}
+
+/// What a rollout line tells: the answer to a vote, or the state of the newest build where that is known.
+fn rollout_event(how: u8, outcome: OutcomeCode, status: RolloutStatus) -> Option<Event> {
+    let known = (outcome == OutcomeCode::Pass).then_some(status);
+    if how == VOTE_ANSWER {
+        return Some(Event::VoteCompleted(outcome.to_vote_result(), known));
+    }
+    known.map(Event::RolloutUpdated)
+}
+
+fn rollout_phase(phase: u8) -> Result<RolloutPhase, ProtocolError> {
+    match phase {
+        0 => Ok(RolloutPhase::OnTrial),
+        1 => Ok(RolloutPhase::RollingBack),
+        2 => Ok(RolloutPhase::Released),
+        3 => Ok(RolloutPhase::Withdrawn),
+        _ => Err(ProtocolError::UnknownPhase { phase }),
+    }
+}
+
+fn verdict_code(verdict: Verdict) -> u8 {
+    match verdict {
+        Verdict::Abstain => 0,
+        Verdict::Advance => 1,
+        Verdict::Hold => 2,
+        Verdict::RollBack => 3,
+    }
+}
+
+fn recipient(to: Option<PeerId>) -> Recipient {
+    match to {
+        Some(peer) => Recipient::Peer(peer.0),
+        None => Recipient::All(ALL_PEERS),
+    }
+}
+
+fn encode_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn decode_hex(text: &str) -> Result<Vec<u8>, ProtocolError> {
+    let not_hex = || ProtocolError::NotHex { text: text.to_owned() };
+    let mut bytes = Vec::with_capacity(text.len() / 2);
+    for pair in text.as_bytes().chunks(2) {
+        let digits = std::str::from_utf8(pair).ok().filter(|digits| digits.len() == 2);
+        let digits = digits.ok_or_else(not_hex)?;
+        bytes.push(u8::from_str_radix(digits, 16).map_err(|_| not_hex())?);
+    }
+    Ok(bytes)
+}
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,43 +1,54 @@
-//! Speaks the simulator's wire on standard input and output, for many instances of the decisions.
+//! Adapter between the simulator's protocol, on standard input and output, and many instances of the policy.
+//!
+//! Malformed input ends the program with a message on standard error that names the line, and a non-zero exit code.
 
-mod link;
-mod wire;
+mod adapter;
+mod error;
+mod instance;
+mod name_table;
+mod protocol;
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use link::{Link, Next};
+use adapter::Adapter;
+use error::AdapterError;
 
-fn run() -> Result<(), String> {
+fn main() -> ExitCode {
+    // A panic of the policy is reported to the simulator; the default report would only repeat it.
+    std::panic::set_hook(Box::new(|_| {}));
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            // There is nobody left to tell where standard error is closed.
+            let _ = writeln!(io::stderr(), "garnetcrank-sim-adapter: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Reads lines until the input ends, and writes a reply after each batch.
+fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
-    let mut link = Link::default();
-    let mut text = Vec::new();
-    for number in 1u64.. {
-        text.clear();
-        let read = input.read_until(b'\n', &mut text).map_err(|e| format!("line {number}: {e}"))?;
+    let mut adapter = Adapter::default();
+    let mut bytes = Vec::new();
+    for line in 1u64.. {
+        bytes.clear();
+        let read =
+            input.read_until(b'\n', &mut bytes).map_err(|source| AdapterError::Read { line, source })?;
         if read == 0 {
             break;
         }
-        let line = std::str::from_utf8(&text).map_err(|_| format!("line {number}: not UTF-8"))?;
-        if line.trim().is_empty() {
+        let text = std::str::from_utf8(&bytes).map_err(|_| AdapterError::NotUtf8 { line })?;
+        if text.trim().is_empty() {
             continue;
         }
-        if let Next::Reply(reply) = link.line(line).map_err(|e| format!("line {number}: {e}"))? {
-            output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
+        let reply = adapter.handle_line(text).map_err(|source| AdapterError::Protocol { line, source })?;
+        if let Some(reply) = reply {
+            output.write_all(reply.as_bytes())?;
+            output.flush()?;
         }
     }
     Ok(())
 }
-
-fn main() -> ExitCode {
-    // A panic of the decisions goes out as `broken`; the default report would only repeat it.
-    std::panic::set_hook(Box::new(|_| {}));
-    match run() {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            let _ = writeln!(io::stderr(), "garnetcrank-sim-adapter: {message}");
-            ExitCode::FAILURE
-        }
-    }
-}
