--- a/crates/vote-router/src/lib.rs
+++ b/crates/vote-router/src/lib.rs
@@ -25,7 +25,7 @@
 pub enum RouterAction {
     /// Cast this at the platform.
     CastVote(Vote, VoteOrigin),
-    /// Tell the agent; its answer goes to [`Ballots::told`].
+    /// Tell the agent; its answer goes to [`VoteRouter::on_agent_reply`].
     SendToAgent(Vote),
     /// The front's own decisions hear this of their vote.
     VoteCompleted(VoteResult),
