--- a/crates/cli/src/inspect.rs
+++ b/crates/cli/src/inspect.rs
@@ -6,6 +6,7 @@
 use garnetcrank_store::{Record, Store, StoreError};
 use serde_json::json;
 
+use crate::command_text::command_text;
 use crate::{Trouble, show};
 
 fn trouble(error: &StoreError) -> Trouble {
@@ -21,7 +22,12 @@
         0 if record.data.is_empty() => "(a leader's first)".to_owned(),
         0 => match postcard::from_bytes::<Proposal>(&record.data) {
             Ok(proposal) => {
-                format!("session {} no. {}: {:?}", proposal.session, proposal.sequence, proposal.command)
+                format!(
+                    "session {} no. {}: {}",
+                    proposal.session,
+                    proposal.sequence,
+                    command_text(&proposal.command)
+                )
             }
             Err(error) => format!("can't be read: {error}"),
         },
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,7 @@
 //! `garnetcrank`: the operators' command line.
 
 mod agents;
+mod command_text;
 mod inspect;
 mod ledger;
 mod show;
