--- a/crates/proxy/src/feature_settings.rs
+++ b/crates/proxy/src/feature_settings.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use crate::clock::MS;
-use crate::workers::MAX_WORKERS;
+use crate::worker_id::MAX_WORKERS;
 
 /// The whole file; without one everything in it is off.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Deserialize)]
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -19,6 +19,7 @@
 mod unary_call;
 mod upstream;
 mod watch_stream;
+mod worker_id;
 mod workers;
 
 use std::path::PathBuf;
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -26,7 +26,8 @@
 use crate::readiness::{ConnId, ConnIds, Handle, PendingWork, Source, TurnInputs};
 use crate::release_controller::ReleaseController;
 use crate::upstream::{self, Upstream, UpstreamRequest};
-use crate::workers::{WorkerId, WorkerMessage, WorkerShared, owner_of};
+use crate::worker_id::WorkerId;
+use crate::workers::{WorkerMessage, WorkerShared};
 
 /// Descriptors for all but clients and machines: 3 standard streams, 4 of the loop, 2 for the listener, 2 for
 /// discovery, 9 for the platform with its votes, one to read a file, and a margin.
@@ -231,7 +232,7 @@
             shared,
             news: None,
             handle,
-            ids: ConnIds::of(core.0),
+            ids: ConnIds::for_worker(core),
             clock,
             timers: Timers::default(),
             sweeps: 0,
@@ -491,10 +492,11 @@
                 return;
             }
             // One that has fewer takes it: all threads hear of a connection that waits.
-            if self.shared.worker_count() > 1
-                && !self.shared.has_fewest_clients(self.core, self.downstream.len())
-            {
-                return;
+            if self.shared.worker_count() > 1 {
+                self.shared.publish_client_count(self.core, self.downstream.len());
+                if !self.shared.has_fewest_clients(self.core) {
+                    return;
+                }
             }
             let room = if self.downstream.len() >= self.budgets.clients {
                 self.client_makes_way(now)
@@ -597,7 +599,7 @@
             let waiting = !self.upstream_events.is_empty() || !self.downstream_events.is_empty();
             let stepped = {
                 let mut driver = self.shared.dispatcher();
-                let stepped = driver.step(now, &mut self.commands);
+                let stepped = driver.handle_next_event(now, &mut self.commands);
                 self.shared.drain_dispatcher(&mut driver, now, &mut self.commands);
                 stepped
             };
@@ -619,7 +621,8 @@
             | Command::Fail { client }
             | Command::DeadlineExceeded { client }
             | Command::StartResponse { client, .. }
-            | Command::FinishResponse { client, .. } => owner_of(*client),
+            | Command::FinishResponse { client }
+            | Command::AbortResponse { client } => client.worker(),
             Command::CloseIdle(machine) => {
                 for other in self.shared.others(self.core) {
                     self.shared.post(other, [WorkerMessage::Command(Command::CloseIdle(*machine))]);
@@ -627,11 +630,11 @@
                 self.core
             }
             Command::Log(_) => self.core,
-            Command::Timer { .. }
+            Command::SetTimer { .. }
             | Command::HealthCheck(_)
             | Command::WatchEndpoints(_)
             | Command::PollEndpoints
-            | Command::Vote(..) => WorkerId::FIRST,
+            | Command::CastVote { .. } => WorkerId::FIRST,
         };
         if home == self.core {
             self.carry_out(command, now);
@@ -798,17 +801,17 @@
     fn carry_out(&mut self, command: Command, now: Micros) {
         let notes = &mut self.downstream_events;
         match command {
-            Command::Forward { id, attempt, machine, until, stamp } => {
+            Command::Forward { id, attempt, endpoint: machine, deadline: until, stamp } => {
                 self.place((id, attempt), machine, until, stamp, now);
             }
             Command::Cancel { id, attempt } => {
                 self.upstream.cancel(id, attempt, now, &mut self.upstream_events);
             }
-            Command::Respond { client, answer } => {
+            Command::Respond { client, response: answer } => {
                 self.counters.passed += 1;
                 self.downstream.answer(client, 200, passed_on(&answer.headers), &answer.body, now, notes);
             }
-            Command::Reject { client, come_back } => {
+            Command::Reject { client, retry_after: come_back } => {
                 self.counters.refused += 1;
                 let after = come_back.map(|span| format!("{:.3}", span as f64 / 1e6));
                 let lines = after.as_ref().map(|a| ("Retry-After", a.as_bytes()));
@@ -825,15 +828,15 @@
             Command::StartResponse { client, headers } => {
                 self.downstream.start_response(client, passed_on(&headers));
             }
-            Command::FinishResponse { client, whole: true } => {
+            Command::FinishResponse { client } => {
                 self.counters.passed += 1;
                 self.downstream.finish_response(client, now, notes);
             }
-            Command::FinishResponse { client, whole: false } => {
+            Command::AbortResponse { client } => {
                 self.counters.failed += 1;
                 self.downstream.abort_response(client);
             }
-            Command::Timer { at, token } => self.timers.set(at, Due::Decisions(token)),
+            Command::SetTimer { at, token } => self.timers.set(at, Due::Decisions(token)),
             Command::HealthCheck(machine) => {
                 self.counters.probes += 1;
                 let started = match self.room_for(machine, now) {
@@ -864,7 +867,7 @@
                 let fleet = news.discovery.poll(&self.handle, &mut self.ids, now);
                 self.fleet(fleet);
             }
-            Command::Vote(build, stage, verdict) => {
+            Command::CastVote { build, stage, verdict } => {
                 match self.news.as_mut().and_then(|news| news.link.as_mut()) {
                     None => self.cast((build, stage, verdict), VoteOrigin::Own, now),
                     Some(link) => {
--- a/crates/proxy/src/workers.rs
+++ b/crates/proxy/src/workers.rs
@@ -1,7 +1,11 @@
-//! What the threads of a front share: the decisions under a lock, letters to one another, and how far the process is.
+//! What the worker threads share: the dispatcher under a lock, a mailbox for each worker, and the lifecycle stage of
+//! the process.
 //!
-//! Each thread has its own loop, clients and connections to machines. The first one also has discovery, the platform,
-//! the phases of the process and the decisions' timers.
+//! Each worker has its own event loop, clients and connections to endpoints. The first one also runs the control
+//! plane (discovery, release controller, agent), the lifecycle of the process and the policy's timers.
+
+#[cfg(test)]
+mod tests;
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,230 +19,186 @@
 use crate::discovery::EndpointAddress;
 use crate::dispatcher::{Command, Dispatcher};
 use crate::lifecycle::LifecycleStage;
-use crate::readiness::ConnId;
-
-/// Threads at the most.
-pub const MAX_WORKERS: usize = 16;
-/// A placement that was not sent so long after its decision is decided anew: its thread did not run, and what the
-/// decision went by is old.
-const LATE: Micros = 20 * MS;
-
-/// A thread of the front, counted from 0.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WorkerId(pub usize);
+use crate::worker_id::WorkerId;
 
-impl WorkerId {
-    /// The one with the news, the phases and the timers.
-    pub const FIRST: WorkerId = WorkerId(0);
-}
+/// Age from which on a decision is not carried out but made again: its thread did not run meanwhile, and what the
+/// decision was based on is old.
+const MAX_DECISION_AGE: Micros = 20 * MS;
 
-/// What one thread tells another.
-pub enum WorkerMessage {
+/// What one worker sends to another.
+pub(crate) enum WorkerMessage {
     /// A command for one of its connections.
     Command(Command),
-    /// News of where a machine listens.
+    /// An endpoint's address or status has changed.
     EndpointChanged(EndpointAddress),
-    /// Less may be sent to this build than before.
+    /// The exposure cap of this build has been lowered.
     ExposureLowered(Build),
 }
 
-struct Mailbox {
+/// One worker as the others see it.
+struct WorkerSlot {
     messages: Mutex<Vec<WorkerMessage>>,
+    /// Wakes the worker's event loop.
     ping: Ping,
-    clients: AtomicUsize,
+    client_count: AtomicUsize,
     drained: AtomicBool,
     counters: Mutex<Counters>,
 }
 
-/// All that is shared.
-pub struct WorkerShared {
+impl WorkerSlot {
+    fn new(ping: Ping) -> Self {
+        WorkerSlot {
+            messages: Mutex::default(),
+            ping,
+            client_count: AtomicUsize::new(0),
+            drained: AtomicBool::new(false),
+            counters: Mutex::default(),
+        }
+    }
+}
+
+/// All that the workers share.
+pub(crate) struct WorkerShared {
     dispatcher: SharedPolicy<Dispatcher>,
-    mailboxes: Vec<Mailbox>,
+    slots: Vec<WorkerSlot>,
     stage: Mutex<LifecycleStage>,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // A thread that panics ends the process; nobody goes on with what it left.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    // A thread that panics ends the process; nobody goes on with the state that it left.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl WorkerShared {
-    /// For so many threads; and what wakes each of them.
-    pub fn new(driver: Dispatcher, cores: usize) -> std::io::Result<(Self, Vec<PingSource>)> {
-        let (mut desks, mut sources) = (Vec::new(), Vec::new());
-        for _ in 0..cores {
-            let (ping, source) = make_ping()?;
-            sources.push(source);
-            desks.push(Mailbox {
-                messages: Mutex::default(),
-                ping,
-                clients: AtomicUsize::new(0),
-                drained: AtomicBool::new(false),
-                counters: Mutex::default(),
-            });
+    /// The shared state of `worker_count` workers, and for each of them the event source that wakes it.
+    ///
+    /// # Errors
+    /// When the system gives no descriptor for a wake-up source.
+    pub(crate) fn new(
+        dispatcher: Dispatcher,
+        worker_count: usize,
+    ) -> std::io::Result<(Self, Vec<PingSource>)> {
+        let mut slots = Vec::new();
+        let mut wake_sources = Vec::new();
+        for _ in 0..worker_count {
+            let (ping, wake_source) = make_ping()?;
+            wake_sources.push(wake_source);
+            slots.push(WorkerSlot::new(ping));
         }
         let shared = WorkerShared {
-            dispatcher: SharedPolicy::new(driver, cores, LATE),
-            mailboxes: desks,
+            dispatcher: SharedPolicy::new(dispatcher, worker_count, MAX_DECISION_AGE),
+            slots,
             stage: Mutex::new(LifecycleStage::Starting),
         };
-        Ok((shared, sources))
+        Ok((shared, wake_sources))
     }
 
-    /// Threads.
-    pub fn worker_count(&self) -> usize {
-        self.mailboxes.len()
+    /// Number of workers, at least 1.
+    pub(crate) fn worker_count(&self) -> usize {
+        self.slots.len()
     }
 
-    /// The decisions. Nothing that waits is done while they are held.
-    pub fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
+    /// The dispatcher, locked. Nothing that may block is done while the guard lives.
+    pub(crate) fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatcher.lock()
     }
 
-    /// Tells the decisions all that waits, on one of several threads: whatever waited on would be told by another, and
-    /// what came of it would have to travel back. One thread alone tells one thing at a time, as ever.
-    pub fn drain_dispatcher(&self, driver: &mut Dispatcher, now: Micros, commands: &mut Vec<Command>) {
+    /// With several workers, has the policy handle all events that wait: another worker would otherwise handle them,
+    /// and the commands that come of it would have to travel back. A single worker handles one event at a time in its
+    /// turn.
+    pub(crate) fn drain_dispatcher(
+        &self,
+        dispatcher: &mut Dispatcher,
+        now: Micros,
+        commands: &mut Vec<Command>,
+    ) {
         if self.worker_count() > 1 {
-            while driver.step(now, commands) {}
+            while dispatcher.handle_next_event(now, commands) {}
         }
     }
 
-    /// News for the decisions. Placements decided before it are decided anew, unless they are on their way.
-    pub fn deliver(&self, event: Event) {
-        self.dispatcher.update(|driver| driver.queue_priority_event(event));
+    /// Queues an update of the endpoint list or the rollout for the policy. Decisions made before it that have not been
+    /// carried out are made again.
+    pub(crate) fn deliver(&self, event: Event) {
+        self.dispatcher.update(|dispatcher| dispatcher.queue_priority_event(event));
     }
 
-    /// Whether what was decided under a stamp may still be sent. One thread alone sends in the turn of its decision.
-    pub fn may_send(&self, stamp: DecisionStamp, now: Micros) -> bool {
+    /// Whether a decision with this stamp may still be carried out. Always true with a single worker, which carries it
+    /// out in the turn in which it was made.
+    pub(crate) fn may_send(&self, stamp: DecisionStamp, now: Micros) -> bool {
         self.dispatcher.stamp_status(stamp, now) == StampStatus::Current
     }
 
-    /// Whose thread a request is on.
-    pub fn owner(&self, id: RequestId) -> WorkerId {
-        WorkerId(id.0 as usize % self.worker_count())
+    /// The worker that owns a request.
+    pub(crate) fn owner(&self, id: RequestId) -> WorkerId {
+        WorkerId::owning_request(id, self.worker_count())
     }
 
-    /// Leaves letters for a thread and wakes it.
-    pub fn post(&self, to: WorkerId, letters: impl IntoIterator<Item = WorkerMessage>) {
-        let desk = &self.mailboxes[to.0];
-        locked(&desk.messages).extend(letters);
-        desk.ping.ping();
+    /// Appends messages to a worker's mailbox and wakes it.
+    pub(crate) fn post(&self, to: WorkerId, messages: impl IntoIterator<Item = WorkerMessage>) {
+        let slot = &self.slots[to.0];
+        lock(&slot.messages).extend(messages);
+        slot.ping.ping();
     }
 
-    /// Letters for a thread, in the order they were left.
-    pub fn take_messages(&self, of: WorkerId) -> Vec<WorkerMessage> {
-        std::mem::take(&mut *locked(&self.mailboxes[of.0].messages))
+    /// Takes all messages out of a worker's mailbox, in the order they were posted.
+    pub(crate) fn take_messages(&self, worker: WorkerId) -> Vec<WorkerMessage> {
+        std::mem::take(&mut *lock(&self.slots[worker.0].messages))
     }
 
-    /// All other threads.
-    pub fn others(&self, core: WorkerId) -> impl Iterator<Item = WorkerId> + use<> {
-        (0..self.worker_count()).map(WorkerId).filter(move |other| *other != core)
+    /// All workers but this one.
+    pub(crate) fn others(&self, worker: WorkerId) -> impl Iterator<Item = WorkerId> + use<> {
+        (0..self.worker_count()).map(WorkerId).filter(move |other| *other != worker)
     }
 
-    /// A thread's figures, for the others.
-    pub fn publish(&self, core: WorkerId, clients: usize, gone: bool, counters: &Counters) {
-        let desk = &self.mailboxes[core.0];
-        desk.clients.store(clients, Ordering::Relaxed);
-        desk.drained.store(gone, Ordering::SeqCst);
+    /// Publishes a worker's state for the others.
+    pub(crate) fn publish(&self, worker: WorkerId, client_count: usize, drained: bool, counters: &Counters) {
+        let slot = &self.slots[worker.0];
+        slot.client_count.store(client_count, Ordering::Relaxed);
+        slot.drained.store(drained, Ordering::SeqCst);
         if self.worker_count() > 1 {
-            *locked(&desk.counters) = counters.clone();
+            *lock(&slot.counters) = counters.clone();
         }
     }
 
-    /// Whether a thread has no more clients than any other: the next one is its to take.
-    pub fn has_fewest_clients(&self, core: WorkerId, clients: usize) -> bool {
-        self.mailboxes[core.0].clients.store(clients, Ordering::Relaxed);
-        self.others(core).all(|other| clients <= self.mailboxes[other.0].clients.load(Ordering::Relaxed))
+    /// Publishes a worker's number of clients alone.
+    pub(crate) fn publish_client_count(&self, worker: WorkerId, client_count: usize) {
+        self.slots[worker.0].client_count.store(client_count, Ordering::Relaxed);
     }
 
-    /// Whether the other threads take nobody any more and nobody is connected to them.
-    pub fn others_drained(&self, core: WorkerId) -> bool {
-        self.others(core).all(|other| self.mailboxes[other.0].drained.load(Ordering::SeqCst))
+    /// Whether a worker has no more clients than any other, as published: the next client is its own to accept.
+    pub(crate) fn has_fewest_clients(&self, worker: WorkerId) -> bool {
+        let own = self.client_count(worker);
+        self.others(worker).all(|other| own <= self.client_count(other))
     }
 
-    /// The other threads' counters.
-    pub fn others_counters(&self, core: WorkerId) -> Vec<Counters> {
-        self.others(core).map(|other| locked(&self.mailboxes[other.0].counters).clone()).collect()
+    fn client_count(&self, worker: WorkerId) -> usize {
+        self.slots[worker.0].client_count.load(Ordering::Relaxed)
     }
 
-    /// The first thread tells how far the process is.
-    pub fn set_stage(&self, reached: LifecycleStage) {
-        let before = std::mem::replace(&mut *locked(&self.stage), reached);
-        if reached == LifecycleStage::Stopped && before != reached {
-            self.mailboxes.iter().for_each(|desk| desk.ping.ping());
-        }
+    /// Whether all other workers have stopped accepting and have no client left.
+    pub(crate) fn others_drained(&self, worker: WorkerId) -> bool {
+        self.others(worker).all(|other| self.slots[other.0].drained.load(Ordering::SeqCst))
     }
 
-    /// How far the process is.
-    pub fn stage(&self) -> LifecycleStage {
-        *locked(&self.stage)
+    /// The counters that the other workers have published.
+    pub(crate) fn others_counters(&self, worker: WorkerId) -> Vec<Counters> {
+        self.others(worker).map(|other| lock(&self.slots[other.0].counters).clone()).collect()
     }
-}
 
-/// Whose connection it is.
-pub fn owner_of(client: ConnId) -> WorkerId {
-    WorkerId((client.0 >> ConnId::WORKER_SHIFT) as usize)
-}
+    /// Publishes the lifecycle stage. The first worker alone sets it; all are woken when it becomes
+    /// [`LifecycleStage::Stopped`].
+    pub(crate) fn set_stage(&self, stage: LifecycleStage) {
+        let before = std::mem::replace(&mut *lock(&self.stage), stage);
+        if stage == LifecycleStage::Stopped && before != stage {
+            for slot in &self.slots {
+                slot.ping.ping();
+            }
+        }
+    }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use garnetcrank_policy::api::EndpointUpdate;
-
-    fn shared(cores: usize) -> WorkerShared {
-        let value = serde_json::from_str(include_str!("../tests/settings.json")).expect("JSON");
-        let settings = garnetcrank_settings::Settings::read(&value).expect("settings");
-        WorkerShared::new(Dispatcher::new(7, &settings, cores), cores).expect("what wakes threads").0
-    }
-
-    #[test]
-    fn what_was_decided_before_news_or_long_ago_is_not_sent() {
-        let shared = shared(3);
-        let stamp = DecisionStamp { updates: 0, decided_at: 1_000 * MS };
-        assert!(shared.may_send(stamp, 1_000 * MS + LATE));
-        assert!(!shared.may_send(stamp, 1_001 * MS + LATE), "its thread did not run");
-        shared.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
-        assert!(!shared.may_send(stamp, 1_000 * MS), "it was decided without the news");
-        let unheard = DecisionStamp { updates: 0, decided_at: 1_000 * MS };
-        assert!(!shared.may_send(unheard, 1_000 * MS), "news that waits is not known yet");
-        shared.dispatcher().step(1_000 * MS, &mut Vec::new());
-        assert!(shared.may_send(DecisionStamp { updates: 1, decided_at: 1_000 * MS }, 1_000 * MS));
-    }
-
-    #[test]
-    fn one_thread_alone_sends_whatever_it_decided() {
-        let shared = shared(1);
-        shared.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
-        assert!(shared.may_send(DecisionStamp { updates: 0, decided_at: 0 }, 9_000 * MS));
-    }
-
-    #[test]
-    fn the_thread_with_the_fewest_clients_takes_the_next() {
-        let shared = shared(3);
-        shared.publish(WorkerId(0), 2, true, &Counters::default());
-        shared.publish(WorkerId(1), 1, true, &Counters::default());
-        shared.publish(WorkerId(2), 1, false, &Counters::default());
-        assert!(
-            !shared.has_fewest_clients(WorkerId(0), 2)
-                && shared.has_fewest_clients(WorkerId(1), 1)
-                && shared.has_fewest_clients(WorkerId(2), 1)
-        );
-        assert!(!shared.others_drained(WorkerId(0)) && shared.others_drained(WorkerId(2)));
-    }
-
-    #[test]
-    fn letters_come_in_order_and_once() {
-        let shared = shared(2);
-        let letter = |n| WorkerMessage::Command(Command::CloseIdle(garnetcrank_policy::api::EndpointId(n)));
-        shared.post(WorkerId(1), [letter(1), letter(2)]);
-        shared.post(WorkerId(1), [letter(3)]);
-        let numbers: Vec<u32> = (shared.take_messages(WorkerId(1)).into_iter())
-            .filter_map(|letter| match letter {
-                WorkerMessage::Command(Command::CloseIdle(machine)) => Some(machine.0),
-                _ => None,
-            })
-            .collect();
-        assert_eq!(numbers, [1, 2, 3]);
-        assert!(shared.take_messages(WorkerId(1)).is_empty() && shared.take_messages(WorkerId(0)).is_empty());
+    /// The lifecycle stage of the process.
+    pub(crate) fn stage(&self) -> LifecycleStage {
+        *lock(&self.stage)
     }
 }
