--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,4 +1,7 @@
-//! The front's one clock and its one timer queue.
+//! The clock of the process, and the queue of timers that a worker has on it.
+
+#[cfg(test)]
+mod tests;
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -6,85 +9,69 @@
 use garnetcrank_policy::api::Micros;
 
 /// One millisecond.
-pub const MS: Micros = 1_000;
+pub(crate) const MS: Micros = 1_000;
 /// One second.
-pub const SECOND: Micros = 1_000 * MS;
+pub(crate) const SECOND: Micros = 1_000 * MS;
 
-/// Unix time at the start plus monotonic time passed since: it never goes back, and machine starts, told in
-/// Unix time, lie on it.
+/// Unix time at the start plus the monotonic time that has passed since, in microseconds. It never goes back, and the
+/// start times of endpoints, which are given in Unix time, can be compared with it.
 #[derive(Debug, Clone)]
-pub struct Clock {
+pub(crate) struct Clock {
     started: Instant,
-    unix: Micros,
+    started_unix: Micros,
 }
 
 impl Clock {
     /// A clock that starts now.
-    pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix: whole(unix) }
+    pub(crate) fn start() -> Self {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started: Instant::now(), started_unix: to_micros(since_epoch) }
     }
 
     /// The present moment.
-    pub fn now(&self) -> Micros {
-        self.unix + whole(self.started.elapsed())
+    pub(crate) fn now(&self) -> Micros {
+        self.started_unix + to_micros(self.started.elapsed())
     }
 }
 
-fn whole(span: Duration) -> Micros {
-    Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX / 2)
+fn to_micros(duration: Duration) -> Micros {
+    // Half of the range leaves room for adding timeouts to a moment.
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX / 2)
 }
 
-/// What is due at its time, in order of time and then of setting. Entries are not taken back: what they are
-/// for says whether they still matter.
+/// Timers in order of their time, then of when they were set. A timer can't be cancelled: whoever receives it decides
+/// whether it still matters.
 #[derive(Debug)]
-pub struct Timers<T> {
-    set: u64,
+pub(crate) struct Timers<T> {
+    set_count: u64,
     queue: BTreeMap<(Micros, u64), T>,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { set: 0, queue: BTreeMap::new() }
+        Timers { set_count: 0, queue: BTreeMap::new() }
     }
 }
 
 impl<T> Timers<T> {
-    /// Adds one.
-    pub fn set(&mut self, at: Micros, what: T) {
-        self.set += 1;
-        self.queue.insert((at, self.set), what);
+    /// Sets a timer that gives back `task` from the moment `at` on.
+    pub(crate) fn set(&mut self, at: Micros, task: T) {
+        self.set_count += 1;
+        self.queue.insert((at, self.set_count), task);
     }
 
-    /// Takes the first one due.
-    pub fn due(&mut self, now: Micros) -> Option<T> {
-        let first = self.queue.first_entry().filter(|e| e.key().0 <= now)?;
+    /// Takes the first timer, if its time has come.
+    pub(crate) fn pop_due(&mut self, now: Micros) -> Option<T> {
+        let first = self.queue.first_entry()?;
+        let (at, _) = *first.key();
+        if at > now {
+            return None;
+        }
         Some(first.remove())
     }
 
-    /// When the first one is due.
-    pub fn due_at(&self) -> Option<Micros> {
+    /// When the first timer is due.
+    pub(crate) fn next_due(&self) -> Option<Micros> {
         self.queue.first_key_value().map(|((at, _), _)| *at)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn timers_come_in_order_and_never_early() {
-        let mut timers = Timers::default();
-        for (at, what) in [(30, 'c'), (10, 'a'), (30, 'd'), (20, 'b')] {
-            timers.set(at, what);
-        }
-        assert_eq!(timers.due(9), None);
-        assert_eq!(timers.due_at(), Some(10));
-        let mut order = String::new();
-        while let Some(what) = timers.due(30) {
-            order.push(what);
-        }
-        assert_eq!(order, "abcd");
-        assert_eq!(timers.due_at(), None);
-    }
-}
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -21,7 +21,7 @@
 use crate::readiness::ConnId;
 use crate::worker_id::WorkerId;
 
-pub(crate) use command::Command;
+pub(crate) use command::{Command, ForwardAttempt};
 pub(crate) use in_flight::InFlightRequest;
 
 use in_flight::InFlightTable;
@@ -262,7 +262,7 @@
             return None;
         }
         let stamp = DecisionStamp { updates: self.updates_handled, decided_at: now };
-        Some(Command::Forward { id, attempt, endpoint, deadline, stamp })
+        Some(Command::Forward(ForwardAttempt { id, attempt, endpoint, deadline, stamp }))
     }
 
     /// The policy has ended a request: the client that still waits for its answer, if any.
--- a/crates/proxy/src/dispatcher/command.rs
+++ b/crates/proxy/src/dispatcher/command.rs
@@ -6,22 +6,26 @@
 
 use crate::readiness::ConnId;
 
+/// An attempt that the policy has decided on.
+#[derive(Debug)]
+pub(crate) struct ForwardAttempt {
+    /// The request.
+    pub(crate) id: RequestId,
+    /// Number of the attempt, counted from 0.
+    pub(crate) attempt: usize,
+    /// The endpoint to send it to.
+    pub(crate) endpoint: EndpointId,
+    /// When to stop waiting for its response.
+    pub(crate) deadline: Micros,
+    /// What the decision was based on; checked again just before sending.
+    pub(crate) stamp: DecisionStamp,
+}
+
 /// One thing to be done on a worker's sockets or timers.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Start an attempt for a request in flight.
-    Forward {
-        /// The request.
-        id: RequestId,
-        /// Number of the attempt, counted from 0.
-        attempt: usize,
-        /// The endpoint to send it to.
-        endpoint: EndpointId,
-        /// When to stop waiting for its response.
-        deadline: Micros,
-        /// What the decision was based on; checked again just before sending.
-        stamp: DecisionStamp,
-    },
+    Forward(ForwardAttempt),
     /// Cancel an attempt.
     Cancel {
         /// The request.
--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -68,7 +68,7 @@
     }
     // The module's count of open attempts is right: it sends the next one at once.
     arrive(&mut dispatcher, "/look");
-    assert!(matches!(drain(&mut dispatcher)[..], [Command::Forward { attempt: 0, .. }]));
+    assert!(matches!(drain(&mut dispatcher)[..], [Command::Forward(ForwardAttempt { attempt: 0, .. })]));
 }
 
 #[test]
@@ -123,7 +123,7 @@
     // One that comes now has that time and no longer, and is sent nowhere for longer.
     arrive(&mut dispatcher, "/look");
     assert_eq!(dispatcher.next_deadline(WorkerId::FIRST), Some(NOW + 300 * MS + EXPIRATION_GRACE));
-    let in_time = |c: &Command| matches!(c, Command::Forward { deadline, .. } if *deadline <= NOW + 300 * MS);
+    let in_time = |c: &Command| matches!(c, Command::Forward(forward) if forward.deadline <= NOW + 300 * MS);
     let forwarded = drain(&mut dispatcher);
     assert!(forwarded.iter().all(in_time) && forwarded.len() == 1, "{forwarded:?}");
     dispatcher.answer_by(NOW + 200 * MS);
@@ -151,7 +151,10 @@
         let commands = drain(&mut dispatcher);
         match retried {
             true => {
-                assert!(matches!(commands[..], [Command::Forward { attempt: 1, .. }]), "{commands:?}")
+                assert!(
+                    matches!(commands[..], [Command::Forward(ForwardAttempt { attempt: 1, .. })]),
+                    "{commands:?}"
+                )
             }
             false => assert!(matches!(commands[..], [Command::Fail { .. }]), "{commands:?}"),
         }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,152 +1,127 @@
-//! The phases of the process, from start to exit.
+//! The lifecycle of the process, from start to exit.
+
+#[cfg(test)]
+mod tests;
 
 use garnetcrank_policy::api::Micros;
 use tracing::info;
 
 use crate::clock::{MS, SECOND};
 
-/// How long the first news of the list is waited for before clients are taken on what is known.
-const START_WAIT: Micros = 500 * MS;
-/// How long clients may still arrive after the word to stop: those who send them need to notice.
-const ARRIVALS: Micros = 550 * MS;
-/// How long before that connections between requests are closed: whoever wrote on one at that moment comes again on a new
-/// connection, which must find somebody.
-const COME_AGAIN: Micros = 100 * MS;
-/// Longest time to finish what is held, beyond the last arrivals. Requests are answered by then, only streams that have
-/// begun can take longer.
-const FINISH: Micros = 10 * SECOND;
-/// The process may be killed so long after the longest deadline, which counts as this at the most.
-const KILLED: Micros = 700 * MS;
-const DEADLINE_MOST: Micros = 3 * SECOND;
-/// Answers are written so long before that: they travel, and the process may be made to wait.
-const BEFORE_KILLED: Micros = 100 * MS;
+/// Longest wait for the first endpoint list before clients are served on the list of the configuration.
+const MAX_START_WAIT: Micros = 500 * MS;
+/// How long clients may still connect after the stop signal: whoever sends them here needs time to notice.
+const ACCEPT_WHILE_DRAINING: Micros = 550 * MS;
+/// How long before the end of that idle connections are closed: a client that wrote on one at that moment connects
+/// again, and must find somebody listening.
+const RECONNECT_WINDOW: Micros = 100 * MS;
+/// Longest time to finish requests in flight after the last client was accepted. Requests are answered by then; only
+/// streams that have started can take longer.
+const MAX_DRAIN: Micros = 10 * SECOND;
+/// The platform may kill the process this long after the stop signal and the longest deadline of a request ...
+const KILL_GRACE: Micros = 700 * MS;
+/// ... of which it counts no more than this.
+const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
+/// Answers are written this long before the process may be killed: they need time to travel, and the process may be
+/// kept waiting for CPU.
+const KILL_MARGIN: Micros = 100 * MS;
 
-/// Where the process stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Phase {
+enum State {
     Starting { since: Micros },
     Serving,
-    Draining { since: Micros, listening: bool },
+    Draining { since: Micros, accepting: bool },
     Stopped,
 }
 
-/// How far the process is: each of these holds for all that follow, too.
+/// How far the process is. What holds at one stage holds at all later ones, too.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LifecycleStage {
-    /// No list yet.
+pub(crate) enum LifecycleStage {
+    /// No endpoint list has been received yet.
     Starting,
-    /// It may be sent clients.
+    /// Clients may be sent here.
     Serving,
-    /// Every answer is the last of its connection.
+    /// Every answer closes its connection.
     Draining,
-    /// Connections between requests are closed: nobody new is sent here any more.
+    /// Idle connections are closed: no new client is sent here any more.
     ClosingIdle,
-    /// The last arrivals are in: the backlog is emptied and nobody listens.
+    /// The last clients have been accepted and nothing listens.
     NotAccepting,
-    /// It may exit.
+    /// The process may exit.
     Stopped,
 }
 
-/// The life of the process.
+/// The state machine of the process. It does no I/O and reads no clock.
 #[derive(Debug)]
-pub struct Lifecycle {
-    phase: Phase,
-    /// After the word to stop, all answers are given within this.
-    answers_within: Micros,
+pub(crate) struct Lifecycle {
+    state: State,
+    /// After the stop signal, all answers are given within this time.
+    answer_within: Micros,
 }
 
 impl Lifecycle {
-    /// A process that starts now, with this longest deadline of a request.
-    pub fn start(now: Micros, longest: Micros) -> Self {
-        let answers_within = longest.min(DEADLINE_MOST) + KILLED - BEFORE_KILLED;
-        Lifecycle { phase: Phase::Starting { since: now }, answers_within }
+    /// A process that starts now. `longest_deadline` is the longest time that any request class allows.
+    pub(crate) fn start(now: Micros, longest_deadline: Micros) -> Self {
+        let answer_within = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE - KILL_MARGIN;
+        Lifecycle { state: State::Starting { since: now }, answer_within }
     }
 
-    /// How far it is.
-    pub fn stage(&self, now: Micros) -> LifecycleStage {
-        match self.phase {
-            Phase::Starting { .. } => LifecycleStage::Starting,
-            Phase::Serving => LifecycleStage::Serving,
-            Phase::Draining { listening: false, .. } => LifecycleStage::NotAccepting,
-            Phase::Draining { since, .. } if now >= since + ARRIVALS - COME_AGAIN => {
+    /// The stage at this moment.
+    pub(crate) fn stage(&self, now: Micros) -> LifecycleStage {
+        match self.state {
+            State::Starting { .. } => LifecycleStage::Starting,
+            State::Serving => LifecycleStage::Serving,
+            State::Draining { accepting: false, .. } => LifecycleStage::NotAccepting,
+            State::Draining { since, .. } if now >= since + ACCEPT_WHILE_DRAINING - RECONNECT_WINDOW => {
                 LifecycleStage::ClosingIdle
             }
-            Phase::Draining { .. } => LifecycleStage::Draining,
-            Phase::Stopped => LifecycleStage::Stopped,
+            State::Draining { .. } => LifecycleStage::Draining,
+            State::Stopped => LifecycleStage::Stopped,
         }
     }
 
-    /// The word to stop: by when every answer must be given, whatever is held or comes. None if it has come before.
-    pub fn stop(&mut self, now: Micros) -> Option<Micros> {
-        if matches!(self.phase, Phase::Draining { .. } | Phase::Stopped) {
+    /// Begins a graceful shutdown. Returns the moment by which every answer must be given; None if the shutdown had
+    /// begun before.
+    pub(crate) fn stop(&mut self, now: Micros) -> Option<Micros> {
+        if matches!(self.state, State::Draining { .. } | State::Stopped) {
             return None;
         }
-        info!("draining: finishing what is held");
-        self.phase = Phase::Draining { since: now, listening: true };
-        Some(now + self.answers_within)
+        info!("draining: finishing requests in flight");
+        self.state = State::Draining { since: now, accepting: true };
+        Some(now + self.answer_within)
     }
 
-    /// Goes on to the next phase where that is due. `heard`: discovery has told its list; `done`: nothing is
-    /// owed to anyone.
-    pub fn on_tick(&mut self, now: Micros, heard: bool, done: bool) {
-        match self.phase {
-            Phase::Starting { since } if heard || now >= since + START_WAIT => {
-                info!("serving{}", if heard { "" } else { " on the list of the configuration" });
-                self.phase = Phase::Serving;
+    /// Moves on to the next state where that is due. `list_received`: discovery has sent an endpoint list; `drained`:
+    /// no worker accepts or has a client.
+    pub(crate) fn on_tick(&mut self, now: Micros, list_received: bool, drained: bool) {
+        match self.state {
+            State::Starting { since } if list_received || now >= since + MAX_START_WAIT => {
+                if list_received {
+                    info!("serving");
+                } else {
+                    info!("serving on the endpoint list of the configuration");
+                }
+                self.state = State::Serving;
             }
-            Phase::Draining { since, listening: true } if now >= since + ARRIVALS => {
-                self.phase = Phase::Draining { since, listening: false };
+            State::Draining { since, accepting: true } if now >= since + ACCEPT_WHILE_DRAINING => {
+                self.state = State::Draining { since, accepting: false };
             }
-            Phase::Draining { since, listening: false } if done || now >= since + ARRIVALS + FINISH => {
-                info!("stopped{}", if done { "" } else { " with requests unanswered" });
-                self.phase = Phase::Stopped;
+            State::Draining { since, accepting: false } => {
+                let out_of_time = now >= since + ACCEPT_WHILE_DRAINING + MAX_DRAIN;
+                if drained || out_of_time {
+                    log_stop(drained);
+                    self.state = State::Stopped;
+                }
             }
             _ => {}
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_life_from_start_to_exit() {
-        let mut life = Lifecycle::start(0, 900 * MS);
-        let at = |life: &mut Lifecycle, now, heard, done| {
-            life.on_tick(now, heard, done);
-            life.stage(now)
-        };
-        assert_eq!(life.stage(0), LifecycleStage::Starting);
-        assert_eq!(at(&mut life, MS, false, true), LifecycleStage::Starting, "the list may still come");
-        assert_eq!(at(&mut life, 2 * MS, true, true), LifecycleStage::Serving);
-        assert_eq!(life.stop(SECOND), Some(2_500 * MS));
-        assert_eq!(life.stop(2 * SECOND), None, "told once is enough");
-        assert_eq!(at(&mut life, SECOND + MS, true, true), LifecycleStage::Draining, "clients still arrive");
-        // Those whose connections are closed under their request come again while somebody listens.
-        let closes = SECOND + ARRIVALS - COME_AGAIN;
-        assert_eq!(at(&mut life, closes - 1, true, true), LifecycleStage::Draining);
-        assert_eq!(at(&mut life, closes, true, true), LifecycleStage::ClosingIdle);
-        assert_eq!(at(&mut life, SECOND + ARRIVALS - 1, true, true), LifecycleStage::ClosingIdle);
-        assert_eq!(at(&mut life, 2 * SECOND, true, false), LifecycleStage::NotAccepting);
-        assert_eq!(at(&mut life, 2 * SECOND, true, false), LifecycleStage::NotAccepting, "something is owed");
-        assert_eq!(at(&mut life, 3 * SECOND, true, true), LifecycleStage::Stopped);
-    }
-
-    #[test]
-    fn answers_are_given_before_the_process_may_be_killed() {
-        for (longest, killed) in
-            [(0, 700 * MS), (350 * MS, 1_050 * MS), (3 * SECOND, 3_700 * MS), (9 * SECOND, 3_700 * MS)]
-        {
-            let by = Lifecycle::start(0, longest).stop(0).expect("the first word to stop");
-            assert!(by < killed && by > ARRIVALS, "{by} us of {killed}");
-        }
-    }
-
-    #[test]
-    fn without_a_word_of_discovery_it_serves_on_what_it_knows() {
-        let mut life = Lifecycle::start(0, 900 * MS);
-        life.on_tick(START_WAIT, false, true);
-        assert_eq!(life.stage(START_WAIT), LifecycleStage::Serving);
+fn log_stop(drained: bool) {
+    if drained {
+        info!("stopped");
+    } else {
+        info!("stopped with requests unanswered");
     }
 }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,4 +1,7 @@
-//! Log lines on standard error, bounded in volume.
+//! Log lines on standard error, limited in rate.
+
+#[cfg(test)]
+mod tests;
 
 use std::sync::Mutex;
 use std::time::Instant;
@@ -12,28 +15,35 @@
 
 /// Lines a second that pass in the long run: what a person can still follow.
 const LINES_PER_SECOND: f64 = 20.0;
-/// Lines that pass at once, such as those of a start or of a stage with many machines.
+/// Lines that may pass at once, such as those of a start or of a rollout stage with many endpoints.
 const BURST_LINES: f64 = 200.0;
 
-/// Lets so many lines through; warnings of a kind nobody has listed must not fill a disk.
+/// A token bucket of log lines: warnings of a kind that nobody has foreseen must not fill a disk.
 struct RateLimit {
-    left: Mutex<(f64, Instant)>,
+    bucket: Mutex<TokenBucket>,
+}
+
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl RateLimit {
     fn new() -> Self {
-        RateLimit { left: Mutex::new((BURST_LINES, Instant::now())) }
+        RateLimit { bucket: Mutex::new(TokenBucket { tokens: BURST_LINES, refilled_at: Instant::now() }) }
     }
 
-    fn pass(&self) -> bool {
-        let Ok(mut left) = self.left.lock() else { return true };
+    /// Takes a token. False if there is none, and the line is dropped.
+    fn try_acquire(&self) -> bool {
+        let Ok(mut bucket) = self.bucket.lock() else { return true };
         let now = Instant::now();
-        let earned = now.duration_since(left.1).as_secs_f64() * LINES_PER_SECOND;
-        *left = ((left.0 + earned).min(BURST_LINES), now);
-        if left.0 < 1.0 {
+        let earned = now.duration_since(bucket.refilled_at).as_secs_f64() * LINES_PER_SECOND;
+        bucket.tokens = (bucket.tokens + earned).min(BURST_LINES);
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
             return false;
         }
-        left.0 -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 }
@@ -45,7 +55,7 @@
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
         // Errors are few and final: they always pass.
-        *event.metadata().level() == Level::ERROR || self.pass()
+        *event.metadata().level() == Level::ERROR || self.try_acquire()
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
@@ -53,8 +63,8 @@
     }
 }
 
-/// Starts logging for this process.
-pub fn start() {
+/// Starts logging for this process. May be called once.
+pub(crate) fn start() {
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
@@ -62,15 +72,3 @@
         .with_timer(uptime());
     Registry::default().with(lines.with_filter(RateLimit::new())).init();
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_flood_of_lines_is_cut() {
-        let bounded = RateLimit::new();
-        let passed = (0..100_000).filter(|_| bounded.pass()).count();
-        assert!(passed >= BURST_LINES as usize && passed < 10_000, "{passed} of 100000 lines passed");
-    }
-}
--- /dev/null
+++ b/crates/proxy/src/proxy/control_plane.rs
@@ -0,0 +1,208 @@
+//! The first worker's connections to discovery, the release controller and the agent, and the way of their updates to
+//! the policy and of the policy's votes to them.
+
+use calloop::Readiness;
+use garnetcrank_policy::api::{Build, Event, Micros, RolloutStatus, VoteResult};
+use garnetcrank_vote_router::{RouterAction, Vote, VoteOrigin};
+
+use super::Proxy;
+use crate::agent_client::AgentClient;
+use crate::discovery::{Discovery, DiscoveryUpdate};
+use crate::feature_settings::FeatureSettings;
+use crate::lifecycle::Lifecycle;
+use crate::process_settings::{ProcessSettings, StartupSettings};
+use crate::readiness::ConnId;
+use crate::release_controller::ReleaseController;
+use crate::workers::WorkerMessage;
+
+/// What the first worker alone has.
+pub(super) struct ControlPlane {
+    pub(super) discovery: Discovery,
+    pub(super) release_controller: ReleaseController,
+    /// The agent on this host, where the instances may talk to each other.
+    pub(super) agent: Option<AgentClient>,
+    pub(super) lifecycle: Lifecycle,
+    pub(super) startup_settings: StartupSettings,
+}
+
+/// The exposure cap of a build, as last received.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct ExposureCap {
+    build: Build,
+    cap: f64,
+}
+
+impl ControlPlane {
+    /// The control plane of a process that starts now. Nothing is connected before the first tick.
+    pub(super) fn new(process: &ProcessSettings, features: &FeatureSettings, now: Micros) -> Self {
+        let settings = &process.settings;
+        let rollout = &settings.config.rollout;
+        let longest_deadline = settings.config.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let agent = features
+            .agreement
+            .as_ref()
+            .map(|agreement| AgentClient::new(agreement, &process.name, rollout.vote_ttl, process.seed));
+        ControlPlane {
+            discovery: Discovery::new(process.discovery, settings, process.seed),
+            release_controller: ReleaseController::new(process.platform, rollout.vote_timeout, process.seed),
+            agent,
+            lifecycle: Lifecycle::start(now, longest_deadline),
+            startup_settings: StartupSettings::from_process(process),
+        }
+    }
+
+    /// Whether all of it is connected and only listens.
+    pub(super) fn is_idle(&self) -> bool {
+        let agent_is_idle = self.agent.as_ref().is_none_or(AgentClient::is_idle);
+        agent_is_idle && self.discovery.is_idle() && self.release_controller.is_idle()
+    }
+}
+
+impl Proxy {
+    /// Connects, reconnects and times out where that is due.
+    pub(super) fn tick_control_plane(&mut self, now: Micros) {
+        let Some(control_plane) = &mut self.control_plane else { return };
+        let endpoints = control_plane.discovery.on_tick(&self.handle, &mut self.conn_ids, now);
+        let rollout_events = control_plane.release_controller.on_tick(&self.handle, &mut self.conn_ids, now);
+        let router_actions = match &mut control_plane.agent {
+            Some(agent) => agent.on_tick(&self.handle, &mut self.conn_ids, now),
+            None => Vec::new(),
+        };
+        self.apply_discovery_update(endpoints);
+        self.apply_rollout_events(rollout_events);
+        self.perform_router_actions(router_actions, now);
+    }
+
+    pub(super) fn on_discovery_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
+        let Some(control_plane) = &mut self.control_plane else { return };
+        let update = control_plane.discovery.on_ready(id, readiness, now);
+        self.apply_discovery_update(update);
+    }
+
+    pub(super) fn on_release_controller_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
+        let Some(control_plane) = &mut self.control_plane else { return };
+        let events = control_plane.release_controller.on_ready(id, readiness, now);
+        self.apply_rollout_events(events);
+    }
+
+    pub(super) fn on_agent_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
+        let Some(control_plane) = &mut self.control_plane else { return };
+        let Some(agent) = &mut control_plane.agent else { return };
+        let actions = agent.on_ready(&self.handle, &mut self.conn_ids, id, readiness, now);
+        self.perform_router_actions(actions, now);
+    }
+
+    /// Starts or stops watching the endpoint list.
+    pub(super) fn watch_endpoints(&mut self, watch: bool, now: Micros) {
+        let Some(control_plane) = &mut self.control_plane else { return };
+        let update = control_plane.discovery.set_watching(watch, now);
+        self.apply_discovery_update(update);
+    }
+
+    /// Polls discovery for the complete endpoint list.
+    pub(super) fn poll_endpoints(&mut self, now: Micros) {
+        let Some(control_plane) = &mut self.control_plane else { return };
+        let update = control_plane.discovery.poll(&self.handle, &mut self.conn_ids, now);
+        self.apply_discovery_update(update);
+    }
+
+    /// Moves the endpoints' addresses on all workers, then tells the policy.
+    pub(super) fn apply_discovery_update(&mut self, update: DiscoveryUpdate) {
+        let now = self.clock.now();
+        for address in &update.addresses {
+            self.upstream.update_address(address, now, &mut self.upstream_events);
+        }
+        if !update.addresses.is_empty() {
+            for other in self.shared.others(self.worker) {
+                let messages = update.addresses.iter().cloned().map(WorkerMessage::EndpointChanged);
+                self.shared.post(other, messages);
+            }
+        }
+        for endpoints in update.endpoint_updates {
+            self.shared.deliver(Event::EndpointsUpdated(endpoints));
+        }
+    }
+
+    /// Tells the policy what the release controller has sent. Rollout states pass by the agent's client first, which
+    /// may lower their cap.
+    pub(super) fn apply_rollout_events(&mut self, events: Vec<Event>) {
+        for event in events {
+            if matches!(event, Event::VoteCompleted(VoteResult::Counted, _)) {
+                self.counters.votes_counted += 1;
+            }
+            let event = match event {
+                Event::RolloutUpdated(status) => Event::RolloutUpdated(self.on_rollout_status(status)),
+                Event::VoteCompleted(result, Some(status)) => {
+                    Event::VoteCompleted(result, Some(self.on_rollout_status(status)))
+                }
+                other => other,
+            };
+            self.shared.deliver(event);
+        }
+    }
+
+    /// The status as the policy is to know it; a cap that it lowers binds at once.
+    fn on_rollout_status(&mut self, received: RolloutStatus) -> RolloutStatus {
+        let agent = self.control_plane.as_mut().and_then(|control_plane| control_plane.agent.as_mut());
+        let status = match agent {
+            Some(agent) => agent.on_rollout_status(self.clock.now(), received),
+            None => received,
+        };
+        self.enforce_exposure_cap(&status);
+        status
+    }
+
+    /// A lower cap also binds attempts that were decided under the earlier one and are not on their way yet.
+    fn enforce_exposure_cap(&mut self, status: &RolloutStatus) {
+        let cap = ExposureCap { build: status.build, cap: status.exposure_cap };
+        let Some(before) = self.exposure_cap.replace(cap) else { return };
+        let is_lowered = before.build == cap.build && cap.cap < before.cap;
+        if !is_lowered {
+            return;
+        }
+        let now = self.clock.now();
+        self.upstream.recall_build(cap.build, now, &mut self.upstream_events);
+        for other in self.shared.others(self.worker) {
+            self.shared.post(other, [WorkerMessage::ExposureLowered(cap.build)]);
+        }
+    }
+
+    /// Sends the policy's vote through the agent, where there is one, else to the release controller.
+    pub(super) fn route_vote(&mut self, vote: Vote, now: Micros) {
+        let agent = self.control_plane.as_mut().and_then(|control_plane| control_plane.agent.as_mut());
+        match agent {
+            Some(agent) => {
+                let actions = agent.on_vote(&self.handle, &mut self.conn_ids, now, vote);
+                self.perform_router_actions(actions, now);
+            }
+            None => self.cast_vote(vote, VoteOrigin::Own, now),
+        }
+    }
+
+    /// Carries out what the agent's client leaves to the release controller and to the policy.
+    fn perform_router_actions(&mut self, actions: Vec<RouterAction>, now: Micros) {
+        for action in actions {
+            match action {
+                RouterAction::CastVote(vote, origin) => self.cast_vote(vote, origin, now),
+                RouterAction::VoteCompleted(result) => {
+                    self.shared.dispatcher().queue_event(Event::VoteCompleted(result, None));
+                }
+                RouterAction::RolloutUpdated(status) => {
+                    self.shared.deliver(Event::RolloutUpdated(status));
+                }
+                // The agent's client has sent it itself.
+                RouterAction::SendToAgent(_) => {}
+            }
+        }
+    }
+
+    fn cast_vote(&mut self, vote: Vote, origin: VoteOrigin, now: Micros) {
+        let Some(control_plane) = &mut self.control_plane else { return };
+        self.counters.votes += 1;
+        let release_controller = &mut control_plane.release_controller;
+        let event = release_controller.cast_vote(&self.handle, &mut self.conn_ids, now, vote, origin);
+        if let Some(event) = event {
+            self.shared.dispatcher().queue_event(event);
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/downstream_events.rs
@@ -0,0 +1,123 @@
+//! What clients did: requests, bad requests, disconnects.
+
+use std::borrow::Cow;
+
+use garnetcrank_http::{Bad, Request};
+use garnetcrank_policy::api::{Micros, RequestId};
+use tracing::warn;
+
+use super::Proxy;
+use crate::classify::classify;
+use crate::clock::SECOND;
+use crate::downstream::{BadRequest, DownstreamEvent};
+use crate::lifecycle::LifecycleStage;
+use crate::readiness::ConnId;
+
+/// At most one line in this time about bad requests, however many come.
+const BAD_REQUEST_LOG_INTERVAL: Micros = SECOND;
+/// Path of the proxy's own health check.
+const HEALTH_PATH: &str = "/healthz";
+
+impl Proxy {
+    pub(super) fn on_downstream_event(&mut self, event: DownstreamEvent, now: Micros) {
+        match event {
+            DownstreamEvent::Request(client, message) => self.on_request(client, message, now),
+            DownstreamEvent::Bad(bad) => self.on_bad_request(bad, now),
+            DownstreamEvent::Left(id) => self.on_client_disconnected(id, now),
+            DownstreamEvent::Drained(id) => {
+                let streaming = self.shared.dispatcher().get(id).and_then(|r| r.streaming_attempt);
+                if let Some(attempt) = streaming {
+                    self.upstream.pause(id, attempt, false, now, &mut self.upstream_events);
+                }
+            }
+        }
+    }
+
+    fn on_client_disconnected(&mut self, id: RequestId, now: Micros) {
+        self.counters.clients_disconnected += 1;
+        let streaming = self.shared.dispatcher().on_disconnect(id);
+        if let Some(attempt) = streaming {
+            self.upstream.abort(id, attempt, now, &mut self.upstream_events);
+        }
+    }
+
+    fn on_request(&mut self, client: ConnId, message: Request, now: Micros) {
+        if message.target == HEALTH_PATH {
+            self.answer_health_check(client, now);
+            return;
+        }
+        let classification = match classify(&self.settings, &message) {
+            Ok(classification) => classification,
+            Err((status, reason)) => {
+                self.downstream.answer_bad(client, status, reason, now, &mut self.downstream_events);
+                self.on_bad_request(BadRequest::Meaningless(reason), now);
+                return;
+            }
+        };
+        // Locked until the request is in: two workers must not both find its Request-Id free, nor the last place.
+        let mut dispatcher = self.shared.dispatcher();
+        if dispatcher.is_open(&message) {
+            drop(dispatcher);
+            let reason = "a request of this Request-Id is still open";
+            self.downstream.answer_bad(client, 409, reason, now, &mut self.downstream_events);
+            self.on_bad_request(BadRequest::NameTaken, now);
+            return;
+        }
+        let body_bytes = dispatcher.in_flight_bytes() + message.body.len();
+        let too_many = dispatcher.in_flight_count_of(self.worker) >= self.budgets.in_flight_requests;
+        if too_many || body_bytes > self.budgets.body_bytes {
+            drop(dispatcher);
+            self.counters.over_limit += 1;
+            self.answer_without_body(client, 503, now);
+            return;
+        }
+        self.counters.requests += 1;
+        let id = dispatcher.on_request(client, message, classification, now);
+        self.shared.drain_dispatcher(&mut dispatcher, now, &mut self.commands);
+        drop(dispatcher);
+        if !self.downstream.mark_in_flight(client, id) {
+            self.on_client_disconnected(id, now);
+        }
+    }
+
+    fn answer_health_check(&mut self, client: ConnId, now: Micros) {
+        let (status, body) = match self.lifecycle_stage(now) {
+            LifecycleStage::Serving => (200, "serving\n"),
+            _ => (503, "not serving\n"),
+        };
+        let events = &mut self.downstream_events;
+        self.downstream.answer(client, status, std::iter::empty(), body.as_bytes(), now, events);
+    }
+
+    fn on_bad_request(&mut self, bad: BadRequest, now: Micros) {
+        self.count_bad_request(bad);
+        if now < self.bad_request_logged_at + BAD_REQUEST_LOG_INTERVAL {
+            return;
+        }
+        self.bad_request_logged_at = now;
+        warn!(total = self.counters.bad_requests, "bad requests; the last one: {}", reason(bad));
+    }
+
+    fn count_bad_request(&mut self, bad: BadRequest) {
+        self.counters.bad_requests += 1;
+        match bad {
+            BadRequest::Unreadable(Bad::Truncated) => self.counters.bad_requests_truncated += 1,
+            BadRequest::Unreadable(Bad::BodyTooLarge | Bad::HeadTooLarge) => {
+                self.counters.bad_requests_too_large += 1;
+            }
+            BadRequest::Unreadable(_) => {}
+            BadRequest::Late => self.counters.bad_requests_timed_out += 1,
+            BadRequest::Meaningless(_) => self.counters.bad_requests_unclassified += 1,
+            BadRequest::NameTaken => self.counters.bad_requests_duplicate_id += 1,
+        }
+    }
+}
+
+fn reason(bad: BadRequest) -> Cow<'static, str> {
+    match bad {
+        BadRequest::Unreadable(bad) => bad.to_string().into(),
+        BadRequest::Late => "it was not complete in time".into(),
+        BadRequest::Meaningless(reason) => reason.into(),
+        BadRequest::NameTaken => "its Request-Id is that of another one still open".into(),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/reload.rs
@@ -0,0 +1,33 @@
+//! SIGHUP: reading the configuration again while the process runs.
+
+use garnetcrank_policy::api::Micros;
+use tracing::{info, warn};
+
+use super::Proxy;
+
+impl Proxy {
+    /// Reads the configuration again and moves discovery and the release controller to their new addresses. An invalid
+    /// configuration changes nothing; no request in flight is dropped.
+    pub(super) fn reload(&mut self, now: Micros) {
+        let Some(control_plane) = &mut self.control_plane else { return };
+        let new = match control_plane.startup_settings.reload(|name| std::env::var(name).ok()) {
+            Ok(new) => new,
+            Err(error) => {
+                self.counters.reloads_rejected += 1;
+                warn!("reload: {error}; all stays as it was");
+                return;
+            }
+        };
+        self.counters.reloads += 1;
+        info!("reload: discovery at {}, platform at {}", new.discovery, new.platform);
+        for key in &new.ignored_keys {
+            warn!("reload: {key}: a new value counts from the next start on");
+        }
+        let endpoints = control_plane.discovery.reconfigure(new.discovery, new.cached_members, now);
+        let rollout_events =
+            control_plane.release_controller.reconfigure(new.platform, new.rollout_state, now);
+        self.apply_discovery_update(endpoints);
+        self.apply_rollout_events(rollout_events);
+        self.tick_control_plane(now);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/startup.rs
@@ -0,0 +1,157 @@
+//! Construction of the workers: the first one, which listens and runs the control plane, and the further ones.
+
+use std::io;
+use std::net::TcpListener;
+use std::sync::Arc;
+
+use calloop::ping::PingSource;
+use garnetcrank_policy::api::{Event, Micros};
+use garnetcrank_settings::Settings;
+use tracing::info;
+
+use super::Proxy;
+use super::budgets::{Budgets, max_descriptors};
+use super::control_plane::ControlPlane;
+use super::sweep::SweepSchedule;
+use crate::clock::{Clock, Timers};
+use crate::counters::Counters;
+use crate::dispatcher::Dispatcher;
+use crate::downstream::Downstream;
+use crate::feature_settings::FeatureSettings;
+use crate::process_settings::ProcessSettings;
+use crate::readiness::{ConnIds, Handle};
+use crate::upstream::Upstream;
+use crate::worker_id::WorkerId;
+use crate::workers::WorkerShared;
+
+/// What a further worker starts with; it is sent to the worker's thread.
+pub(crate) struct WorkerSeed {
+    parts: WorkerParts,
+    listener: TcpListener,
+    wake_source: PingSource,
+}
+
+/// What each worker is made of, apart from its event loop and its listener.
+struct WorkerParts {
+    worker: WorkerId,
+    shared: Arc<WorkerShared>,
+    clock: Clock,
+    settings: Settings,
+    budgets: Budgets,
+}
+
+impl Proxy {
+    /// Opens the listening socket, tells the policy what the configuration knows, and returns the first worker with
+    /// the seeds of the further ones.
+    ///
+    /// # Errors
+    /// When the address can't be listened on, or the system gives no descriptors for the workers.
+    pub(crate) fn new(
+        handle: Handle,
+        process: ProcessSettings,
+        features: &FeatureSettings,
+    ) -> io::Result<(Self, Vec<WorkerSeed>)> {
+        let clock = Clock::start();
+        let now = clock.now();
+        let worker_count = features.worker_count();
+        let max_descriptors = max_descriptors(process.sockets);
+        let budgets = Budgets::per_worker(&process, features, max_descriptors);
+        let dispatcher = Dispatcher::new(process.seed, &process.settings, worker_count);
+        let (shared, wake_sources) = WorkerShared::new(dispatcher, worker_count)?;
+        let shared = Arc::new(shared);
+        let downstream = Downstream::listen(&handle, process.listen)?;
+        let parts = |worker: WorkerId| WorkerParts {
+            worker,
+            shared: Arc::clone(&shared),
+            clock: clock.clone(),
+            settings: process.settings.clone(),
+            budgets,
+        };
+        let mut seeds = Vec::new();
+        for (number, wake_source) in wake_sources.into_iter().enumerate() {
+            let worker = WorkerId(number);
+            if worker == WorkerId::FIRST {
+                register_wake_source(&handle, wake_source)?;
+            } else {
+                seeds.push(WorkerSeed {
+                    parts: parts(worker),
+                    listener: downstream.listener()?,
+                    wake_source,
+                });
+            }
+        }
+        let mut proxy = Proxy::from_parts(parts(WorkerId::FIRST), handle, downstream);
+        log_start(&process, &budgets, max_descriptors, worker_count);
+        proxy.start_control_plane(process, features, now);
+        proxy.schedule_sweep(now);
+        Ok((proxy, seeds))
+    }
+
+    /// A further worker, made in its own thread.
+    ///
+    /// # Errors
+    /// When the listening socket or the wake-up source can't be registered with the event loop.
+    pub(crate) fn start_worker(handle: Handle, seed: WorkerSeed) -> io::Result<Self> {
+        register_wake_source(&handle, seed.wake_source)?;
+        let downstream = Downstream::with_listener(&handle, seed.listener)?;
+        let now = seed.parts.clock.now();
+        let mut proxy = Proxy::from_parts(seed.parts, handle, downstream);
+        proxy.schedule_sweep(now);
+        Ok(proxy)
+    }
+
+    fn from_parts(parts: WorkerParts, handle: Handle, downstream: Downstream) -> Self {
+        let WorkerParts { worker, shared, clock, settings, budgets } = parts;
+        Proxy {
+            worker,
+            shared,
+            control_plane: None,
+            handle,
+            conn_ids: ConnIds::for_worker(worker),
+            clock,
+            timers: Timers::default(),
+            sweeps: SweepSchedule::default(),
+            downstream,
+            upstream: Upstream::new(settings.transport.clone()),
+            counters: Counters::default(),
+            settings,
+            budgets,
+            commands: Vec::new(),
+            downstream_events: Vec::new(),
+            upstream_events: Vec::new(),
+            bad_request_logged_at: 0,
+            exposure_cap: None,
+        }
+    }
+
+    /// Tells the policy the endpoint list and the rollout state of the configuration.
+    fn start_control_plane(&mut self, process: ProcessSettings, features: &FeatureSettings, now: Micros) {
+        let control_plane = self.control_plane.insert(ControlPlane::new(&process, features, now));
+        let endpoints = control_plane.discovery.load_cached(process.cached_members);
+        let rollout = control_plane.release_controller.on_rollout_state(process.rollout_state, now);
+        self.apply_discovery_update(endpoints);
+        self.apply_rollout_events(rollout.map(Event::RolloutUpdated).into_iter().collect());
+    }
+}
+
+/// Has another worker's wake-up end the sleep of this event loop; the messages themselves are read in the turn.
+fn register_wake_source(handle: &Handle, wake_source: PingSource) -> io::Result<()> {
+    match handle.insert_source(wake_source, |(), _, _| {}) {
+        Ok(_) => Ok(()),
+        Err(e) => Err(io::Error::other(e.to_string())),
+    }
+}
+
+fn log_start(process: &ProcessSettings, budgets: &Budgets, max_descriptors: usize, worker_count: usize) {
+    info!(
+        instance = %process.name,
+        listen = %process.listen,
+        max_descriptors,
+        max_clients = budgets.clients * worker_count,
+        max_requests = budgets.in_flight_requests * worker_count,
+        "starting"
+    );
+    if worker_count > 1 {
+        info!(descriptors_per_thread = budgets.descriptors, "running on {worker_count} threads");
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/statistics.rs
@@ -0,0 +1,62 @@
+//! Peaks and counters of a worker, and their line in the log.
+
+use garnetcrank_policy::api::Micros;
+use tracing::{info, warn};
+
+use super::Proxy;
+use crate::clock::MS;
+use crate::counters::ResourceUsage;
+
+/// A turn that took this long is logged, since everyone waited for it: the host is short of CPU, or something here is
+/// slow.
+const LONG_TURN: Micros = 20 * MS;
+
+impl Proxy {
+    /// Records the peaks of a turn that began at `started`, and publishes this worker's state for the others.
+    pub(super) fn record_turn(&mut self, started: Micros) {
+        let duration = self.clock.now() - started;
+        if duration >= LONG_TURN {
+            warn!(duration_ms = duration / MS, "long turn of the event loop");
+        }
+        let client_count = self.downstream.len();
+        let upstream_connections = self.upstream.len() as u64;
+        let counters = &mut self.counters;
+        counters.longest_turn_us = counters.longest_turn_us.max(duration);
+        counters.peak_clients = counters.peak_clients.max(client_count as u64);
+        counters.peak_upstream_connections = counters.peak_upstream_connections.max(upstream_connections);
+        let in_flight = self.shared.dispatcher().in_flight_count() as u64;
+        counters.peak_in_flight = counters.peak_in_flight.max(in_flight);
+        if self.shared.worker_count() > 1 {
+            let drained = self.downstream.is_drained();
+            self.shared.publish(self.worker, client_count, drained, &self.counters);
+        }
+    }
+
+    /// Logs the counters of all workers in one line.
+    pub(crate) fn print_counters(&mut self) {
+        self.collect_connection_counters();
+        let mut total = self.counters.clone();
+        for other in self.shared.others_counters(self.worker) {
+            total.add(&other);
+        }
+        let ResourceUsage { peak_memory_kib, cpu_ms } = ResourceUsage::read();
+        // One line of `key=value` in the order that operators and their tools know.
+        info!("{total} peak_memory_kib={peak_memory_kib} cpu_ms={cpu_ms}");
+    }
+
+    /// Takes over what the parts of this worker count themselves.
+    fn collect_connection_counters(&mut self) {
+        let counters = &mut self.counters;
+        counters.upstream_connections = self.upstream.opened;
+        counters.upstream_reused = self.upstream.reused;
+        counters.idle_clients_closed = self.downstream.idle_closed;
+        let Some(control_plane) = &self.control_plane else { return };
+        counters.discovery_reconnects = control_plane.discovery.reconnects;
+        counters.release_controller_reconnects = control_plane.release_controller.reconnects;
+        counters.stale_rollout_updates = control_plane.release_controller.stale;
+        if let Some(agent) = &control_plane.agent {
+            counters.verdicts_forwarded = agent.passed_on;
+            counters.agent_reconnects = agent.reconnects;
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/upstream_events.rs
@@ -0,0 +1,69 @@
+//! What happened on connections to endpoints: responses, their parts, and health checks.
+
+use garnetcrank_http::Headers;
+use garnetcrank_policy::api::{AttemptResult, Event, Micros, RequestId};
+
+use super::Proxy;
+use crate::upstream::UpstreamEvent;
+
+impl Proxy {
+    /// Takes in all events that wait.
+    pub(super) fn process_upstream_events(&mut self, now: Micros) {
+        for event in std::mem::take(&mut self.upstream_events) {
+            self.on_upstream_event(event, now);
+        }
+    }
+
+    fn on_upstream_event(&mut self, event: UpstreamEvent, now: Micros) {
+        match event {
+            UpstreamEvent::Begun { id, attempt, headers } => {
+                self.on_response_started(id, attempt, headers, now);
+            }
+            UpstreamEvent::Part { id, bytes } => self.forward_body_part(id, &bytes, now),
+            UpstreamEvent::Ended { id, attempt, outcome, lag, load, answer } => {
+                self.counters.record_outcome(outcome);
+                let result = AttemptResult {
+                    id,
+                    attempt,
+                    outcome,
+                    latency: lag,
+                    request_finished: false,
+                    load_report: load,
+                };
+                let mut dispatcher = self.shared.dispatcher();
+                dispatcher.on_attempt_completed(result, answer, &mut self.commands);
+                self.shared.drain_dispatcher(&mut dispatcher, now, &mut self.commands);
+            }
+            UpstreamEvent::Probed { machine, outcome, lag, load } => {
+                self.shared.dispatcher().queue_event(Event::HealthCheckCompleted {
+                    endpoint: machine,
+                    outcome,
+                    latency: lag,
+                    load_report: load,
+                });
+            }
+        }
+    }
+
+    fn on_response_started(&mut self, id: RequestId, attempt: usize, headers: Headers, now: Micros) {
+        let wanted = self.shared.dispatcher().on_response_started(id, attempt, headers, &mut self.commands);
+        if !wanted {
+            self.upstream.abort(id, attempt, now, &mut self.upstream_events);
+        }
+        // The head must leave before the first part of the body.
+        for command in std::mem::take(&mut self.commands) {
+            self.dispatch_command(command, now);
+        }
+    }
+
+    /// Forwards a part of a streamed body, and pauses the stream where the client falls behind.
+    fn forward_body_part(&mut self, id: RequestId, bytes: &[u8], now: Micros) {
+        let stream = self.shared.dispatcher().get(id).map(|r| (r.client, r.streaming_attempt));
+        let Some((client, Some(attempt))) = stream else { return };
+        let client_is_behind =
+            self.downstream.send_body_part(client, bytes, now, &mut self.downstream_events);
+        if client_is_behind {
+            self.upstream.pause(id, attempt, true, now, &mut self.upstream_events);
+        }
+    }
+}
