--- a/crates/proxy/src/proxy/budgets.rs
+++ b/crates/proxy/src/proxy/budgets.rs
@@ -57,8 +57,8 @@
         let in_flight_requests = configured_requests.min(affordable_requests);
         Budgets {
             descriptors,
-            // Half of what requests in flight may need at endpoints is kept free of clients; for the other half, clients
-            // without a request are evicted.
+            // Half of what requests in flight may need at endpoints is kept free of clients; for the other half,
+            // clients without a request are evicted.
             clients: descriptors - in_flight_requests / 2,
             in_flight_requests,
             body_bytes: usize::try_from(process.memory_mb * MIB / BODY_MEMORY_DIVISOR).unwrap_or(usize::MAX),
--- a/crates/proxy/src/proxy/control_plane.rs
+++ b/crates/proxy/src/proxy/control_plane.rs
@@ -17,11 +17,15 @@
 
 /// What the first worker alone has.
 pub(super) struct ControlPlane {
+    /// Watches and polls the endpoint list.
     pub(super) discovery: Discovery,
+    /// Watches the newest build's rollout, and takes votes on it.
     pub(super) release_controller: ReleaseController,
     /// The agent on this host, where the instances may talk to each other.
     pub(super) agent: Option<AgentClient>,
+    /// The lifecycle of the process.
     pub(super) lifecycle: Lifecycle,
+    /// What a reload can't change.
     pub(super) startup_settings: StartupSettings,
 }
 
@@ -73,18 +77,21 @@
         self.perform_router_actions(router_actions, now);
     }
 
+    /// Takes in what has come on a connection to discovery.
     pub(super) fn on_discovery_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let update = control_plane.discovery.on_ready(id, readiness, now);
         self.apply_discovery_update(update);
     }
 
+    /// Takes in what has come on a connection to the release controller.
     pub(super) fn on_release_controller_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let events = control_plane.release_controller.on_ready(id, readiness, now);
         self.apply_rollout_events(events);
     }
 
+    /// Takes in what has come on a connection to the agent.
     pub(super) fn on_agent_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let Some(agent) = &mut control_plane.agent else { return };
--- a/crates/proxy/src/proxy/downstream_events.rs
+++ b/crates/proxy/src/proxy/downstream_events.rs
@@ -7,7 +7,7 @@
 use tracing::warn;
 
 use super::Proxy;
-use crate::classify::classify;
+use crate::classify::{Classification, classify};
 use crate::clock::SECOND;
 use crate::downstream::{BadRequest, DownstreamEvent};
 use crate::lifecycle::LifecycleStage;
@@ -18,7 +18,18 @@
 /// Path of the proxy's own health check.
 const HEALTH_PATH: &str = "/healthz";
 
+/// Whether a request may be handed to the policy.
+enum Admission {
+    /// It has been, under this number.
+    Accepted(RequestId),
+    /// Another open request has the same `Request-Id`.
+    DuplicateRequestId,
+    /// Too many requests are in flight, or there is no memory for its body.
+    OverLimit,
+}
+
 impl Proxy {
+    /// Takes in what a client did.
     pub(super) fn on_downstream_event(&mut self, event: DownstreamEvent, now: Micros) {
         match event {
             DownstreamEvent::Request(client, message) => self.on_request(client, message, now),
@@ -54,30 +65,46 @@
                 return;
             }
         };
+        match self.admit(client, message, classification, now) {
+            Admission::Accepted(id) => {
+                if !self.downstream.mark_in_flight(client, id) {
+                    self.on_client_disconnected(id, now);
+                }
+            }
+            Admission::DuplicateRequestId => {
+                let reason = "a request of this Request-Id is still open";
+                self.downstream.answer_bad(client, 409, reason, now, &mut self.downstream_events);
+                self.on_bad_request(BadRequest::NameTaken, now);
+            }
+            Admission::OverLimit => {
+                self.counters.over_limit += 1;
+                self.answer_without_body(client, 503, now);
+            }
+        }
+    }
+
+    /// Hands a request to the dispatcher, if its `Request-Id` is free and the budgets allow it.
+    fn admit(
+        &mut self,
+        client: ConnId,
+        message: Request,
+        classification: Classification,
+        now: Micros,
+    ) -> Admission {
         // Locked until the request is in: two workers must not both find its Request-Id free, nor the last place.
         let mut dispatcher = self.shared.dispatcher();
         if dispatcher.is_open(&message) {
-            drop(dispatcher);
-            let reason = "a request of this Request-Id is still open";
-            self.downstream.answer_bad(client, 409, reason, now, &mut self.downstream_events);
-            self.on_bad_request(BadRequest::NameTaken, now);
-            return;
+            return Admission::DuplicateRequestId;
         }
         let body_bytes = dispatcher.in_flight_bytes() + message.body.len();
         let too_many = dispatcher.in_flight_count_of(self.worker) >= self.budgets.in_flight_requests;
         if too_many || body_bytes > self.budgets.body_bytes {
-            drop(dispatcher);
-            self.counters.over_limit += 1;
-            self.answer_without_body(client, 503, now);
-            return;
+            return Admission::OverLimit;
         }
         self.counters.requests += 1;
         let id = dispatcher.on_request(client, message, classification, now);
         self.shared.drain_dispatcher(&mut dispatcher, now, &mut self.commands);
-        drop(dispatcher);
-        if !self.downstream.mark_in_flight(client, id) {
-            self.on_client_disconnected(id, now);
-        }
+        Admission::Accepted(id)
     }
 
     fn answer_health_check(&mut self, client: ConnId, now: Micros) {
@@ -95,7 +122,7 @@
             return;
         }
         self.bad_request_logged_at = now;
-        warn!(total = self.counters.bad_requests, "bad requests; the last one: {}", reason(bad));
+        warn!(total = self.counters.bad_requests, last = %reason(bad), "bad requests");
     }
 
     fn count_bad_request(&mut self, bad: BadRequest) {
--- a/crates/proxy/src/proxy/startup.rs
+++ b/crates/proxy/src/proxy/startup.rs
@@ -72,13 +72,9 @@
             let worker = WorkerId(number);
             if worker == WorkerId::FIRST {
                 register_wake_source(&handle, wake_source)?;
-            } else {
-                seeds.push(WorkerSeed {
-                    parts: parts(worker),
-                    listener: downstream.listener()?,
-                    wake_source,
-                });
+                continue;
             }
+            seeds.push(WorkerSeed { parts: parts(worker), listener: downstream.listener()?, wake_source });
         }
         let mut proxy = Proxy::from_parts(parts(WorkerId::FIRST), handle, downstream);
         log_start(&process, &budgets, max_descriptors, worker_count);
--- a/crates/proxy/src/runtime.rs
+++ b/crates/proxy/src/runtime.rs
@@ -56,8 +56,8 @@
 /// Runs the workers until the process has been told to stop and has answered its clients.
 ///
 /// # Errors
-/// When something that the workers need can't be had at the start, or the first event loop breaks. A further worker that
-/// fails ends the process.
+/// When something that the workers need can't be had at the start, or the first event loop breaks. A further worker
+/// that fails ends the process.
 pub(crate) fn run(
     process: ProcessSettings,
     features: &FeatureSettings,
