--- a/crates/proxy/benches/brain.rs
+++ b/crates/proxy/benches/brain.rs
@@ -1,4 +1,4 @@
-//! A prototype to choose by: what several threads get through one `Brain` under a lock, and through a `Brain` each.
+//! A prototype to choose by: what several threads get through one policy under a lock, and through a policy each.
 //! Socket work is stood in for by spinning, so that nothing but the sharing is measured.
 //!
 //! `cargo bench --locked -p garnetcrank-proxy --bench brain -- [--socket-us U] [--seconds S]` prints a table.
@@ -8,155 +8,187 @@
 use std::time::{Duration, Instant};
 
 use garnetcrank_policy::Policy;
-use garnetcrank_policy::api::*;
+use garnetcrank_policy::api::{
+    Action, AttemptResult, Build, ClassId, EndpointId, EndpointRecord, EndpointUpdate, Event, Micros,
+    Outcome, Request, RequestId, RolloutPhase, RolloutStatus, TenantId,
+};
 use garnetcrank_settings::Settings;
 
+/// The moment at which a run starts, in microseconds: later than the age of the build.
+const START: Micros = 2_000_000_000;
+/// Time that each request is given, in microseconds.
+const REQUEST_TIMEOUT: Micros = 9_000_000;
+
 fn value(name: &str, default: f64) -> f64 {
     let mut args = std::env::args().skip_while(|arg| arg != name).skip(1);
     args.next().map_or(default, |text| text.parse().unwrap_or_else(|e| panic!("{name}: {e}")))
 }
 
-fn brain() -> Policy {
+fn policy() -> Policy {
     let value = serde_json::from_str(include_str!("../tests/settings.json")).expect("JSON");
     let settings = Settings::read(&value).expect("settings");
-    let mut brain = Policy::new(7, settings.config);
-    let entry = |n| EndpointRecord {
-        endpoint: EndpointId(n),
+    let mut policy = Policy::new(7, settings.config);
+    let record = |number| EndpointRecord {
+        endpoint: EndpointId(number),
         build: Build(4),
         rating: 1.0,
         ..EndpointRecord::default()
     };
     let mut actions = Vec::new();
-    let fleet = EndpointUpdate::Snapshot { endpoints: (0..8).map(entry).collect(), cached: false };
-    brain.handle(0, Event::EndpointsUpdated(fleet), &mut actions);
-    let stage = RolloutStatus {
+    let endpoints = EndpointUpdate::Snapshot { endpoints: (0..8).map(record).collect(), cached: false };
+    policy.handle(0, Event::EndpointsUpdated(endpoints), &mut actions);
+    let rollout = RolloutStatus {
         build: Build(4),
         stage: 1,
         phase: RolloutPhase::Released,
         exposure_cap: 1.0,
         age: 1_000_000_000,
     };
-    brain.handle(0, Event::RolloutUpdated(stage), &mut actions);
-    brain
+    policy.handle(0, Event::RolloutUpdated(rollout), &mut actions);
+    policy
 }
 
-fn spin(span: Duration) {
-    let begun = Instant::now();
-    while begun.elapsed() < span {
+fn spin(duration: Duration) {
+    let started = Instant::now();
+    while started.elapsed() < duration {
         std::hint::spin_loop();
     }
 }
 
 /// What the threads share.
 struct Shared {
-    brain: Mutex<Policy>,
+    policy: Mutex<Policy>,
     /// Nanoseconds for which the lock was held.
-    held: AtomicU64,
+    locked_ns: AtomicU64,
+}
+
+impl Shared {
+    fn new() -> Self {
+        Shared { policy: Mutex::new(policy()), locked_ns: AtomicU64::new(0) }
+    }
+
+    /// Does something under the lock, and counts how long that takes.
+    fn with_policy(&self, work: impl FnOnce(&mut Policy)) {
+        let mut policy = self.policy.lock().unwrap_or_else(PoisonError::into_inner);
+        let locked_at = Instant::now();
+        work(&mut policy);
+        self.locked_ns.fetch_add(locked_at.elapsed().as_nanos() as u64, Ordering::Relaxed);
+    }
+}
+
+fn request(id: RequestId, arrived: Micros) -> Event {
+    Event::Request(Request {
+        id,
+        class: ClassId(0),
+        tenant: Some(TenantId(0)),
+        key: None,
+        deadline: arrived + REQUEST_TIMEOUT,
+        work_hint: None,
+        is_retry: false,
+    })
+}
+
+fn success(id: RequestId) -> Event {
+    Event::AttemptCompleted(AttemptResult {
+        id,
+        attempt: 0,
+        outcome: Outcome::Success,
+        latency: 400,
+        request_finished: true,
+        load_report: Vec::new(),
+    })
 }
 
-/// Requests through the lock of `shared`, `batch` in each hold, until told to stop; how many were placed and answered.
+fn forwarded(action: Action) -> Option<RequestId> {
+    match action {
+        Action::Forward { id, .. } => Some(id),
+        _ => None,
+    }
+}
+
+/// Sends requests through the lock of `shared`, `batch` each time that it is taken, until `stop` is set. Returns how many
+/// were forwarded and answered.
 fn worker(
     shared: &Shared,
     number: u32,
     batch: u32,
     socket: Duration,
-    begun: Instant,
+    started: Instant,
     stop: &AtomicBool,
 ) -> u64 {
-    let (mut actions, mut answered, mut next) = (Vec::new(), 0, 0u32);
-    let now = || 2_000_000_000 + begun.elapsed().as_micros() as u64;
-    let deadline = |now: Micros| now + 9_000_000;
+    let mut actions = Vec::new();
+    let mut answered = 0;
+    let mut next = 0u32;
+    let now = || START + started.elapsed().as_micros() as u64;
     while !stop.load(Ordering::Relaxed) {
         let ids: Vec<RequestId> = (0..batch).map(|n| RequestId((next + n) << 3 | number)).collect();
         next = (next + batch) % (1 << 28);
         spin(socket / 2 * batch);
-        let mut locked = shared.brain.lock().unwrap_or_else(PoisonError::into_inner);
-        let taken = Instant::now();
-        let arrived = now();
-        for id in &ids {
-            let request = Request {
-                id: *id,
-                class: ClassId(0),
-                tenant: Some(TenantId(0)),
-                key: None,
-                deadline: deadline(arrived),
-                work_hint: None,
-                is_retry: false,
-            };
-            locked.handle(arrived, Event::Request(request), &mut actions);
-        }
-        shared.held.fetch_add(taken.elapsed().as_nanos() as u64, Ordering::Relaxed);
-        drop(locked);
-        let placed: Vec<RequestId> = (actions.drain(..))
-            .filter_map(|action| match action {
-                Action::Forward { id, .. } => Some(id),
-                _ => None,
-            })
-            .collect();
+        shared.with_policy(|policy| {
+            let arrived = now();
+            for id in &ids {
+                policy.handle(arrived, request(*id, arrived), &mut actions);
+            }
+        });
+        let sent: Vec<RequestId> = actions.drain(..).filter_map(forwarded).collect();
         spin(socket / 2 * batch);
-        let mut locked = shared.brain.lock().unwrap_or_else(PoisonError::into_inner);
-        let taken = Instant::now();
-        for id in placed {
-            let outcome = Outcome::Success;
-            let done = AttemptResult {
-                id,
-                attempt: 0,
-                outcome,
-                latency: 400,
-                request_finished: true,
-                load_report: Vec::new(),
-            };
-            locked.handle(now(), Event::AttemptCompleted(done), &mut actions);
-            answered += 1;
-        }
-        if number == 0 {
-            locked.handle(now(), Event::Timer(0), &mut actions);
-        }
-        shared.held.fetch_add(taken.elapsed().as_nanos() as u64, Ordering::Relaxed);
-        drop(locked);
+        shared.with_policy(|policy| {
+            for id in sent {
+                policy.handle(now(), success(id), &mut actions);
+                answered += 1;
+            }
+            if number == 0 {
+                policy.handle(now(), Event::Timer(0), &mut actions);
+            }
+        });
         actions.clear();
     }
     answered
 }
 
-/// Requests a second, and the share of the time for which a lock was held.
-fn run(threads: u32, one: bool, batch: u32, socket: Duration, long: Duration) -> (f64, f64) {
-    let make = || Arc::new(Shared { brain: Mutex::new(brain()), held: AtomicU64::new(0) });
-    let common = make();
-    let (stop, begun) = (Arc::new(AtomicBool::new(false)), Instant::now());
+/// Requests a second, and the share of the time for which the common lock was held.
+fn run(threads: u32, share_policy: bool, batch: u32, socket: Duration, run_time: Duration) -> (f64, f64) {
+    let common = Arc::new(Shared::new());
+    let stop = Arc::new(AtomicBool::new(false));
+    let started = Instant::now();
     let start = |number: u32| {
-        let (shared, stop) = (if one { common.clone() } else { make() }, stop.clone());
-        // With a Brain each, every thread is the one that ticks.
-        std::thread::spawn(move || worker(&shared, if one { number } else { 0 }, batch, socket, begun, &stop))
+        let shared = if share_policy { Arc::clone(&common) } else { Arc::new(Shared::new()) };
+        // With a policy each, every thread is the one that ticks.
+        let number = if share_policy { number } else { 0 };
+        let stop = Arc::clone(&stop);
+        std::thread::spawn(move || worker(&shared, number, batch, socket, started, &stop))
     };
     let threads: Vec<_> = (0..threads).map(start).collect();
-    std::thread::sleep(long);
+    std::thread::sleep(run_time);
     stop.store(true, Ordering::Relaxed);
-    let answered: u64 = threads.into_iter().map(|t| t.join().expect("a worker")).sum();
-    let seconds = begun.elapsed().as_secs_f64();
-    (answered as f64 / seconds, common.held.load(Ordering::Relaxed) as f64 / 1e9 / seconds)
+    let answered: u64 = threads.into_iter().map(|thread| thread.join().expect("a worker")).sum();
+    let seconds = started.elapsed().as_secs_f64();
+    let locked_seconds = common.locked_ns.load(Ordering::Relaxed) as f64 / 1e9;
+    (answered as f64 / seconds, locked_seconds / seconds)
 }
 
 fn main() {
     let socket = Duration::from_nanos((value("--socket-us", 15.0) * 1e3) as u64);
-    let long = Duration::from_secs_f64(value("--seconds", 1.0));
+    let run_time = Duration::from_secs_f64(value("--seconds", 1.0));
     println!(
         "| threads | requests in a hold | one Brain, a second | times one thread | lock held | a Brain each, a second | times |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for batch in [1, 8] {
-        let (mut first, mut first_each) = (0.0, 0.0);
+        let mut one_thread_shared = 0.0;
+        let mut one_thread_each = 0.0;
         for threads in [1, 2, 4, 6] {
-            let (one, held) = run(threads, true, batch, socket, long);
-            let (each, _) = run(threads, false, batch, socket, long);
+            let (shared, locked) = run(threads, true, batch, socket, run_time);
+            let (each, _) = run(threads, false, batch, socket, run_time);
             if threads == 1 {
-                (first, first_each) = (one, each);
+                one_thread_shared = shared;
+                one_thread_each = each;
             }
             println!(
-                "| {threads} | {batch} | {one:.0} | {:.2} | {:.0}% | {each:.0} | {:.2} |",
-                one / first,
-                held * 100.0,
-                each / first_each
+                "| {threads} | {batch} | {shared:.0} | {:.2} | {:.0}% | {each:.0} | {:.2} |",
+                shared / one_thread_shared,
+                locked * 100.0,
+                each / one_thread_each
             );
         }
     }
