--- a/crates/agent/src/api.rs
+++ b/crates/agent/src/api.rs
@@ -1,4 +1,6 @@
-//! What is said on the local port, as JSON.
+//! Request and response bodies of the local HTTP port, as JSON. Names in the JSON are fixed: proxies and scripts of
+//! other versions rely on them, so fields and variants that have a better name in the code keep the old one on the
+//! wire.
 
 use garnetcrank_consensus::build_verdicts::BuildVerdict;
 use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Subject};
@@ -7,217 +9,253 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest wait that a caller may ask for, in milliseconds.
-pub const WITHIN_MOST: u64 = 60_000;
+pub const MAX_TIMEOUT_MS: u64 = 60_000;
 /// Wait of a caller that names none, in milliseconds.
-pub const WITHIN: u64 = 5_000;
-/// Subjects on one page.
-pub const PAGE: usize = 500;
+pub const DEFAULT_TIMEOUT_MS: u64 = 5_000;
+/// Most subjects on one page.
+pub const SUBJECTS_PER_PAGE: usize = 500;
+/// Most digits of an instance's id in hexadecimal: 64 bits.
+const MAX_INSTANCE_ID_DIGITS: usize = 16;
 
 /// A member, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Its number, in hex.
+    /// Its id in hexadecimal, see [`format_instance_id`].
     pub id: String,
-    /// Its name.
+    /// Its name, unique in the cluster.
     pub name: String,
-    /// Where its peers reach it.
+    /// Where its peers connect to it.
     pub address: String,
-    /// `voter`, `learner`, or `none` for one that waits to be added.
-    pub part: String,
+    /// `voter`, `learner`, or `none` for an instance that waits to be added.
+    #[serde(rename = "part")]
+    pub role: String,
     /// Whether the leader has heard from it lately; absent where that is not known.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub living: Option<bool>,
-    /// The last index it is known to hold; absent where that is not known.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub matched: Option<u64>,
+    #[serde(rename = "living", skip_serializing_if = "Option::is_none")]
+    pub recently_active: Option<bool>,
+    /// The last index that it is known to have stored; absent where that is not known.
+    #[serde(rename = "matched", skip_serializing_if = "Option::is_none")]
+    pub matched_index: Option<u64>,
 }
 
-/// The answer to `GET /v1/status`.
+/// The response to `GET /v1/status`.
 #[derive(Debug, Clone, Serialize)]
 pub struct StatusView {
-    /// The cluster.
+    /// The cluster's name.
     pub cluster: String,
     /// This instance.
     pub me: MemberView,
-    /// Program version.
+    /// Version of this program.
     pub version: String,
-    /// Times that the store was opened, this time counted.
+    /// How often the store has been opened by its owner, this time included.
     pub starts: u64,
-    /// Milliseconds since the start.
-    pub up_ms: u64,
-    /// The node's own figures.
+    /// Milliseconds since this process started.
+    #[serde(rename = "up_ms")]
+    pub uptime_ms: u64,
+    /// Figures of the Raft node.
     pub node: NodeStatus,
     /// The leader's name, where known.
     pub leader: Option<String>,
     /// The members as known here.
     pub members: Vec<MemberView>,
-    /// Subjects, sessions and roles held.
-    pub subjects: usize,
-    /// Sessions held.
-    pub sessions: usize,
-    /// Bytes of the store's file.
+    /// Number of subjects held.
+    #[serde(rename = "subjects")]
+    pub subject_count: usize,
+    /// Number of sessions held.
+    #[serde(rename = "sessions")]
+    pub session_count: usize,
+    /// Length of the store's file, in bytes.
     pub store_bytes: u64,
 }
 
-/// A grant, for operators.
+/// A lease on a role, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GrantView {
+pub struct LeaseView {
     /// The role.
     pub role: String,
-    /// The holder's name, its number in hex if it has none here; absent after it left.
+    /// The holder's name, or its id in hexadecimal if it has no name here; absent after the lease was released.
     pub holder: Option<String>,
-    /// The epoch.
+    /// The lease's epoch.
     pub epoch: Epoch,
-    /// Index of the holder's last sign of life.
-    pub renewed: Index,
+    /// Index of the holder's last renewal.
+    #[serde(rename = "renewed")]
+    pub renewed_at: Index,
 }
 
-/// One subject.
+/// One subject and its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubjectView {
-    /// Which.
+    /// The subject.
     pub subject: Subject,
-    /// How it stands.
-    pub standing: SubjectState,
+    /// What has been decided about it.
+    #[serde(rename = "standing")]
+    pub state: SubjectState,
 }
 
-/// A page of the ledger.
+/// A page of subjects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Page {
-    /// The last index applied when it was read.
+pub struct SubjectPage {
+    /// The last index that had been applied when the page was read.
     pub applied: Index,
-    /// Subjects in order.
+    /// Subjects in order, [`SUBJECTS_PER_PAGE`] at most.
     pub subjects: Vec<SubjectView>,
-    /// Ask on after this one; absent on the last page.
+    /// Pass this as `after` to get the next page; absent on the last page.
     pub next: Option<Subject>,
 }
 
-/// The body of `POST /v1/propose`.
+/// The body of `POST /v1/propose`: exactly one of `command` and `proposal`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Propose {
-    /// A command; the agent sends it in its own session, once.
+pub struct ProposeRequest {
+    /// A command that the agent proposes once, in a session of its own.
     #[serde(default)]
     pub command: Option<Command>,
     /// A proposal in the caller's own session, which may be sent again to any agent.
     #[serde(default)]
     pub proposal: Option<Proposal>,
-    /// How long to wait, in milliseconds.
-    #[serde(default)]
-    pub within_ms: Option<u64>,
+    /// How long to wait, in milliseconds: [`DEFAULT_TIMEOUT_MS`] if absent, [`MAX_TIMEOUT_MS`] at most.
+    #[serde(rename = "within_ms", default)]
+    pub timeout_ms: Option<u64>,
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum Proposed {
+pub enum ProposeResponse {
     /// It was applied.
     Applied {
-        /// With this reply.
+        /// The reply of the replicated state.
         reply: Reply,
     },
-    /// It decides nothing: it never left this agent.
+    /// It was never proposed: it decides nothing.
     NotProposed,
-    /// No answer in time; it may yet be decided. Send the same proposal again to learn.
-    MayYet,
-    /// Too much waits here; nothing was done.
+    /// No answer in time; it may yet be decided. Send the same proposal again to learn the outcome.
+    #[serde(rename = "may_yet")]
+    Indeterminate,
+    /// Too many requests are pending here; nothing was done.
     Busy,
     /// The store is nearly full; nothing was done.
     StoreFull,
-    /// It makes no sense as it stands.
-    Refused {
+    /// It is not valid.
+    #[serde(rename = "refused")]
+    Rejected {
         /// Why.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
 /// The body of `POST /v1/members`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum MemberChange {
-    /// An instance joins.
+pub enum MembershipRequest {
+    /// Adds an instance.
     Add {
-        /// Its number, in hex.
+        /// Its id in hexadecimal.
         id: String,
         /// Its name.
         name: String,
-        /// Where its peers reach it.
+        /// Where its peers connect to it, as `IP:PORT`.
         address: String,
     },
-    /// An instance leaves, by name or number in hex.
+    /// Removes an instance, by its name or its id in hexadecimal.
     Remove(String),
 }
 
-/// What came of an operator's request that only the leader carries out.
+/// The outcome of an operator's request that only the leader carries out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum Operated {
-    /// Done, or, for a transfer, begun.
+pub enum OperationResponse {
+    /// Done, or, for a transfer of leadership, begun.
     Done,
     /// Another instance leads.
     NotLeader {
-        /// Its name and local port are for the caller to know; this is its name, if known.
+        /// The leader's name, if known. The caller has to know its local port.
         leader: Option<String>,
     },
     /// No answer in time; it may yet be done.
-    MayYet,
-    /// No, and why.
-    Refused {
+    #[serde(rename = "may_yet")]
+    Indeterminate,
+    /// It is not valid.
+    #[serde(rename = "refused")]
+    Rejected {
         /// Why.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
-/// The body of `POST /v1/verdicts`: what a front's own decisions say.
+/// The body of `POST /v1/verdicts`: a proxy's own verdict on a build.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Verdict {
-    /// The front's name.
-    pub front: String,
-    /// What it says.
-    pub opinion: BuildVerdict,
+pub struct VerdictReport {
+    /// The proxy's name.
+    #[serde(rename = "front")]
+    pub proxy: String,
+    /// Its verdict.
+    #[serde(rename = "opinion")]
+    pub verdict: BuildVerdict,
+}
+
+/// The response to `POST /v1/verdicts`.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct VerdictReceipt {
+    /// Whether the verdict was accepted and is shared with the other instances.
+    #[serde(rename = "heard")]
+    pub accepted: bool,
 }
 
 /// One line of `GET /v1/watch`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct WatchEvent {
     /// Builds that are condemned.
-    pub condemned: Vec<u64>,
-    /// What this front should have standing at the platform for all; absent if another casts.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cast: Option<Cast>,
-    /// Whether verdicts that are sent here reach the others: a quorum was heard from lately.
-    pub together: bool,
+    #[serde(rename = "condemned")]
+    pub condemned_builds: Vec<u64>,
+    /// The vote that this proxy casts at the platform for all; absent if another proxy casts it.
+    #[serde(rename = "cast", default, skip_serializing_if = "Option::is_none")]
+    pub vote: Option<VoteAssignment>,
+    /// Whether verdicts that are sent here reach the other instances: a leader is known and this instance votes.
+    #[serde(rename = "together")]
+    pub quorum_available: bool,
 }
 
-/// A vote to cast for all.
+/// A vote to cast at the platform for all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cast {
-    /// Under which epoch of the role `votes`.
+pub struct VoteAssignment {
+    /// The epoch of the lease on the role `votes` under which it is cast.
     pub epoch: Epoch,
-    /// The vote; none while nobody says anything.
-    pub opinion: Option<BuildVerdict>,
+    /// The vote; none while no instance has a verdict.
+    #[serde(rename = "opinion")]
+    pub verdict: Option<BuildVerdict>,
 }
 
-/// An error, as a body.
+/// The body of every error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct ErrorBody {
     /// What is wrong and what to do.
     pub error: String,
 }
 
-/// A number as it is shown to operators.
-pub fn hex(id: InstanceId) -> String {
+/// A text that is not an instance's id.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error(
+    "\"{text}\" is not an instance id: 1 to {MAX_INSTANCE_ID_DIGITS} hex digits, not all zero, are required"
+)]
+pub struct ParseInstanceIdError {
+    text: String,
+}
+
+/// An instance's id as operators see it: 16 hexadecimal digits.
+pub fn format_instance_id(id: InstanceId) -> String {
     format!("{:016x}", id.0)
 }
 
-/// The number that an operator gave.
+/// Parses an instance's id as operators give it.
 ///
 /// # Errors
-/// It is none.
-pub fn from_hex(text: &str) -> Result<InstanceId, String> {
+/// The text is not 1 to 16 hexadecimal digits, or the id is zero, which stands for no instance.
+pub fn parse_instance_id(text: &str) -> Result<InstanceId, ParseInstanceIdError> {
     match u64::from_str_radix(text, 16) {
-        Ok(id) if id != 0 && text.len() <= 16 => Ok(InstanceId(id)),
-        _ => Err(format!("\"{text}\" is no instance's number: up to 16 hex digits are wanted")),
+        Ok(id) if id != 0 && text.len() <= MAX_INSTANCE_ID_DIGITS => Ok(InstanceId(id)),
+        _ => Err(ParseInstanceIdError { text: text.to_owned() }),
     }
 }
--- /dev/null
+++ b/crates/agent/src/config/tests.rs
@@ -0,0 +1,22 @@
+//! The minimal file and the errors of faulty ones.
+
+use super::Config;
+
+const MINIMAL: &str =
+    r#"{"name":"n1","cluster":"c","store":"/tmp/n1","peers":"127.0.0.1:7001","local":"127.0.0.1:7101"}"#;
+
+#[test]
+fn a_minimal_file_gets_defaults_and_an_error_names_its_key() {
+    let config = Config::parse(MINIMAL).unwrap();
+    assert_eq!((config.tick_ms, config.announced().port()), (20, 7001));
+    let error_with =
+        |from: &str, to: &str| Config::parse(&MINIMAL.replace(from, to)).unwrap_err().to_string();
+    assert!(error_with("\"local\"", "\"locale\"").contains("locale"));
+    assert!(error_with("127.0.0.1:7101", "here").contains("local: "));
+    assert!(error_with("127.0.0.1:7101", "127.0.0.1:7001").contains("local must differ from peers"));
+    assert!(error_with("\"n1\"", "\"n 1\"").contains("name must be "));
+    assert!(error_with("}", ",\"life_ms\":10}").contains("life_ms must be "));
+    assert!(error_with("}", ",\"election_ticks\":5}").contains("election_ticks must be "));
+    assert!(error_with("}", ",\"log\":{\"format\":\"xml\"}}").contains("log.format: "));
+    assert!(error_with("}", "").contains("EOF"));
+}
--- /dev/null
+++ b/crates/agent/src/http_api/watch_stream.rs
@@ -0,0 +1,75 @@
+//! `GET /v1/watch`: a line of JSON for each change, for as long as a proxy stays connected.
+
+use std::convert::Infallible;
+use std::sync::mpsc::{SyncSender, TrySendError};
+use std::time::Duration;
+
+use axum::body::{Body, Bytes};
+use axum::extract::{Query, State};
+use axum::http::header;
+use axum::response::{IntoResponse, Response};
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+use super::error::ApiError;
+use super::{HttpApi, QueryOptions};
+use crate::engine_input::{EngineInput, PublishedState};
+
+/// Longest time between two lines, so that a proxy notices a paused agent by its silence.
+pub const WATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest name of a proxy, in bytes.
+pub(super) const MAX_PROXY_NAME_BYTES: usize = 64;
+
+/// Tells the engine that a proxy's watch has ended, however its connection ends.
+struct WatchGuard {
+    proxy: String,
+    engine: SyncSender<EngineInput>,
+}
+
+impl Drop for WatchGuard {
+    fn drop(&mut self) {
+        let input = EngineInput::ProxyDisconnected(std::mem::take(&mut self.proxy));
+        // A full queue must not lose it: a proxy that is gone would be assigned the vote for ever.
+        if let Err(TrySendError::Full(input)) = self.engine.try_send(input) {
+            let engine = self.engine.clone();
+            std::thread::spawn(move || engine.send(input));
+        }
+    }
+}
+
+/// One proxy's watch.
+struct Watch {
+    published: watch::Receiver<PublishedState>,
+    guard: WatchGuard,
+}
+
+impl Watch {
+    /// Waits for a change, or for the interval to pass, and gives the line to send.
+    async fn next_line(&mut self) -> Bytes {
+        // Neither a timeout nor the engine's end is an error here: the proxy gets what was published last.
+        let _ = timeout(WATCH_INTERVAL, self.published.changed()).await;
+        let event = self.published.borrow_and_update().event_for(&self.guard.proxy);
+        let mut line = serde_json::to_vec(&event).unwrap_or_default();
+        line.push(b'\n');
+        Bytes::from(line)
+    }
+}
+
+pub(super) async fn watch(
+    State(api): State<HttpApi>,
+    Query(options): Query<QueryOptions>,
+) -> Result<Response, ApiError> {
+    let proxy = options.front.filter(|name| is_proxy_name(name)).ok_or(ApiError::ProxyName)?;
+    api.send(EngineInput::ProxyConnected(proxy.clone()))?;
+    let guard = WatchGuard { proxy, engine: api.engine };
+    let watch = Watch { published: api.published, guard };
+    let lines = futures_util::stream::unfold(watch, |mut watch| async move {
+        let line = watch.next_line().await;
+        Some((Ok::<_, Infallible>(line), watch))
+    });
+    Ok(([(header::CONTENT_TYPE, "application/x-ndjson")], Body::from_stream(lines)).into_response())
+}
+
+fn is_proxy_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_PROXY_NAME_BYTES
+}
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,16 +1,28 @@
-//! The agent: one process an instance. It takes part in the agreement with its peers over TCP and serves fronts and
-//! operators on a local port.
+//! The agent: one process per instance. It takes part in consensus with its peers over TCP and serves proxies and
+//! operators of its own machine over HTTP.
 //!
-//! - [`config`]: its configuration, read and checked in one place;
-//! - [`wire`]: frames between peers; [`peers`]: connections to them;
-//! - [`core`]: the thread that owns the node, the clerk and the trust; [`writer`]: the thread that owns the store;
-//! - [`local`]: the local port; [`api`]: what is said there.
+//! - [`config`]: the configuration file, read and checked in one place;
+//! - [`peer_protocol`]: frames between agents; [`peer_transport`]: the connections that carry them;
+//! - [`engine_input`]: what the engine receives and publishes; all that talks to the engine depends on this module,
+//!   not on the engine;
+//! - [`engine`]: the thread that owns the Raft node and everything derived from it;
+//! - [`storage_writer`]: the thread that owns the store;
+//! - [`http_api`]: the local HTTP port; [`api`]: its request and response bodies;
+//! - [`counters`]: figures shared by all threads.
+
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::missing_errors_doc
+)]
 
 pub mod api;
 pub mod config;
-pub mod core;
 pub mod counters;
-pub mod local;
-pub mod peers;
-pub mod wire;
-pub mod writer;
+pub mod engine;
+pub mod engine_input;
+pub mod http_api;
+pub mod peer_protocol;
+pub mod peer_transport;
+pub mod storage_writer;
--- /dev/null
+++ b/crates/agent/src/peer_transport/connection.rs
@@ -0,0 +1,144 @@
+//! Sending on one connection: short messages first, long ones in chunks between them, heartbeats when there is
+//! nothing else.
+
+use std::time::Duration;
+
+use garnetcrank_consensus::chunking::{self, Chunk};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::net::tcp::ReadHalf;
+use tokio::time::Interval;
+
+use super::outbound::PeerQueue;
+use super::{IDLE_TIMEOUT, with_timeout};
+use crate::peer_protocol::{self, Frame, PeerProtocolError};
+
+/// Time between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Why sending ended.
+pub(super) enum ConnectionEnd {
+    /// Nobody can send to this peer any more.
+    SenderDropped,
+    /// The connection failed.
+    Failed(PeerProtocolError),
+}
+
+impl From<PeerProtocolError> for ConnectionEnd {
+    fn from(error: PeerProtocolError) -> Self {
+        Self::Failed(error)
+    }
+}
+
+/// What is to be done next on a connection.
+enum SendStep {
+    ShortMessage(Vec<u8>),
+    NextChunk,
+    LongMessage(Vec<u8>),
+    Heartbeat,
+}
+
+/// The chunks of the long message that is being sent.
+struct ChunkedMessage {
+    chunks: std::vec::IntoIter<Chunk>,
+    /// Number of the last transfer; begins at random, so that chunks of an earlier connection don't match.
+    transfer: u64,
+}
+
+impl ChunkedMessage {
+    fn new() -> Self {
+        Self { chunks: Vec::new().into_iter(), transfer: fastrand::u64(..) }
+    }
+
+    fn begin(&mut self, message: &[u8]) {
+        self.transfer = self.transfer.wrapping_add(1);
+        let chunks: Vec<Chunk> = chunking::split(self.transfer, message).collect();
+        self.chunks = chunks.into_iter();
+    }
+
+    fn is_done(&self) -> bool {
+        self.chunks.len() == 0
+    }
+
+    async fn send_next(&mut self, to: &mut (impl AsyncWriteExt + Unpin)) -> Result<(), PeerProtocolError> {
+        match self.chunks.next() {
+            Some(chunk) => send_frame(to, &Frame::Chunk(chunk)).await,
+            None => Ok(()),
+        }
+    }
+}
+
+/// Sends what is queued until the connection fails or the sender is dropped.
+pub(super) async fn send_until_closed(mut stream: TcpStream, queue: &mut PeerQueue) -> ConnectionEnd {
+    let mut heartbeats = tokio::time::interval(HEARTBEAT_INTERVAL);
+    let mut long_message = ChunkedMessage::new();
+    let (mut reader, mut writer) = stream.split();
+    loop {
+        let step = match next_step(queue, &long_message, &mut heartbeats, &mut reader).await {
+            Ok(step) => step,
+            Err(end) => return end,
+        };
+        if let Err(error) = execute(step, &mut long_message, &mut writer).await {
+            return ConnectionEnd::Failed(error);
+        }
+    }
+}
+
+/// Waits for the next thing to do.
+async fn next_step(
+    queue: &mut PeerQueue,
+    long_message: &ChunkedMessage,
+    heartbeats: &mut Interval,
+    reader: &mut ReadHalf<'_>,
+) -> Result<SendStep, ConnectionEnd> {
+    let mut unexpected = [0u8; 1];
+    let step = tokio::select! {
+        // Short messages first: a snapshot must not delay Raft's heartbeats.
+        biased;
+        message = queue.short.recv() => SendStep::ShortMessage(message.ok_or(ConnectionEnd::SenderDropped)?),
+        () = std::future::ready(()), if !long_message.is_done() => SendStep::NextChunk,
+        message = queue.long.recv(), if long_message.is_done() => {
+            SendStep::LongMessage(message.ok_or(ConnectionEnd::SenderDropped)?)
+        }
+        _ = heartbeats.tick() => SendStep::Heartbeat,
+        read = reader.read(&mut unexpected) => return Err(ConnectionEnd::Failed(read_end(read))),
+    };
+    if let SendStep::ShortMessage(message) | SendStep::LongMessage(message) = &step {
+        queue.on_dequeued(message);
+    }
+    Ok(step)
+}
+
+/// What a finished read means: the peer never sends anything after its hello reply.
+fn read_end(read: std::io::Result<usize>) -> PeerProtocolError {
+    match read {
+        Ok(0) => std::io::Error::from(std::io::ErrorKind::ConnectionReset).into(),
+        Ok(_) => PeerProtocolError::UnexpectedBytes,
+        Err(error) => error.into(),
+    }
+}
+
+async fn execute(
+    step: SendStep,
+    long_message: &mut ChunkedMessage,
+    writer: &mut (impl AsyncWriteExt + Unpin),
+) -> Result<(), PeerProtocolError> {
+    match step {
+        SendStep::ShortMessage(message) => {
+            // One chunk with each short message, so that many short ones can't hold a long one up for ever. Their
+            // order does not matter.
+            long_message.send_next(writer).await?;
+            send_frame(writer, &Frame::Message(message)).await
+        }
+        SendStep::NextChunk => long_message.send_next(writer).await,
+        SendStep::LongMessage(message) => {
+            long_message.begin(&message);
+            Ok(())
+        }
+        SendStep::Heartbeat => send_frame(writer, &Frame::Heartbeat).await,
+    }
+}
+
+async fn send_frame(to: &mut (impl AsyncWriteExt + Unpin), frame: &Frame) -> Result<(), PeerProtocolError> {
+    with_timeout(IDLE_TIMEOUT, peer_protocol::write(to, frame)).await
+}
--- /dev/null
+++ b/crates/agent/src/run.rs
@@ -0,0 +1,167 @@
+//! `garnetcrank-agent run`: starts all threads and connections, and runs the engine until it ends.
+
+use std::net::SocketAddr;
+use std::sync::mpsc::{SyncSender, sync_channel};
+use std::sync::{Arc, RwLock};
+
+use garnetcrank_agent::config::Config;
+use garnetcrank_agent::counters::Counters;
+use garnetcrank_agent::engine::{Engine, EngineParts};
+use garnetcrank_agent::engine_input::{EngineInput, MAX_QUEUED_INPUTS, PublishedState};
+use garnetcrank_agent::http_api::{self, HttpApi};
+use garnetcrank_agent::peer_transport::{self, PeerContext};
+use garnetcrank_agent::storage_writer;
+use garnetcrank_consensus::raft_node::{RaftNode, RaftSettings};
+use garnetcrank_store::{Identity, Loaded, Store, StoreError};
+use tokio::net::TcpListener;
+use tokio::runtime::Runtime;
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::watch;
+use tracing::{error, info};
+
+use crate::error::AgentError;
+use crate::identity::{InstanceIdentity, as_member};
+
+/// Threads for connections and the HTTP port. They only move bytes: all work is done by the engine's own thread.
+const RUNTIME_THREADS: usize = 2;
+/// A proposal that was lost is handed on again after so many election timeouts, by when a new leader is likely known.
+const ELECTIONS_PER_RETRY: u64 = 2;
+/// Share of the compaction interval whose entries stay in the log, as its divisor: a follower that is only a little
+/// behind then needs no snapshot.
+const RETAINED_ENTRIES_DIVISOR: u64 = 10;
+
+/// The store and what it holds.
+struct OpenedStore {
+    identity: Identity,
+    store: Store,
+    loaded: Loaded,
+}
+
+/// The two listening sockets.
+struct Listeners {
+    peers: TcpListener,
+    http: TcpListener,
+}
+
+/// Runs the agent until it is told to stop.
+///
+/// # Errors
+/// An address or the store can't be used, or the engine ended with an error.
+pub(crate) fn run(config: Config) -> Result<(), AgentError> {
+    let OpenedStore { identity, store, loaded } =
+        open_store(&config).map_err(|source| AgentError::Store { path: config.store.clone(), source })?;
+    let starts = store.starts();
+    let me = as_member(&config, &identity);
+    let node = RaftNode::start(raft_settings(&config), me.id, starts, loaded)
+        .map_err(|source| AgentError::StoredState { path: config.store.clone(), source })?;
+    let counters = Arc::new(Counters::default());
+    let peer_context = Arc::new(PeerContext {
+        me,
+        cluster: config.cluster.clone(),
+        members: RwLock::new(Vec::new()),
+        counters: counters.clone(),
+    });
+    let runtime = start_runtime()?;
+    let (engine_sender, inputs) = sync_channel(MAX_QUEUED_INPUTS);
+    let (published, published_receiver) = watch::channel(PublishedState::default());
+    let listeners = runtime.block_on(listen(&config))?;
+    let (storage_writer, _) =
+        storage_writer::start(store, config.store.clone(), engine_sender.clone(), counters.clone())
+            .map_err(|source| AgentError::Start { what: "storage writer", source })?;
+    let http_api =
+        HttpApi { engine: engine_sender.clone(), published: published_receiver, counters: counters.clone() };
+    spawn_connections(&runtime, listeners, http_api, peer_context.clone(), &engine_sender);
+    info!(
+        name = identity.name, id = format!("{:016x}", identity.id), cluster = identity.cluster, starts,
+        peers = %config.peer_address, local = %config.http_address, "agent starts"
+    );
+    let engine = Engine::new(EngineParts {
+        config,
+        node,
+        peer_context,
+        inputs: engine_sender,
+        storage_writer,
+        runtime: runtime.handle().clone(),
+        published,
+        starts,
+    });
+    let result = engine.run(&inputs);
+    match &result {
+        Ok(()) => info!("stopped"),
+        Err(error) => error!(%error, "agent failed"),
+    }
+    info!(counters = serde_json::to_string(&counters.all()).unwrap_or_default(), "counters");
+    // Connections need not be waited for: callers without an answer see them end.
+    runtime.shutdown_background();
+    Ok(result?)
+}
+
+fn open_store(config: &Config) -> Result<OpenedStore, StoreError> {
+    let identity = InstanceIdentity::of(config)?.into_inner();
+    let store = Store::open(&config.store, &identity)?;
+    let loaded = store.load()?;
+    Ok(OpenedStore { identity, store, loaded })
+}
+
+fn raft_settings(config: &Config) -> RaftSettings {
+    RaftSettings {
+        election_ticks: config.election_ticks,
+        heartbeat_ticks: config.heartbeat_ticks,
+        retry_ticks: ELECTIONS_PER_RETRY * config.election_ticks as u64,
+        compact_every: config.compact_every,
+        retained_entries: config.compact_every / RETAINED_ENTRIES_DIVISOR,
+        seed: fastrand::u64(..),
+        ..RaftSettings::default()
+    }
+}
+
+fn start_runtime() -> Result<Runtime, AgentError> {
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(RUNTIME_THREADS)
+        .enable_all()
+        .build()
+        .map_err(|source| AgentError::Start { what: "runtime", source })
+}
+
+async fn listen(config: &Config) -> Result<Listeners, AgentError> {
+    Ok(Listeners {
+        peers: bind("peers", config.peer_address).await?,
+        http: bind("local", config.http_address).await?,
+    })
+}
+
+async fn bind(key: &'static str, address: SocketAddr) -> Result<TcpListener, AgentError> {
+    TcpListener::bind(address).await.map_err(|source| AgentError::Listen { key, address, source })
+}
+
+/// Starts all that runs beside the engine.
+fn spawn_connections(
+    runtime: &Runtime,
+    listeners: Listeners,
+    http_api: HttpApi,
+    peer_context: Arc<PeerContext>,
+    engine: &SyncSender<EngineInput>,
+) {
+    runtime.spawn(peer_transport::listen(listeners.peers, peer_context, engine.clone()));
+    runtime.spawn(async move {
+        if let Err(error) = axum::serve(listeners.http, http_api::routes(http_api)).await {
+            error!(%error, "the HTTP port failed");
+        }
+    });
+    runtime.spawn(shut_down_on_signal(engine.clone()));
+}
+
+async fn shut_down_on_signal(engine: SyncSender<EngineInput>) {
+    let (Ok(mut terminate), Ok(mut interrupt)) =
+        (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
+    else {
+        error!("signals can't be received");
+        return;
+    };
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
+    }
+    // The queue may be full until the engine empties it: waiting for that must not block a thread of the runtime.
+    std::thread::spawn(move || engine.send(EngineInput::Shutdown));
+}
--- a/crates/agent/tests/frame_bytes.rs
+++ b/crates/agent/tests/frame_bytes.rs
@@ -3,7 +3,7 @@
 //! The bytes were taken down from the code of commit 8a93f45. They hold no names: the order of fields and variants
 //! makes them.
 
-use garnetcrank_agent::wire::{Frame, Hello, MAGIC, VERSION, Welcome, decode, encode};
+use garnetcrank_agent::peer_protocol::{Frame, Hello, HelloReply, MAGIC, VERSION, decode, encode};
 use garnetcrank_consensus::chunking::Chunk;
 use garnetcrank_consensus::ids::InstanceId;
 use garnetcrank_consensus::replicated_state::Member;
@@ -29,14 +29,14 @@
     let (magic, version) = (MAGIC, VERSION);
     let hello = Hello { magic, version, cluster: "eger".to_owned(), from: member(), to: InstanceId(300) };
     assert_frame(&hello, b"GCAG\x01\x04eger\x09\x04alma\x03h:1\xac\x02");
-    assert_frame(&Welcome::Yes(member()), b"\x00\x09\x04alma\x03h:1");
-    assert_frame(&Welcome::No("no peer".to_owned()), b"\x01\x07no peer");
+    assert_frame(&HelloReply::Accepted(member()), b"\x00\x09\x04alma\x03h:1");
+    assert_frame(&HelloReply::Rejected("no peer".to_owned()), b"\x01\x07no peer");
 }
 
 #[test]
 fn the_frames_behind_them_keep_their_bytes() {
     assert_frame(&Frame::Message(vec![1, 2, 3]), b"\x00\x03\x01\x02\x03");
-    let piece = Chunk { transfer: 5, offset: 6, total_len: 130, bytes: vec![0xfe, 0xff] };
-    assert_frame(&Frame::Piece(piece), b"\x01\x05\x06\x82\x01\x02\xfe\xff");
-    assert_frame(&Frame::Alive, b"\x02");
+    let chunk = Chunk { transfer: 5, offset: 6, total_len: 130, bytes: vec![0xfe, 0xff] };
+    assert_frame(&Frame::Chunk(chunk), b"\x01\x05\x06\x82\x01\x02\xfe\xff");
+    assert_frame(&Frame::Heartbeat, b"\x02");
 }
--- a/crates/agent/tests/golden_config.rs
+++ b/crates/agent/tests/golden_config.rs
@@ -24,20 +24,20 @@
     assert_eq!(config.name, "n1");
     assert_eq!(config.cluster, "fronts");
     assert_eq!(config.store, Path::new("/var/lib/garnetcrank/n1.redb"));
-    assert_eq!(config.peers, "127.0.0.1:7001".parse().unwrap());
-    assert_eq!(config.announce, Some("10.0.0.1:7002".parse().unwrap()));
+    assert_eq!(config.peer_address, "127.0.0.1:7001".parse().unwrap());
+    assert_eq!(config.announced_address, Some("10.0.0.1:7002".parse().unwrap()));
     let via = [
         ("n2".to_owned(), "10.1.0.2:9001".parse().unwrap()),
         ("n3".to_owned(), "[::1]:9002".parse().unwrap()),
     ];
-    assert_eq!(config.via, BTreeMap::from(via));
-    assert_eq!(config.local, "127.0.0.1:7101".parse().unwrap());
+    assert_eq!(config.peer_overrides, BTreeMap::from(via));
+    assert_eq!(config.http_address, "127.0.0.1:7101".parse().unwrap());
     assert_eq!(config.tick_ms, 25);
     assert_eq!(config.election_ticks, 16);
     assert_eq!(config.heartbeat_ticks, 4);
-    assert_eq!(config.life_ms, 4000);
-    assert_eq!(config.fold_every, 5000);
-    assert_eq!(config.store_most_mb, 512);
+    assert_eq!(config.lease_ttl_ms, 4000);
+    assert_eq!(config.compact_every, 5000);
+    assert_eq!(config.store_limit_mb, 512);
     assert_eq!(config.log.format, LogFormat::Json);
     assert_eq!(config.log.filter, "debug");
 }
@@ -47,11 +47,11 @@
     let config = Config::parse(include_str!("../../../deploy/agent.json")).expect("it is read");
     assert_eq!((config.name.as_str(), config.cluster.as_str()), ("n1", "fronts"));
     assert_eq!(config.store, Path::new("/var/lib/garnetcrank/n1.redb"));
-    assert_eq!(config.peers, "127.0.0.1:7001".parse().unwrap());
-    assert_eq!(config.local, "127.0.0.1:7101".parse().unwrap());
-    assert_eq!((config.announce, config.via), (None, BTreeMap::new()));
+    assert_eq!(config.peer_address, "127.0.0.1:7001".parse().unwrap());
+    assert_eq!(config.http_address, "127.0.0.1:7101".parse().unwrap());
+    assert_eq!((config.announced_address, config.peer_overrides), (None, BTreeMap::new()));
     assert_eq!((config.tick_ms, config.election_ticks, config.heartbeat_ticks), (20, 15, 3));
-    assert_eq!((config.life_ms, config.fold_every, config.store_most_mb), (3000, 10_000, 1024));
+    assert_eq!((config.lease_ttl_ms, config.compact_every, config.store_limit_mb), (3000, 10_000, 1024));
     assert_eq!((config.log.format, config.log.filter.as_str()), (LogFormat::Json, "info"));
 }
 
--- a/crates/agent/tests/golden_http.rs
+++ b/crates/agent/tests/golden_http.rs
@@ -8,12 +8,14 @@
 use std::time::Duration;
 
 use garnetcrank_agent::api::{
-    Cast, GrantView, MemberChange, MemberView, Operated, Page, Proposed, StatusView, SubjectView, Verdict,
-    Watched,
+    LeaseView, MemberView, MembershipRequest, OperationResponse, ProposeResponse, StatusView, SubjectPage,
+    SubjectView, VerdictReceipt, VerdictReport, VoteAssignment, WatchEvent,
 };
-use garnetcrank_agent::core::{Ask, Input, Public, Query, Read};
 use garnetcrank_agent::counters::{Counters, add};
-use garnetcrank_agent::local::{Local, routes};
+use garnetcrank_agent::engine_input::{
+    EngineInput, EngineRequest, PublishedState, QueryError, QueryOutput, ReadConsistency, StateQuery,
+};
+use garnetcrank_agent::http_api::{HttpApi, routes};
 use garnetcrank_consensus::build_verdicts::{BuildVerdict, VerdictKind};
 use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Role, Sequence, SessionId, Subject, Term};
 use garnetcrank_consensus::raft_node::{self, NodeStatus};
@@ -25,8 +27,8 @@
 /// The port with the test as its core.
 struct Port {
     address: SocketAddr,
-    inputs: Arc<Mutex<Receiver<Input>>>,
-    public: watch::Sender<Public>,
+    inputs: Arc<Mutex<Receiver<EngineInput>>>,
+    published: watch::Sender<PublishedState>,
     counters: Arc<Counters>,
     http: ureq::Agent,
     _runtime: tokio::runtime::Runtime,
@@ -43,15 +45,15 @@
     fn open_with_queue(queue: usize) -> Self {
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-        let (core, inputs) = sync_channel(queue);
-        let (public, told) = watch::channel(Public::default());
+        let (engine, inputs) = sync_channel(queue);
+        let (published, receiver) = watch::channel(PublishedState::default());
         let counters = Arc::new(Counters::default());
-        let local = Local { core, public: told, counters: counters.clone() };
+        let api = HttpApi { engine, published: receiver, counters: counters.clone() };
         let listener = runtime.block_on(tokio::net::TcpListener::bind("127.0.0.1:0")).expect("a port");
         let address = listener.local_addr().expect("an address");
-        runtime.spawn(async move { axum::serve(listener, routes(local)).await });
+        runtime.spawn(async move { axum::serve(listener, routes(api)).await });
         let http = client(Duration::from_secs(20));
-        Self { address, inputs: Arc::new(Mutex::new(inputs)), public, counters, http, _runtime: runtime }
+        Self { address, inputs: Arc::new(Mutex::new(inputs)), published, counters, http, _runtime: runtime }
     }
 
     /// A request that the port answers by itself.
@@ -68,13 +70,13 @@
     }
 
     /// A request that the core answers, by `core`, which must have been asked.
-    fn ask(&self, method: &str, path: &str, body: &str, core: impl FnOnce(Ask) + Send) -> Answer {
+    fn ask(&self, method: &str, path: &str, body: &str, core: impl FnOnce(EngineRequest) + Send) -> Answer {
         std::thread::scope(|threads| {
             let inputs = self.inputs.clone();
             let asked = threads.spawn(move || {
                 let input =
                     inputs.lock().unwrap().recv_timeout(Duration::from_secs(10)).expect("it is asked");
-                let Input::Ask(ask) = input else { panic!("{input:?}") };
+                let EngineInput::Request(ask) = input else { panic!("{input:?}") };
                 core(ask);
             });
             let answer = self.send(method, path, body);
@@ -103,17 +105,24 @@
 
 fn view() -> MemberView {
     let (id, name, address) = ("00000000000000ab".into(), "n1".into(), "10.0.0.1:7001".into());
-    MemberView { id, name, address, part: "voter".into(), living: Some(true), matched: Some(17) }
+    MemberView {
+        id,
+        name,
+        address,
+        role: "voter".into(),
+        recently_active: Some(true),
+        matched_index: Some(17),
+    }
 }
 
 fn status(standing: raft_node::NodeRole) -> StatusView {
-    let newcomer = MemberView { part: "none".into(), living: None, matched: None, ..view() };
+    let newcomer = MemberView { role: "none".into(), recently_active: None, matched_index: None, ..view() };
     StatusView {
         cluster: "fronts".into(),
         me: view(),
         version: "0.1.0".into(),
         starts: 3,
-        up_ms: 4_000,
+        uptime_ms: 4_000,
         node: NodeStatus {
             id: InstanceId(171),
             role: standing,
@@ -128,8 +137,8 @@
         },
         leader: Some("n2".into()),
         members: vec![view(), newcomer],
-        subjects: 22,
-        sessions: 23,
+        subject_count: 22,
+        session_count: 23,
         store_bytes: 24,
     }
 }
@@ -167,13 +176,13 @@
         (raft_node::NodeRole::Leader, "leader"),
     ] {
         let answer = port.ask("GET", "/v1/status", "", |ask| {
-            let Ask::Status(reply) = ask else { panic!("{ask:?}") };
+            let EngineRequest::Status(reply) = ask else { panic!("{ask:?}") };
             reply.send(status(standing)).unwrap();
         });
         is_json(answer, &golden(name));
     }
     let answer = port.ask("GET", "/v1/status", "", |ask| {
-        let Ask::Status(reply) = ask else { panic!("{ask:?}") };
+        let EngineRequest::Status(reply) = ask else { panic!("{ask:?}") };
         let mut status = status(raft_node::NodeRole::Follower);
         (status.leader, status.node.leader) = (None, None);
         reply.send(status).unwrap();
@@ -218,8 +227,8 @@
 }
 
 /// Each answer to a proposal, and its JSON.
-fn proposed() -> Vec<(Proposed, &'static str)> {
-    let applied = |reply| Proposed::Applied { reply };
+fn proposed() -> Vec<(ProposeResponse, &'static str)> {
+    let applied = |reply| ProposeResponse::Applied { reply };
     vec![
         (applied(Reply::SessionOpened(SessionId(7))), r#"{"result":"applied","reply":{"Opened":7}}"#),
         (
@@ -240,11 +249,11 @@
         (applied(Reply::Superseded), r#"{"result":"applied","reply":"Overtaken"}"#),
         (applied(Reply::CapacityExceeded), r#"{"result":"applied","reply":"Full"}"#),
         (applied(Reply::Rejected("why".into())), r#"{"result":"applied","reply":{"Refused":"why"}}"#),
-        (Proposed::NotProposed, r#"{"result":"not_proposed"}"#),
-        (Proposed::MayYet, r#"{"result":"may_yet"}"#),
-        (Proposed::Busy, r#"{"result":"busy"}"#),
-        (Proposed::StoreFull, r#"{"result":"store_full"}"#),
-        (Proposed::Refused { why: "no".into() }, r#"{"result":"refused","why":"no"}"#),
+        (ProposeResponse::NotProposed, r#"{"result":"not_proposed"}"#),
+        (ProposeResponse::Indeterminate, r#"{"result":"may_yet"}"#),
+        (ProposeResponse::Busy, r#"{"result":"busy"}"#),
+        (ProposeResponse::StoreFull, r#"{"result":"store_full"}"#),
+        (ProposeResponse::Rejected { reason: "no".into() }, r#"{"result":"refused","why":"no"}"#),
     ]
 }
 
@@ -252,17 +261,24 @@
 fn a_session_is_opened_and_a_proposal_answered_in_each_form() {
     let port = Port::open();
     for (proposed, golden) in proposed() {
-        let parsed: Proposed = serde_json::from_str(golden).expect("clients read it");
+        let parsed: ProposeResponse = serde_json::from_str(golden).expect("clients read it");
         assert_eq!(parsed, proposed);
         let given = proposed.clone();
         let answer = port.ask("POST", "/v1/sessions?within_ms=700", "", move |ask| {
-            let Ask::Open(700, reply) = ask else { panic!("{ask:?}") };
+            let EngineRequest::OpenSession { timeout_ms: 700, reply } = ask else { panic!("{ask:?}") };
             reply.send(given).unwrap();
         });
         is_json(answer, golden);
         let body = r#"{"command":{"Open":{"nonce":1}}}"#;
         let answer = port.ask("POST", "/v1/propose", body, move |ask| {
-            let Ask::Once(Command::OpenSession { nonce: 1 }, 5_000, reply) = ask else { panic!("{ask:?}") };
+            let EngineRequest::Execute {
+                command: Command::OpenSession { nonce: 1 },
+                timeout_ms: 5_000,
+                reply,
+            } = ask
+            else {
+                panic!("{ask:?}")
+            };
             reply.send(proposed).unwrap();
         });
         is_json(answer, golden);
@@ -270,9 +286,9 @@
     // Without a wait, and with one beyond the limit.
     for (path, within) in [("/v1/sessions", 5_000), ("/v1/sessions?within_ms=999999", 60_000)] {
         let answer = port.ask("POST", path, "", move |ask| {
-            let Ask::Open(wait, reply) = ask else { panic!("{ask:?}") };
+            let EngineRequest::OpenSession { timeout_ms: wait, reply } = ask else { panic!("{ask:?}") };
             assert_eq!(wait, within);
-            reply.send(Proposed::Busy).unwrap();
+            reply.send(ProposeResponse::Busy).unwrap();
         });
         is_json(answer, r#"{"result":"busy"}"#);
     }
@@ -343,9 +359,9 @@
         let body = format!(r#"{{"command":{json},"within_ms":800}}"#);
         let wanted = command.clone();
         let answer = port.ask("POST", "/v1/propose", &body, move |ask| {
-            let Ask::Once(command, 800, reply) = ask else { panic!("{ask:?}") };
+            let EngineRequest::Execute { command, timeout_ms: 800, reply } = ask else { panic!("{ask:?}") };
             assert_eq!(command, wanted);
-            reply.send(Proposed::Busy).unwrap();
+            reply.send(ProposeResponse::Busy).unwrap();
         });
         is_json(answer, r#"{"result":"busy"}"#);
         let json = format!(r#"{{"session":5,"sequence":6,"command":{json}}}"#);
@@ -353,9 +369,11 @@
         assert_eq!(serde_json::to_string(&wanted).unwrap(), json, "as clients write it");
         let body = format!(r#"{{"command":null,"proposal":{json},"within_ms":null}}"#);
         let answer = port.ask("POST", "/v1/propose", &body, move |ask| {
-            let Ask::Propose(proposal, 5_000, reply) = ask else { panic!("{ask:?}") };
+            let EngineRequest::Propose { proposal, timeout_ms: 5_000, reply } = ask else {
+                panic!("{ask:?}")
+            };
             assert_eq!(proposal, wanted);
-            reply.send(Proposed::Busy).unwrap();
+            reply.send(ProposeResponse::Busy).unwrap();
         });
         is_json(answer, r#"{"result":"busy"}"#);
     }
@@ -370,9 +388,10 @@
             ("orders", 8, SubjectState::Dispatched(Epoch(3))),
             ("orders", 9, SubjectState::Executed(Epoch(4))),
         ];
-        let view = |(space, number, standing)| SubjectView { subject: Subject::new(space, number), standing };
+        let view =
+            |(space, number, standing)| SubjectView { subject: Subject::new(space, number), state: standing };
         let next = Some(Subject::new("orders", 9));
-        Page { applied: Index(17), subjects: views.into_iter().map(view).collect(), next }
+        SubjectPage { applied: Index(17), subjects: views.into_iter().map(view).collect(), next }
     };
     let golden = concat!(
         r#"{"applied":17,"subjects":["#,
@@ -381,30 +400,56 @@
         r#"{"subject":{"space":"orders","number":9},"standing":{"Ran":4}}],"#,
         r#""next":{"space":"orders","number":9}}"#
     );
-    assert_eq!(serde_json::from_str::<Page>(golden).expect("clients read it"), page());
+    assert_eq!(serde_json::from_str::<SubjectPage>(golden).expect("clients read it"), page());
     let path = "/v1/ledger?space=orders&after=orders/7&stale=1&within_ms=900";
     let answer = port.ask("GET", path, "", |ask| {
-        let Ask::Read(Query::Page { after, space }, true, 900, reply) = ask else { panic!("{ask:?}") };
+        let EngineRequest::Read {
+            query: StateQuery::Page { after, space },
+            consistency: ReadConsistency::Stale,
+            timeout_ms: 900,
+            reply,
+        } = ask
+        else {
+            panic!("{ask:?}")
+        };
         assert_eq!((after, space.as_deref()), (Some(Subject::new("orders", 7)), Some("orders")));
-        reply.send(Read::Page(page())).unwrap();
+        reply.send(Ok(QueryOutput::Subjects(page()))).unwrap();
     });
     is_json(answer, golden);
     let answer = port.ask("GET", "/v1/ledger?stale=0", "", |ask| {
-        let Ask::Read(Query::Page { after: None, space: None }, false, 5_000, reply) = ask else {
+        let EngineRequest::Read {
+            query: StateQuery::Page { after: None, space: None },
+            consistency: ReadConsistency::Linearizable,
+            timeout_ms: 5_000,
+            reply,
+        } = ask
+        else {
             panic!("{ask:?}")
         };
-        reply.send(Read::Page(Page { applied: Index(1), subjects: vec![], next: None })).unwrap();
+        reply
+            .send(Ok(QueryOutput::Subjects(SubjectPage { applied: Index(1), subjects: vec![], next: None })))
+            .unwrap();
     });
     is_json(answer, r#"{"applied":1,"subjects":[],"next":null}"#);
     let answer = port.ask("GET", "/v1/ledger/condemned/42?stale=1&within_ms=10", "", |ask| {
-        let Ask::Read(Query::Subject(subject), true, 10, reply) = ask else { panic!("{ask:?}") };
+        let EngineRequest::Read {
+            query: StateQuery::Subject(subject),
+            consistency: ReadConsistency::Stale,
+            timeout_ms: 10,
+            reply,
+        } = ask
+        else {
+            panic!("{ask:?}")
+        };
         assert_eq!(subject, Subject::new("condemned", 42));
-        reply.send(Read::Page(Page { next: None, ..page() })).unwrap();
+        reply.send(Ok(QueryOutput::Subjects(SubjectPage { next: None, ..page() }))).unwrap();
     });
     is_json(answer, &golden.replace(r#""next":{"space":"orders","number":9}"#, r#""next":null"#));
     let answer = port.ask("GET", "/v1/ledger", "", |ask| {
-        let Ask::Read(_, false, _, reply) = ask else { panic!("{ask:?}") };
-        reply.send(Read::Not("no quorum answered in time")).unwrap();
+        let EngineRequest::Read { consistency: ReadConsistency::Linearizable, reply, .. } = ask else {
+            panic!("{ask:?}")
+        };
+        reply.send(Err(QueryError::NoQuorum)).unwrap();
     });
     is_fault(answer, 503, "no quorum");
     is_fault(port.send("GET", "/v1/ledger?after=x", ""), 400, "SPACE/NUMBER");
@@ -414,56 +459,77 @@
 #[test]
 fn grants_have_each_key() {
     let port = Port::open();
-    let grant = |holder: Option<&str>| GrantView {
+    let grant = |holder: Option<&str>| LeaseView {
         role: "votes".into(),
         holder: holder.map(str::to_owned),
         epoch: Epoch(4),
-        renewed: Index(99),
+        renewed_at: Index(99),
     };
     let answer = port.ask("GET", "/v1/grants?stale=1", "", |ask| {
-        let Ask::Read(Query::Grants, true, 5_000, reply) = ask else { panic!("{ask:?}") };
-        reply.send(Read::Grants(vec![grant(Some("n1")), grant(None)])).unwrap();
+        let EngineRequest::Read {
+            query: StateQuery::Leases,
+            consistency: ReadConsistency::Stale,
+            timeout_ms: 5_000,
+            reply,
+        } = ask
+        else {
+            panic!("{ask:?}")
+        };
+        reply.send(Ok(QueryOutput::Leases(vec![grant(Some("n1")), grant(None)]))).unwrap();
     });
     let golden = concat!(
         r#"[{"role":"votes","holder":"n1","epoch":4,"renewed":99},"#,
         r#"{"role":"votes","holder":null,"epoch":4,"renewed":99}]"#
     );
     is_json(answer, golden);
-    let parsed: Vec<GrantView> = serde_json::from_str(golden).expect("clients read it");
+    let parsed: Vec<LeaseView> = serde_json::from_str(golden).expect("clients read it");
     assert_eq!(parsed, [grant(Some("n1")), grant(None)]);
     let answer = port.ask("GET", "/v1/grants", "", |ask| {
-        let Ask::Read(Query::Grants, false, 5_000, reply) = ask else { panic!("{ask:?}") };
-        reply.send(Read::Not("too much waits here")).unwrap();
+        let EngineRequest::Read {
+            query: StateQuery::Leases,
+            consistency: ReadConsistency::Linearizable,
+            timeout_ms: 5_000,
+            reply,
+        } = ask
+        else {
+            panic!("{ask:?}")
+        };
+        reply.send(Err(QueryError::Busy)).unwrap();
     });
     is_fault(answer, 503, "waits");
 }
 
 /// Each answer to what only the leader does, and its JSON.
-fn operated() -> Vec<(Operated, &'static str)> {
+fn operated() -> Vec<(OperationResponse, &'static str)> {
     vec![
-        (Operated::Done, r#"{"result":"done"}"#),
-        (Operated::NotLeader { leader: Some("n2".into()) }, r#"{"result":"not_leader","leader":"n2"}"#),
-        (Operated::NotLeader { leader: None }, r#"{"result":"not_leader","leader":null}"#),
-        (Operated::MayYet, r#"{"result":"may_yet"}"#),
-        (Operated::Refused { why: "no".into() }, r#"{"result":"refused","why":"no"}"#),
+        (OperationResponse::Done, r#"{"result":"done"}"#),
+        (
+            OperationResponse::NotLeader { leader: Some("n2".into()) },
+            r#"{"result":"not_leader","leader":"n2"}"#,
+        ),
+        (OperationResponse::NotLeader { leader: None }, r#"{"result":"not_leader","leader":null}"#),
+        (OperationResponse::Indeterminate, r#"{"result":"may_yet"}"#),
+        (OperationResponse::Rejected { reason: "no".into() }, r#"{"result":"refused","why":"no"}"#),
     ]
 }
 
 #[test]
 fn members_transfer_and_snapshot_take_their_bodies_and_answer_in_each_form() {
     let port = Port::open();
-    let add = MemberChange::Add { id: "ab".into(), name: "n4".into(), address: "10.0.0.4:7001".into() };
+    let add = MembershipRequest::Add { id: "ab".into(), name: "n4".into(), address: "10.0.0.4:7001".into() };
     let changes = [
         (add, r#"{"add":{"id":"ab","name":"n4","address":"10.0.0.4:7001"}}"#),
-        (MemberChange::Remove("n3".into()), r#"{"remove":"n3"}"#),
+        (MembershipRequest::Remove("n3".into()), r#"{"remove":"n3"}"#),
     ];
     for (operated, golden) in operated() {
-        assert_eq!(serde_json::from_str::<Operated>(golden).expect("clients read it"), operated);
+        assert_eq!(serde_json::from_str::<OperationResponse>(golden).expect("clients read it"), operated);
         for (change, body) in changes.clone() {
             assert_eq!(serde_json::to_string(&change).unwrap(), body, "as clients write it");
             let given = operated.clone();
             let answer = port.ask("POST", "/v1/members?within_ms=600", body, move |ask| {
-                let Ask::Change(asked, 600, reply) = ask else { panic!("{ask:?}") };
+                let EngineRequest::ChangeMembership { request: asked, timeout_ms: 600, reply } = ask else {
+                    panic!("{ask:?}")
+                };
                 assert_eq!(asked, change);
                 reply.send(given).unwrap();
             });
@@ -471,7 +537,7 @@
         }
         let given = operated.clone();
         let answer = port.ask("POST", "/v1/transfer", r#"{"to":"n2"}"#, move |ask| {
-            let Ask::Transfer(to, reply) = ask else { panic!("{ask:?}") };
+            let EngineRequest::TransferLeadership { to, reply } = ask else { panic!("{ask:?}") };
             assert_eq!(to, "n2");
             reply.send(given).unwrap();
         });
@@ -479,7 +545,7 @@
         for body in ["", "{}"] {
             let given = operated.clone();
             let answer = port.ask("POST", "/v1/snapshot", body, move |ask| {
-                let Ask::Fold(reply) = ask else { panic!("{ask:?}") };
+                let EngineRequest::Compact(reply) = ask else { panic!("{ask:?}") };
                 reply.send(given).unwrap();
             });
             is_json(answer, golden);
@@ -500,13 +566,15 @@
     for (word, name) in WORDS {
         for heard in [true, false] {
             let body = format!(r#"{{"front":"f1","opinion":{{"build":42,"stage":3,"word":"{name}"}}}}"#);
-            let wanted =
-                Verdict { front: "f1".into(), opinion: BuildVerdict { build: 42, stage: 3, kind: word } };
+            let wanted = VerdictReport {
+                proxy: "f1".into(),
+                verdict: BuildVerdict { build: 42, stage: 3, kind: word },
+            };
             assert_eq!(serde_json::to_string(&wanted).unwrap(), body, "as clients write it");
             let answer = port.ask("POST", "/v1/verdicts", &body, move |ask| {
-                let Ask::Verdict(verdict, reply) = ask else { panic!("{ask:?}") };
-                assert_eq!(verdict, wanted);
-                reply.send(heard).unwrap();
+                let EngineRequest::ReportVerdict { report, reply } = ask else { panic!("{ask:?}") };
+                assert_eq!(report, wanted);
+                reply.send(VerdictReceipt { accepted: heard }).unwrap();
             });
             is_json(answer, &format!(r#"{{"heard":{heard}}}"#));
         }
@@ -518,7 +586,7 @@
     // Each watch tells the core twice, when its front comes and when it goes.
     let port = Port::open_with_queue(64);
     let opinion = |word| Some(BuildVerdict { build: 42, stage: 3, kind: word });
-    let cast = |opinion| Some(Cast { epoch: Epoch(4), opinion });
+    let cast = |opinion| Some(VoteAssignment { epoch: Epoch(4), verdict: opinion });
     let mut lines = vec![
         (Vec::new(), None, false, r#"{"condemned":[],"together":false}"#.to_owned()),
         (vec![41, 42], None, true, r#"{"condemned":[41,42],"together":true}"#.to_owned()),
@@ -536,10 +604,10 @@
         lines.push((vec![7], cast(opinion(word)), true, line));
     }
     for (condemned, cast, together, golden) in lines {
-        let watched = Watched { condemned, cast, together };
-        assert_eq!(serde_json::from_str::<Watched>(&golden).expect("clients read it"), watched);
-        port.public.send_replace(Public { watched: watched.clone(), caster: Some("f1".into()) });
-        let without = serde_json::to_string(&Watched { cast: None, ..watched }).unwrap();
+        let event = WatchEvent { condemned_builds: condemned, vote: cast, quorum_available: together };
+        assert_eq!(serde_json::from_str::<WatchEvent>(&golden).expect("clients read it"), event);
+        port.published.send_replace(PublishedState { event: event.clone(), voting_proxy: Some("f1".into()) });
+        let without = serde_json::to_string(&WatchEvent { vote: None, ..event }).unwrap();
         assert!(!without.contains("cast"), "{without}");
         for (front, golden) in [("f1", &golden), ("f2", &without)] {
             let url = format!("http://{}/v1/watch?front={front}", port.address);
@@ -554,7 +622,7 @@
     }
     let inputs = port.inputs.lock().unwrap();
     let came = inputs.recv_timeout(Duration::from_secs(10)).expect("a front came");
-    assert!(matches!(&came, Input::FrontCame(name) if name == "f1"), "{came:?}");
+    assert!(matches!(&came, EngineInput::ProxyConnected(name) if name == "f1"), "{came:?}");
     drop(inputs);
     is_fault(port.send("GET", "/v1/watch", ""), 400, "front");
     is_fault(port.send("GET", "/v1/watch?front=", ""), 400, "front");
@@ -630,7 +698,7 @@
 #[test]
 fn a_core_that_ends_is_busy_or_does_not_answer_is_told() {
     let port = Port::open();
-    let answer = port.ask("GET", "/v1/status", "", |ask| drop(ask));
+    let answer = port.ask("GET", "/v1/status", "", drop);
     is_fault(answer, 503, "ending");
     let busy = Port::open_with_queue(0);
     is_fault(busy.send("GET", "/v1/status", ""), 503, "busy");
--- a/crates/agent/tests/golden_peer_protocol.rs
+++ b/crates/agent/tests/golden_peer_protocol.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 
-use garnetcrank_agent::core::Input;
 use garnetcrank_agent::counters::Counters;
-use garnetcrank_agent::peers::{self, Ground, Outbox};
-use garnetcrank_agent::wire::{self, Frame, Hello, MAGIC, VERSION, Welcome};
+use garnetcrank_agent::engine_input::EngineInput;
+use garnetcrank_agent::peer_protocol::{self, Frame, Hello, HelloReply, MAGIC, VERSION};
+use garnetcrank_agent::peer_transport::{self, PeerContext, PeerSender};
 use garnetcrank_consensus::chunking::Chunk;
 use garnetcrank_consensus::ids::InstanceId;
 use garnetcrank_consensus::raft_node;
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 const MEMBER_HEX: &str = "ac02 026e31 0d31302e302e302e313a37303031";
-/// A heartbeat of instance 3 to instance 2, in the encoding of the agreement.
+/// A heartbeat of instance 3 to instance 2, in Raft's encoding.
 const MESSAGE_HEX: &str = "0808 1002 1803 2004 4007";
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -43,12 +43,14 @@
     let content = bytes(content);
     let mut whole = u32::try_from(content.len()).expect("a length").to_le_bytes().to_vec();
     whole.extend(&content);
-    assert_eq!(hex(&wire::encode(value)), hex(&whole), "{value:?} encoded");
-    let decoded: T = wire::decode(&content).expect("golden bytes are decoded");
+    assert_eq!(hex(&peer_protocol::encode(value)), hex(&whole), "{value:?} encoded");
+    let decoded: T = peer_protocol::decode(&content).expect("golden bytes are decoded");
     assert_eq!(&decoded, value, "decoded");
-    assert_eq!(hex(&wire::encode(&decoded)), hex(&whole), "{value:?} encoded again");
+    assert_eq!(hex(&peer_protocol::encode(&decoded)), hex(&whole), "{value:?} encoded again");
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-    let read: T = runtime.block_on(wire::read(&mut &whole[..], wire::FRAME_MOST)).expect("it is read");
+    let read: T = runtime
+        .block_on(peer_protocol::read(&mut &whole[..], peer_protocol::MAX_FRAME_BYTES))
+        .expect("it is read");
     assert_eq!(&read, value, "read from a connection");
 }
 
@@ -56,9 +58,9 @@
 fn constants_of_version_one_stay() {
     assert_eq!(hex(&MAGIC), "47434147");
     assert_eq!(VERSION, 1);
-    assert_eq!(wire::FRAME_MOST, 4_194_304);
-    assert_eq!(wire::HELLO_MOST, 1_024);
-    assert_eq!(wire::WHOLE_MOST, 2_097_152);
+    assert_eq!(peer_protocol::MAX_FRAME_BYTES, 4_194_304);
+    assert_eq!(peer_protocol::MAX_HELLO_BYTES, 1_024);
+    assert_eq!(peer_protocol::MAX_UNCHUNKED_BYTES, 2_097_152);
 }
 
 #[test]
@@ -71,20 +73,20 @@
         to: InstanceId(0x1_0000_0001),
     };
     check(&hello, &format!("47434147 ac02 0666726f6e7473 {MEMBER_HEX} 8180808010"));
-    check(&Welcome::Yes(member()), &format!("00 {MEMBER_HEX}"));
-    check(&Welcome::No("no peer".into()), "01 076e6f2070656572");
+    check(&HelloReply::Accepted(member()), &format!("00 {MEMBER_HEX}"));
+    check(&HelloReply::Rejected("no peer".into()), "01 076e6f2070656572");
     check(&Frame::Message(vec![0xaa, 0xbb]), "00 02aabb");
-    let piece = Chunk { transfer: 1, offset: 200, total_len: 3000, bytes: vec![4, 5] };
-    check(&Frame::Piece(piece), "01 01 c801 b817 020405");
-    check(&Frame::Alive, "02");
+    let chunk = Chunk { transfer: 1, offset: 200, total_len: 3000, bytes: vec![4, 5] };
+    check(&Frame::Chunk(chunk), "01 01 c801 b817 020405");
+    check(&Frame::Heartbeat, "02");
     let message = raft_node::decode_message(&bytes(MESSAGE_HEX)).expect("a message");
     assert_eq!((message.to, message.from, message.term, message.commit), (2, 3, 4, 7));
     assert_eq!(hex(&raft_node::encode_message(&message)), hex(&bytes(MESSAGE_HEX)));
     check(&Frame::Message(raft_node::encode_message(&message)), &format!("00 0a {MESSAGE_HEX}"));
 }
 
-fn ground(id: u64, name: &str) -> Arc<Ground> {
-    Arc::new(Ground {
+fn peer_context(id: u64, name: &str) -> Arc<PeerContext> {
+    Arc::new(PeerContext {
         me: Member { id: InstanceId(id), name: name.into(), address: "10.0.0.1:7001".into() },
         cluster: "fronts".into(),
         members: RwLock::new(Vec::new()),
@@ -110,11 +112,11 @@
     to.write_all(content).expect("written");
 }
 
-fn listening(runtime: &tokio::runtime::Runtime) -> (SocketAddr, Receiver<Input>) {
-    let (core, inputs) = sync_channel(16);
+fn listening(runtime: &tokio::runtime::Runtime) -> (SocketAddr, Receiver<EngineInput>) {
+    let (engine, inputs) = sync_channel(16);
     let listener = runtime.block_on(tokio::net::TcpListener::bind("127.0.0.1:0")).expect("a port");
     let address = listener.local_addr().expect("an address");
-    runtime.spawn(peers::listen(listener, ground(2, "n2"), core));
+    runtime.spawn(peer_transport::listen(listener, peer_context(2, "n2"), engine));
     (address, inputs)
 }
 
@@ -130,17 +132,17 @@
     write_frame(&mut stream, &bytes(HELLO_OF_3));
     assert_eq!(hex(&read_frame(&mut stream)), hex(&bytes("00 02 026e32 0d31302e302e302e313a37303031")));
     let wait = Duration::from_secs(10);
-    let met = inputs.recv_timeout(wait).expect("the caller is made known");
-    let Input::Met(met) = met else { panic!("{met:?}") };
-    assert_eq!((met.id.0, met.name.as_str(), met.address.as_str()), (3, "n3", "10.0.0.3:7001"));
+    let caller = inputs.recv_timeout(wait).expect("the caller is made known");
+    let EngineInput::PeerDiscovered(caller) = caller else { panic!("{caller:?}") };
+    assert_eq!((caller.id.0, caller.name.as_str(), caller.address.as_str()), (3, "n3", "10.0.0.3:7001"));
     write_frame(&mut stream, &bytes("02"));
     write_frame(&mut stream, &bytes(&format!("00 0a {MESSAGE_HEX}")));
-    // The same message in two pieces of one transfer.
+    // The same message in two chunks of one transfer.
     write_frame(&mut stream, &bytes("01 05 00 0a 04 08081002"));
     write_frame(&mut stream, &bytes("01 05 04 0a 06 180320044007"));
     for _ in 0..2 {
         let input = inputs.recv_timeout(wait).expect("the message comes in");
-        let Input::Message(message) = input else { panic!("{input:?}") };
+        let EngineInput::PeerMessage(message) = input else { panic!("{input:?}") };
         assert_eq!(hex(&raft_node::encode_message(&message)), hex(&bytes(MESSAGE_HEX)));
     }
 }
@@ -163,18 +165,18 @@
     let runtime = runtime();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (core, _inputs) = sync_channel(16);
+    let (engine, _inputs) = sync_channel(16);
     let to = Member { id: InstanceId(2), name: "n2".into(), address: address.to_string() };
-    let outbox = Outbox::open(&ground(3, "n3"), to, address, core, runtime.handle());
+    let sender = PeerSender::connect(&peer_context(3, "n3"), to, address, engine, runtime.handle());
     let (mut stream, _) = listener.accept().expect("a caller");
     stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
     let hello = "47434147 01 0666726f6e7473 03 026e33 0d31302e302e302e313a37303031 02";
     assert_eq!(hex(&read_frame(&mut stream)), hex(&bytes(hello)));
     write_frame(&mut stream, &bytes("00 02 026e32 0d31302e302e302e313a37303031"));
-    outbox.send(&raft_node::decode_message(&bytes(MESSAGE_HEX)).expect("a message"));
+    sender.send(&raft_node::decode_message(&bytes(MESSAGE_HEX)).expect("a message"));
     let mut frames = std::iter::repeat_with(|| read_frame(&mut stream));
     let alive = bytes("02");
     let message = frames.find(|frame| *frame != alive).expect("a message");
     assert_eq!(hex(&message), hex(&bytes(&format!("00 0a {MESSAGE_HEX}"))));
-    assert!(frames.any(|frame| frame == alive), "a sign of life");
+    assert!(frames.any(|frame| frame == alive), "a heartbeat");
 }
--- a/crates/cli/src/agents.rs
+++ b/crates/cli/src/agents.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use garnetcrank_agent::api::{Fault, Operated};
+use garnetcrank_agent::api::{ErrorBody, OperationResponse};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use ureq::Agent;
@@ -59,7 +59,7 @@
             return serde_json::from_str(&text)
                 .map_err(|e| next(&format_args!("an answer that can't be read: {e}")));
         }
-        let why = serde_json::from_str::<Fault>(&text).map_or(text, |fault| fault.error);
+        let why = serde_json::from_str::<ErrorBody>(&text).map_or(text, |fault| fault.error);
         match status {
             503 | 504 => Err(next(&why)),
             _ => Err(Missed::No(Trouble::Refused(format!("{address}: {why}")))),
@@ -94,12 +94,14 @@
         let (mut missed, mut leader) = (Vec::new(), None);
         for address in &self.addresses {
             match self.one(address, path, Some(body)) {
-                Ok(Operated::Done) => return Ok(()),
-                Ok(Operated::NotLeader { leader: known }) => leader = known.or(leader),
-                Ok(Operated::MayYet) => {
+                Ok(OperationResponse::Done) => return Ok(()),
+                Ok(OperationResponse::NotLeader { leader: known }) => leader = known.or(leader),
+                Ok(OperationResponse::Indeterminate) => {
                     return Err(Trouble::MayYet(format!("{address}: no answer in time; it may yet be done")));
                 }
-                Ok(Operated::Refused { why }) => return Err(Trouble::Refused(format!("{address}: {why}"))),
+                Ok(OperationResponse::Rejected { reason: why }) => {
+                    return Err(Trouble::Refused(format!("{address}: {why}")));
+                }
                 Err(Missed::No(trouble)) => return Err(trouble),
                 Err(Missed::Next(why)) => missed.push(why),
             }
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use clap::Subcommand;
-use garnetcrank_agent::api::{GrantView, MemberChange, Page, Propose, Proposed, SubjectView};
+use garnetcrank_agent::api::{
+    LeaseView, MembershipRequest, ProposeRequest, ProposeResponse, SubjectPage, SubjectView,
+};
 use garnetcrank_consensus::ids::Subject;
 use garnetcrank_consensus::replicated_state::{Command, Reply, SubjectState};
 use serde::Deserialize;
@@ -157,7 +159,7 @@
             show::print(json, &pages, || subjects(&pages))
         }
         Job::Show { subject, stale } => {
-            let page: Page = agents.get(&format!("/v1/ledger/{subject}?{}", query(stale)))?;
+            let page: SubjectPage = agents.get(&format!("/v1/ledger/{subject}?{}", query(stale)))?;
             let Some(view) = page.subjects.first() else {
                 return Err(Trouble::Refused(format!("{subject} is not decided")));
             };
@@ -176,11 +178,11 @@
             }
         }
         Job::Grants { stale } => {
-            let grants: Vec<GrantView> = agents.get(&format!("/v1/grants?{}", query(stale)))?;
+            let grants: Vec<LeaseView> = agents.get(&format!("/v1/grants?{}", query(stale)))?;
             show::print(json, &grants, || {
-                let row = |grant: &GrantView| {
+                let row = |grant: &LeaseView| {
                     let holder = grant.holder.clone().unwrap_or_else(|| "-".to_owned());
-                    [grant.role.clone(), holder, grant.epoch.to_string(), grant.renewed.to_string()]
+                    [grant.role.clone(), holder, grant.epoch.to_string(), grant.renewed_at.to_string()]
                 };
                 show::table(["ROLE", "HOLDER", "EPOCH", "RENEWED AT"], grants.iter().map(row))
             })
@@ -191,7 +193,7 @@
         }
         Job::Members { job: Members::Add { joining } } => add(&agents, json, &joining, within),
         Job::Members { job: Members::Remove { who } } => {
-            agents.lead("/v1/members", &MemberChange::Remove(who.clone()))?;
+            agents.lead("/v1/members", &MembershipRequest::Remove(who.clone()))?;
             show::print(json, &json!({"removed": who}), || format!("{who} is no member any more"))
         }
         Job::Transfer { to } => {
@@ -215,7 +217,7 @@
         let full = if node.scarce { ", NEARLY FULL: takes no new entries" } else { "" };
         let leader = status.leader.as_deref();
         [
-            format!("{} ({}) of cluster {}, {}", me.name, me.id, status.cluster, me.part),
+            format!("{} ({}) of cluster {}, {}", me.name, me.id, status.cluster, me.role),
             format!("  {} in term {}, leader: {}", node.standing, node.term, leader.unwrap_or("nobody")),
             format!(
                 "  decided {}, applied {}, held {}, waiting {}",
@@ -237,9 +239,9 @@
 fn members(all: &[Member], leader: Option<&str>) -> String {
     let row = |member: &Member| {
         let part =
-            if leader == Some(member.name.as_str()) { "leader".to_owned() } else { member.part.clone() };
-        let living = member.living.map_or("?", |living| if living { "yes" } else { "NO" });
-        let holds = member.matched.map_or("?".to_owned(), |matched| matched.to_string());
+            if leader == Some(member.name.as_str()) { "leader".to_owned() } else { member.role.clone() };
+        let living = member.recently_active.map_or("?", |living| if living { "yes" } else { "NO" });
+        let holds = member.matched_index.map_or("?".to_owned(), |matched| matched.to_string());
         [member.name.clone(), member.id.clone(), member.address.clone(), part, living.to_owned(), holds]
     };
     show::table(["NAME", "NUMBER", "ADDRESS", "PART", "HEARD FROM", "HOLDS"], all.iter().map(row))
@@ -256,7 +258,7 @@
         if let Some(after) = &after {
             path.push_str(&format!("&after={after}"));
         }
-        let page: Page = agents.get(&path)?;
+        let page: SubjectPage = agents.get(&path)?;
         all.extend(page.subjects);
         match page.next {
             Some(next) => after = Some(next),
@@ -267,7 +269,7 @@
 
 fn subjects(all: &[SubjectView]) -> String {
     let row = |view: &SubjectView| {
-        let (standing, value) = match &view.standing {
+        let (standing, value) = match &view.state {
             SubjectState::Decided(value) => ("decided", show::bytes(value)),
             SubjectState::Dispatched(epoch) => ("handed out", format!("epoch {epoch}")),
             SubjectState::Executed(epoch) => ("ran", format!("epoch {epoch}")),
@@ -287,23 +289,23 @@
 }
 
 fn applied(agents: &Agents, command: Command, within: Duration) -> Result<Reply, Trouble> {
-    let within_ms = Some(within.as_millis() as u64);
-    let body = Propose { command: Some(command), proposal: None, within_ms };
+    let timeout_ms = Some(within.as_millis() as u64);
+    let body = ProposeRequest { command: Some(command), proposal: None, timeout_ms };
     match agents.post("/v1/propose", &body)? {
-        Proposed::Applied { reply } => Ok(reply),
-        Proposed::NotProposed => Err(Trouble::Unreached(
+        ProposeResponse::Applied { reply } => Ok(reply),
+        ProposeResponse::NotProposed => Err(Trouble::Unreached(
             "no leader in time: nothing was proposed; is a quorum running?".to_owned(),
         )),
-        Proposed::MayYet => {
+        ProposeResponse::Indeterminate => {
             Err(Trouble::MayYet("no answer in time: it may yet be decided; say it again".to_owned()))
         }
-        Proposed::Busy => {
+        ProposeResponse::Busy => {
             Err(Trouble::Unreached("too much waits at this agent: nothing was proposed".to_owned()))
         }
-        Proposed::StoreFull => {
+        ProposeResponse::StoreFull => {
             Err(Trouble::Unreached("the agent's store is nearly full: make room".to_owned()))
         }
-        Proposed::Refused { why } => Err(Trouble::Refused(why)),
+        ProposeResponse::Rejected { reason: why } => Err(Trouble::Refused(why)),
     }
 }
 
@@ -329,14 +331,14 @@
 
 fn add(agents: &Agents, json: bool, joining: &str, within: Duration) -> Result<(), Trouble> {
     let newcomer: Status = Agents::new(vec![joining.to_owned()], within).get("/v1/status")?;
-    let Member { id, name, address, part, .. } = newcomer.me;
+    let Member { id, name, address, role: part, .. } = newcomer.me;
     if part != "none" {
         return Err(Trouble::Refused(format!(
             "{name} is a member of cluster {} already ({part})",
             newcomer.cluster
         )));
     }
-    let change = MemberChange::Add { id: id.clone(), name: name.clone(), address: address.clone() };
+    let change = MembershipRequest::Add { id: id.clone(), name: name.clone(), address: address.clone() };
     agents.lead("/v1/members", &change)?;
     show::print(json, &json!({"added": name, "id": id, "address": address}), || {
         format!("{name} ({id}) at {address} catches up and votes from then on; see members list")
