--- a/crates/agent/src/storage_writer.rs
+++ b/crates/agent/src/storage_writer.rs
@@ -79,6 +79,10 @@
         StoreError::Schema { .. } => "use the program version that wrote the store",
         StoreError::Identity { .. } => "the configuration names another instance's store",
         StoreError::Order(_) => "a bug in this program: report it with the log",
-        StoreError::Ended(_) => "the device failed: check the system's log, then start again",
+        StoreError::InUse => "stop the other agent that uses it, or give this one a store of its own",
+        StoreError::File { .. } | StoreError::NotFound { .. } => "check the path and its permissions",
+        StoreError::Empty | StoreError::Device(_) | StoreError::Failed { .. } => {
+            "the device failed: check the system's log, then start again"
+        }
     }
 }
--- a/crates/cli/src/inspect.rs
+++ b/crates/cli/src/inspect.rs
@@ -11,7 +11,7 @@
 
 fn trouble(error: &StoreError) -> Trouble {
     let hint = match error {
-        StoreError::Ended(why) if why.contains("already open") => " (stop its agent first)",
+        StoreError::InUse => " (stop its agent first)",
         _ => "",
     };
     Trouble::Store(format!("{error}{hint}"))
--- a/crates/store/src/device.rs
+++ b/crates/store/src/synced_device.rs
@@ -1,15 +1,15 @@
-//! The device under the pages, with a new length made durable before anything is written that relies on it.
+//! The device under redb's pages. A new length is made durable before anything is written that relies on it.
 
 use std::io;
 
 use redb::StorageBackend;
 
-/// Syncs after each change of length. Without it a crash can leave a header that tells of pages beyond the file's
+/// Syncs after each change of length. Without that a crash can leave a header that refers to pages beyond the file's
 /// end, since a file system may write the header's block before the new length; the pages can't be opened then.
 #[derive(Debug)]
-pub(crate) struct Steady<B>(pub(crate) B);
+pub(crate) struct SyncedDevice<B>(pub(crate) B);
 
-impl<B: StorageBackend> StorageBackend for Steady<B> {
+impl<B: StorageBackend> StorageBackend for SyncedDevice<B> {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -114,7 +114,7 @@
     disk.fail_syncs(false);
     let operations = disk.operations();
     let error = store.commit(&batches[1]).unwrap_err();
-    assert!(matches!(error, StoreError::Ended(_)), "{error}");
+    assert!(matches!(error, StoreError::Failed { .. }), "{error}");
     assert!(error.to_string().contains(&first.to_string()), "{error}: why it ended is kept, not: {first}");
     assert_eq!(disk.operations(), operations, "the device is left alone");
 }
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -11,7 +11,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use garnetcrank_store::{Batch, Found, HardState, Identity, Store, StoreError};
+use garnetcrank_store::{Batch, HardState, Identity, Store, StoreError, StoredSchema};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 /// The snapshot's index: entries up to it are not read any more.
@@ -162,8 +162,8 @@
         error.to_string(),
         "the store belongs to alma (0a11ce0000000001) of cluster eger, not to alma (0000000000000007) of cluster eger"
     );
-    assert_ne!(Found::Nothing, Found::Version(garnetcrank_store::SCHEMA));
-    assert_eq!(garnetcrank_store::SCHEMA, 1, "a later layout needs a step that reads this fixture");
+    assert_ne!(StoredSchema::Empty, StoredSchema::Version(garnetcrank_store::SCHEMA_VERSION));
+    assert_eq!(garnetcrank_store::SCHEMA_VERSION, 1, "a later layout needs a step that reads this fixture");
 }
 
 #[test]
