--- /dev/null
+++ b/crates/cli/src/ledger/inspect.rs
@@ -0,0 +1,170 @@
+//! `garnetcrank ledger inspect`: a look at a store that changes nothing.
+
+use std::path::Path;
+
+use garnetcrank_consensus::replicated_state::Proposal;
+use garnetcrank_store::{HardState, Identity, Loaded, Record, Scrub, Store, StoreError, Usage};
+use serde_json::{Value, json};
+
+use super::command_text::command_text;
+use crate::error::CliError;
+use crate::output::{self, OutputFormat};
+
+/// [`Record::kind`] of an entry with a proposal; the others are changes of membership.
+const KIND_NORMAL: u8 = 0;
+
+/// What is to be shown beside the summary.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct InspectOptions {
+    /// The log's entries.
+    pub(super) entries: bool,
+    /// A check of every value.
+    pub(super) scrub: bool,
+}
+
+/// The snapshot without its data.
+struct SnapshotSummary {
+    index: u64,
+    term: u64,
+    bytes: usize,
+}
+
+/// What a store holds, ready to be printed.
+struct Inspection {
+    identity: Identity,
+    starts: u64,
+    usage: Usage,
+    hard_state: Option<HardState>,
+    snapshot: Option<SnapshotSummary>,
+    scrub: Option<Scrub>,
+    /// Index, term and text of each entry.
+    entries: Vec<[String; 3]>,
+}
+
+/// Prints what a store holds.
+///
+/// # Errors
+/// The store can't be read, or the scrub found corrupt values; these are printed first.
+pub(super) fn inspect(path: &Path, options: InspectOptions, format: OutputFormat) -> Result<(), CliError> {
+    let inspection = Inspection::of(&Store::inspect(path)?, options)?;
+    output::print(format, &inspection.json(), || inspection.text())?;
+    match inspection.corrupt_texts().len() {
+        0 => Ok(()),
+        count => Err(CliError::CorruptValues { count }),
+    }
+}
+
+impl Inspection {
+    fn of(store: &Store, options: InspectOptions) -> Result<Self, StoreError> {
+        let usage = store.usage()?;
+        let scrub = if options.scrub { Some(store.scrub()?) } else { None };
+        let loaded = load(store, scrub.as_ref())?;
+        let mut entries = Vec::new();
+        let mut snapshot = None;
+        let mut hard_state = None;
+        if let Some(loaded) = loaded {
+            hard_state = Some(loaded.hard);
+            snapshot = loaded.snapshot.map(|snapshot| SnapshotSummary {
+                index: snapshot.index,
+                term: snapshot.term,
+                bytes: snapshot.data.len(),
+            });
+            if options.entries {
+                entries = loaded.entries.iter().map(entry_row).collect();
+            }
+        }
+        let identity = store.identity().clone();
+        Ok(Self { identity, starts: store.starts(), usage, hard_state, snapshot, scrub, entries })
+    }
+
+    /// The corrupt values that the scrub found, one text each.
+    fn corrupt_texts(&self) -> Vec<String> {
+        match &self.scrub {
+            Some(scrub) => scrub.corrupt.iter().map(ToString::to_string).collect(),
+            None => Vec::new(),
+        }
+    }
+
+    fn json(&self) -> Value {
+        let snapshot = self
+            .snapshot
+            .as_ref()
+            .map(|snapshot| json!({"index": snapshot.index, "term": snapshot.term, "bytes": snapshot.bytes}));
+        json!({
+            "name": self.identity.name,
+            "id": format!("{:016x}", self.identity.id),
+            "cluster": self.identity.cluster,
+            "starts": self.starts,
+            "usage": self.usage,
+            "hard": self.hard_state,
+            "sound": self.scrub.as_ref().map(|scrub| scrub.sound),
+            "snapshot": snapshot,
+            "corrupt": self.corrupt_texts(),
+            "entries": self.entries,
+        })
+    }
+
+    fn text(&self) -> String {
+        let Identity { name, id, cluster } = &self.identity;
+        let mut lines =
+            vec![format!("{name} ({id:016x}) of cluster {cluster}, opened {} times", self.starts)];
+        if let Some(hard) = self.hard_state {
+            lines.push(format!(
+                "  term {}, vote {:016x}, decided up to {}",
+                hard.term, hard.vote, hard.commit
+            ));
+        }
+        if let Some(SnapshotSummary { index, term, bytes }) = &self.snapshot {
+            lines.push(format!("  snapshot up to {index} of term {term}, {bytes} bytes"));
+        }
+        lines.push(self.usage_text());
+        if let Some(scrub) = &self.scrub {
+            lines.push(format!("  {} values are sound, {} corrupt", scrub.sound, scrub.corrupt.len()));
+        }
+        for corrupt in self.corrupt_texts() {
+            lines.push(format!("  corrupt: {corrupt}"));
+        }
+        if !self.entries.is_empty() {
+            lines.push(output::table(["INDEX", "TERM", "ENTRY"], self.entries.clone()));
+        }
+        lines.join("\n")
+    }
+
+    fn usage_text(&self) -> String {
+        let Usage { bytes, first, last, keys, .. } = &self.usage;
+        let range = match (first, last) {
+            (Some(first), Some(last)) => format!("{first} to {last}"),
+            _ => "none".to_owned(),
+        };
+        format!("  entries: {range}; {keys} keys; {bytes} bytes used")
+    }
+}
+
+/// Loads a store. Corrupt values are no error if a scrub has found them: its report has them all.
+fn load(store: &Store, scrub: Option<&Scrub>) -> Result<Option<Loaded>, StoreError> {
+    let is_reported = scrub.is_some_and(|scrub| !scrub.corrupt.is_empty());
+    match store.load() {
+        Ok(loaded) => Ok(Some(loaded)),
+        Err(StoreError::Corrupt(_)) if is_reported => Ok(None),
+        Err(error) => Err(error),
+    }
+}
+
+fn entry_row(record: &Record) -> [String; 3] {
+    [record.index.to_string(), record.term.to_string(), entry_text(record)]
+}
+
+fn entry_text(record: &Record) -> String {
+    if record.kind != KIND_NORMAL {
+        return "(a change of members)".to_owned();
+    }
+    if record.data.is_empty() {
+        return "(a leader's first)".to_owned();
+    }
+    match postcard::from_bytes::<Proposal>(&record.data) {
+        Ok(Proposal { session, sequence, command }) => {
+            format!("session {session} no. {sequence}: {}", command_text(&command))
+        }
+        Err(error) => format!("can't be read: {error}"),
+    }
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,16 +1,28 @@
 //! `garnetcrank`: the operators' command line.
+//!
+//! - `ledger`: the subcommands, a module a family;
+//! - `agent_client`: requests to agents; `output`: tables for people, JSON for programs;
+//! - `error`: what can go wrong, with its exit code.
 
-mod agents;
-mod command_text;
-mod inspect;
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::missing_errors_doc
+)]
+
+mod agent_client;
+mod error;
 mod ledger;
-mod show;
+mod output;
 
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 
-const CODES: &str = "Exit codes:
+use output::OutputFormat;
+
+const EXIT_CODES: &str = "Exit codes:
   0  done
   1  refused, or decided otherwise before
   2  the command line is wrong
@@ -20,64 +32,33 @@
 
 /// Manages instances that decide together.
 #[derive(Debug, Parser)]
-#[command(version, after_help = CODES)]
+#[command(version, after_help = EXIT_CODES)]
 struct Cli {
     /// Print JSON for programs instead of tables.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
-    subject: Topic,
+    topic: Topic,
 }
 
 #[derive(Debug, Subcommand)]
 enum Topic {
     /// What the instances have decided, and who they are.
-    #[command(after_help = CODES)]
+    #[command(after_help = EXIT_CODES)]
     Ledger(ledger::Args),
 }
 
-/// Why a command did not end well; each has its exit code.
-#[derive(Debug, thiserror::Error)]
-enum Trouble {
-    /// No, and why.
-    #[error("{0}")]
-    Refused(String),
-    /// The command line.
-    #[error("{0}")]
-    Usage(String),
-    /// No agent.
-    #[error("{0}")]
-    Unreached(String),
-    /// No answer in time.
-    #[error("{0}")]
-    MayYet(String),
-    /// A store.
-    #[error("{0}")]
-    Store(String),
-}
-
-impl Trouble {
-    fn code(&self) -> u8 {
-        match self {
-            Trouble::Refused(_) => 1,
-            Trouble::Usage(_) => 2,
-            Trouble::Unreached(_) => 3,
-            Trouble::MayYet(_) => 4,
-            Trouble::Store(_) => 5,
-        }
-    }
-}
-
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.subject {
-        Topic::Ledger(args) => ledger::run(args, cli.json),
+    let format = if cli.json { OutputFormat::Json } else { OutputFormat::Text };
+    let result = match cli.topic {
+        Topic::Ledger(args) => ledger::run(args, format),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(trouble) => {
-            eprintln!("garnetcrank: {trouble}");
-            ExitCode::from(trouble.code())
+        Err(error) => {
+            eprintln!("garnetcrank: {error}");
+            error.exit_code()
         }
     }
 }
