--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -1,17 +1,18 @@
-//! Counters, each only ever growing, shared by the agent's threads.
+//! Counters, each only ever growing, shared by the agent's threads. A counter's name is its key in the JSON of the HTTP
+//! port, so names stay.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident;)*) => {
-        /// What the agent counts.
+        /// All counters of the agent.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: AtomicU64,)*
         }
 
         impl Counters {
-            /// All of them, by name.
+            /// All counters, by name.
             pub fn all(&self) -> std::collections::BTreeMap<&'static str, u64> {
                 [$((stringify!($name), self.$name.load(Ordering::Relaxed)),)*].into()
             }
@@ -20,54 +21,54 @@
 }
 
 counters! {
-    /// Messages to peers.
+    /// Messages queued for peers.
     sent;
-    /// Messages to peers that found no room or no connection.
+    /// Messages to peers that were dropped: the queue was full or there was no connection.
     unsent;
-    /// Messages of peers.
+    /// Messages received from peers.
     received;
-    /// Messages of peers that found the core busy.
+    /// Messages from peers that were dropped: the engine's queue was full.
     overrun;
-    /// Frames that could not be read; each ended its connection.
+    /// Violations of the peer protocol, such as malformed frames; each ended its connection.
     unreadable;
-    /// Hellos refused.
+    /// Hellos of peers that were rejected.
     hellos_refused;
-    /// Connections to peers that came up.
+    /// Connections to peers that were established.
     connected;
-    /// Connections to peers that did not come up or broke.
+    /// Connections to peers that could not be established or that failed.
     disconnected;
-    /// Batches made durable.
+    /// Batches committed to the store.
     commits;
-    /// Entries made durable.
+    /// Log entries committed to the store.
     entries;
-    /// Microseconds spent in commits.
+    /// Time spent in commits, in microseconds.
     commit_us;
-    /// Snapshots folded or installed.
+    /// Snapshots written, whether from compaction or from the leader.
     snapshots;
-    /// Times this instance became leader.
+    /// How often this instance became leader.
     led;
-    /// Times the process had not run for longer than an election.
+    /// How often the process was paused for longer than an election timeout.
     freezes;
-    /// Requests on the local port.
+    /// Requests on the HTTP port.
     requests;
-    /// Requests refused for want of room.
+    /// Requests shed because too many were pending.
     busy;
-    /// Proposals that were applied in time.
+    /// Proposals that were applied within their timeout.
     applied;
-    /// Proposals that got no answer in time.
+    /// Proposals that got no answer within their timeout.
     unanswered;
-    /// Grants taken over by this instance.
+    /// Leases acquired by this instance.
     granted;
-    /// Verdicts of fronts.
+    /// Verdicts reported by proxies.
     verdicts;
 }
 
-/// One more.
+/// Adds one to a counter.
 pub fn count(counter: &AtomicU64) {
     add(counter, 1);
 }
 
-/// So many more.
-pub fn add(counter: &AtomicU64, more: u64) {
-    counter.fetch_add(more, Ordering::Relaxed);
+/// Adds to a counter.
+pub fn add(counter: &AtomicU64, amount: u64) {
+    counter.fetch_add(amount, Ordering::Relaxed);
 }
--- a/crates/agent/src/engine/membership.rs
+++ b/crates/agent/src/engine/membership.rs
@@ -79,7 +79,7 @@
             return;
         }
         if !waits_to_be_added {
-            self.share_members(&targets);
+            self.publish_members(&targets);
             self.discovered.clear();
         }
         let ids: BTreeSet<InstanceId> = targets.iter().map(|member| member.id).collect();
@@ -95,7 +95,7 @@
     }
 
     /// Tells connections of callers who the members are.
-    fn share_members(&self, members: &[Member]) {
+    fn publish_members(&self, members: &[Member]) {
         *self.context.members.write().unwrap_or_else(PoisonError::into_inner) = members.to_vec();
     }
 
--- a/crates/agent/src/http_api/mod.rs
+++ b/crates/agent/src/http_api/mod.rs
@@ -92,16 +92,19 @@
 /// The query of a request; each path uses some of its keys.
 #[derive(Debug, Default, Deserialize)]
 struct QueryOptions {
-    within_ms: Option<u64>,
+    #[serde(rename = "within_ms")]
+    timeout_ms: Option<u64>,
+    /// Anything but 0: a stale read is enough.
     stale: Option<u8>,
     after: Option<String>,
     space: Option<String>,
-    front: Option<String>,
+    #[serde(rename = "front")]
+    proxy: Option<String>,
 }
 
 impl QueryOptions {
     fn timeout_ms(&self) -> u64 {
-        effective_timeout_ms(self.within_ms)
+        effective_timeout_ms(self.timeout_ms)
     }
 
     fn consistency(&self) -> ReadConsistency {
@@ -113,6 +116,6 @@
 }
 
 /// The wait that a caller gets, in milliseconds.
-fn effective_timeout_ms(asked: Option<u64>) -> u64 {
-    asked.unwrap_or(DEFAULT_TIMEOUT_MS).min(MAX_TIMEOUT_MS)
+fn effective_timeout_ms(requested: Option<u64>) -> u64 {
+    requested.unwrap_or(DEFAULT_TIMEOUT_MS).min(MAX_TIMEOUT_MS)
 }
--- a/crates/agent/src/http_api/watch_stream.rs
+++ b/crates/agent/src/http_api/watch_stream.rs
@@ -59,7 +59,7 @@
     State(api): State<HttpApi>,
     Query(options): Query<QueryOptions>,
 ) -> Result<Response, ApiError> {
-    let proxy = options.front.filter(|name| is_proxy_name(name)).ok_or(ApiError::ProxyName)?;
+    let proxy = options.proxy.filter(|name| is_proxy_name(name)).ok_or(ApiError::ProxyName)?;
     api.send(EngineInput::ProxyConnected(proxy.clone()))?;
     let guard = WatchGuard { proxy, engine: api.engine };
     let watch = Watch { published: api.published, guard };
--- a/crates/agent/src/peer_transport/connection.rs
+++ b/crates/agent/src/peer_transport/connection.rs
@@ -31,7 +31,7 @@
 }
 
 /// What is to be done next on a connection.
-enum SendStep {
+enum SendAction {
     ShortMessage(Vec<u8>),
     NextChunk,
     LongMessage(Vec<u8>),
@@ -74,39 +74,39 @@
     let mut long_message = ChunkedMessage::new();
     let (mut reader, mut writer) = stream.split();
     loop {
-        let step = match next_step(queue, &long_message, &mut heartbeats, &mut reader).await {
-            Ok(step) => step,
+        let action = match next_action(queue, &long_message, &mut heartbeats, &mut reader).await {
+            Ok(action) => action,
             Err(end) => return end,
         };
-        if let Err(error) = execute(step, &mut long_message, &mut writer).await {
+        if let Err(error) = execute(action, &mut long_message, &mut writer).await {
             return ConnectionEnd::Failed(error);
         }
     }
 }
 
 /// Waits for the next thing to do.
-async fn next_step(
+async fn next_action(
     queue: &mut PeerQueue,
     long_message: &ChunkedMessage,
     heartbeats: &mut Interval,
     reader: &mut ReadHalf<'_>,
-) -> Result<SendStep, ConnectionEnd> {
+) -> Result<SendAction, ConnectionEnd> {
     let mut unexpected = [0u8; 1];
-    let step = tokio::select! {
+    let action = tokio::select! {
         // Short messages first: a snapshot must not delay Raft's heartbeats.
         biased;
-        message = queue.short.recv() => SendStep::ShortMessage(message.ok_or(ConnectionEnd::SenderDropped)?),
-        () = std::future::ready(()), if !long_message.is_done() => SendStep::NextChunk,
+        message = queue.short.recv() => SendAction::ShortMessage(message.ok_or(ConnectionEnd::SenderDropped)?),
+        () = std::future::ready(()), if !long_message.is_done() => SendAction::NextChunk,
         message = queue.long.recv(), if long_message.is_done() => {
-            SendStep::LongMessage(message.ok_or(ConnectionEnd::SenderDropped)?)
+            SendAction::LongMessage(message.ok_or(ConnectionEnd::SenderDropped)?)
         }
-        _ = heartbeats.tick() => SendStep::Heartbeat,
+        _ = heartbeats.tick() => SendAction::Heartbeat,
         read = reader.read(&mut unexpected) => return Err(ConnectionEnd::Failed(read_end(read))),
     };
-    if let SendStep::ShortMessage(message) | SendStep::LongMessage(message) = &step {
+    if let SendAction::ShortMessage(message) | SendAction::LongMessage(message) = &action {
         queue.on_dequeued(message);
     }
-    Ok(step)
+    Ok(action)
 }
 
 /// What a finished read means: the peer never sends anything after its hello reply.
@@ -119,23 +119,23 @@
 }
 
 async fn execute(
-    step: SendStep,
+    action: SendAction,
     long_message: &mut ChunkedMessage,
     writer: &mut (impl AsyncWriteExt + Unpin),
 ) -> Result<(), PeerProtocolError> {
-    match step {
-        SendStep::ShortMessage(message) => {
+    match action {
+        SendAction::ShortMessage(message) => {
             // One chunk with each short message, so that many short ones can't hold a long one up for ever. Their
             // order does not matter.
             long_message.send_next(writer).await?;
             send_frame(writer, &Frame::Message(message)).await
         }
-        SendStep::NextChunk => long_message.send_next(writer).await,
-        SendStep::LongMessage(message) => {
+        SendAction::NextChunk => long_message.send_next(writer).await,
+        SendAction::LongMessage(message) => {
             long_message.begin(&message);
             Ok(())
         }
-        SendStep::Heartbeat => send_frame(writer, &Frame::Heartbeat).await,
+        SendAction::Heartbeat => send_frame(writer, &Frame::Heartbeat).await,
     }
 }
 
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -6,13 +6,13 @@
 
 use garnetcrank_agent::config::Config;
 use garnetcrank_agent::counters::Counters;
-use garnetcrank_agent::engine::{Engine, EngineParts};
+use garnetcrank_agent::engine::{Engine, EngineError, EngineParts};
 use garnetcrank_agent::engine_input::{EngineInput, MAX_QUEUED_INPUTS, PublishedState};
 use garnetcrank_agent::http_api::{self, HttpApi};
 use garnetcrank_agent::peer_transport::{self, PeerContext};
 use garnetcrank_agent::storage_writer;
 use garnetcrank_consensus::raft_node::{RaftNode, RaftSettings};
-use garnetcrank_store::{Identity, Loaded, Store, StoreError};
+use garnetcrank_store::{Batch, Identity, Loaded, Store, StoreError};
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{SignalKind, signal};
@@ -65,16 +65,11 @@
     let (engine_sender, inputs) = sync_channel(MAX_QUEUED_INPUTS);
     let (published, published_receiver) = watch::channel(PublishedState::default());
     let listeners = runtime.block_on(listen(&config))?;
-    let (storage_writer, _) =
-        storage_writer::start(store, config.store.clone(), engine_sender.clone(), counters.clone())
-            .map_err(|source| AgentError::Start { what: "storage writer", source })?;
+    let storage_writer = start_storage_writer(&config, store, &engine_sender, &counters)?;
     let http_api =
         HttpApi { engine: engine_sender.clone(), published: published_receiver, counters: counters.clone() };
     spawn_connections(&runtime, listeners, http_api, peer_context.clone(), &engine_sender);
-    info!(
-        name = identity.name, id = format!("{:016x}", identity.id), cluster = identity.cluster, starts,
-        peers = %config.peer_address, local = %config.http_address, "agent starts"
-    );
+    log_start(&config, &identity, starts);
     let engine = Engine::new(EngineParts {
         config,
         node,
@@ -86,14 +81,40 @@
         starts,
     });
     let result = engine.run(&inputs);
-    match &result {
+    log_end(&result, &counters);
+    // Connections need not be waited for: callers without an answer see them end.
+    runtime.shutdown_background();
+    Ok(result?)
+}
+
+fn log_start(config: &Config, identity: &Identity, starts: u64) {
+    let Identity { cluster, name, id } = identity;
+    let id = format!("{id:016x}");
+    info!(
+        name, id, cluster, starts,
+        peers = %config.peer_address, local = %config.http_address, "agent starts"
+    );
+}
+
+fn log_end(result: &Result<(), EngineError>, counters: &Counters) {
+    match result {
         Ok(()) => info!("stopped"),
         Err(error) => error!(%error, "agent failed"),
     }
     info!(counters = serde_json::to_string(&counters.all()).unwrap_or_default(), "counters");
-    // Connections need not be waited for: callers without an answer see them end.
-    runtime.shutdown_background();
-    Ok(result?)
+}
+
+fn start_storage_writer(
+    config: &Config,
+    store: Store,
+    engine: &SyncSender<EngineInput>,
+    counters: &Arc<Counters>,
+) -> Result<SyncSender<Batch>, AgentError> {
+    let path = config.store.clone();
+    match storage_writer::start(store, path, engine.clone(), counters.clone()) {
+        Ok((sender, _)) => Ok(sender),
+        Err(source) => Err(AgentError::Start { what: "storage writer", source }),
+    }
 }
 
 fn open_store(config: &Config) -> Result<OpenedStore, StoreError> {
--- a/crates/cli/src/agent_client.rs
+++ b/crates/cli/src/agent_client.rs
@@ -118,7 +118,7 @@
             }
         }
         match leader {
-            Some(leader) => Err(CliError::LeaderNotAsked { leader }),
+            Some(leader) => Err(CliError::LeaderNotAddressed { leader }),
             None if failed.is_empty() => Err(CliError::NoLeader),
             None => Err(CliError::LeaderUnreachable(failed)),
         }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -77,9 +77,9 @@
     /// An agent's status can't be read.
     #[error("an agent's status can't be read: {0}")]
     Status(#[source] serde_json::Error),
-    /// The leader's agent was not among those asked.
+    /// The leader's agent is not among those that the command line names.
     #[error("{leader} leads: name its agent with --agent as well")]
-    LeaderNotAsked {
+    LeaderNotAddressed {
         /// The leader's name.
         leader: String,
     },
@@ -142,7 +142,7 @@
             | Self::Print(_) => EXIT_REJECTED,
             Self::Unreachable(_)
             | Self::Status(_)
-            | Self::LeaderNotAsked { .. }
+            | Self::LeaderNotAddressed { .. }
             | Self::NoLeader
             | Self::LeaderUnreachable(_)
             | Self::NotProposed
--- a/crates/store/src/schema/mod.rs
+++ b/crates/store/src/schema/mod.rs
@@ -46,11 +46,11 @@
     Version(u32),
 }
 
-/// Upgrades a file from one version to the next. All steps run in one transaction.
-pub(crate) type UpgradeStep = fn(&WriteTransaction) -> Result<(), StoreError>;
+/// Upgrades a file from one version to the next. All upgrades of a file run in one transaction.
+pub(crate) type Upgrade = fn(&WriteTransaction) -> Result<(), StoreError>;
 
-/// The steps, by the version that they start from, beginning with 1. A new version adds its step here.
-pub(crate) const UPGRADE_STEPS: &[UpgradeStep] = &[];
+/// The upgrades, by the version that they start from, beginning with 1. A new version adds its own here.
+pub(crate) const UPGRADES: &[Upgrade] = &[];
 
 /// Reads the version that a file has.
 pub(crate) fn stored_schema(txn: &WriteTransaction) -> Result<StoredSchema, StoreError> {
@@ -76,15 +76,15 @@
     txn: &WriteTransaction,
     stored: u32,
     target: u32,
-    steps: &[UpgradeStep],
+    upgrades: &[Upgrade],
 ) -> Result<(), StoreError> {
     let unsupported = StoreError::Schema { found: stored, known: target };
     if stored > target || stored == 0 {
         return Err(unsupported);
     }
     for version in stored..target {
-        let Some(step) = steps.get(version as usize - 1) else { return Err(unsupported) };
-        step(txn)?;
+        let Some(next) = upgrades.get(version as usize - 1) else { return Err(unsupported) };
+        next(txn)?;
     }
     if stored < target {
         write_version(txn, target)?;
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -118,7 +118,7 @@
 
 /// Upgrades a file to this program's schema; its owner.
 fn upgrade(txn: &WriteTransaction, version: u32) -> Result<Identity, StoreError> {
-    schema::upgrade(txn, version, SCHEMA_VERSION, schema::UPGRADE_STEPS)?;
+    schema::upgrade(txn, version, SCHEMA_VERSION, schema::UPGRADES)?;
     match get_meta(txn, IDENTITY_KEY)? {
         Some(owner) => Ok(owner),
         None => {
