--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -1,9 +1,10 @@
-//! Clients that decide the same subjects against one another through all agents, and watchers of who casts; at the
-//! end, whether anything was decided twice or lost.
+//! Clients that decide the same subjects against one another through all agents, and proxies that watch for votes to
+//! cast; at the end, whether anything was decided twice or lost.
 
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
@@ -15,58 +16,87 @@
 use serde_json::{Value, json};
 
 /// Subjects that are open to all clients at a time.
-const OPEN: u64 = 8;
+const OPEN_SUBJECTS: u64 = 8;
 /// Operations on one subject before the next is opened.
-const EACH: u64 = 5;
+const OPERATIONS_PER_SUBJECT: u64 = 5;
+/// One in so many operations is a read.
+const OPERATIONS_PER_READ: u64 = 3;
+/// Longest wait for one answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long one proposal is sent again and again before its session is given up.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(25);
+/// Longest wait for a page when the agents are compared at the end.
+const COMPARE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What became of a run.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
     /// Subjects decided.
     pub decisions: u64,
-    /// Epochs of the role `votes` that were seen.
+    /// Epochs of the lease on the role `votes` that were seen.
     pub epochs: usize,
-    /// Casts under an older epoch that a gate refused.
+    /// Votes under an older epoch that the fencing gate rejected.
     pub stale: u64,
-    /// Whatever must not be, in words.
+    /// Whatever must not happen, in words.
     pub faults: Vec<String>,
 }
 
+/// The platform that proxies cast their votes at, with a fencing gate in front.
+#[derive(Default)]
+struct Platform {
+    gate: FencingGate,
+    admitted_epochs: Vec<u64>,
+    stale_votes: u64,
+}
+
+impl Platform {
+    /// A proxy that is assigned the vote shows its epoch first.
+    fn cast_vote(&mut self, epoch: u64) {
+        let order = Subject::new("cast", epoch);
+        match self.gate.admit(&build_verdicts::vote_role(), Epoch(epoch), &order) {
+            FencingDecision::Admit => self.admitted_epochs.push(epoch),
+            FencingDecision::StaleEpoch { .. } => self.stale_votes += 1,
+            FencingDecision::Duplicate { .. } | FencingDecision::Full => {}
+        }
+    }
+}
+
 #[derive(Default)]
 struct Shared {
     stop: AtomicBool,
     operations: AtomicU64,
     history: Mutex<History>,
-    gate: Mutex<(FencingGate, Vec<u64>, u64)>,
+    platform: Mutex<Platform>,
+}
+
+fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Clients and watchers under way.
+/// Clients and proxies that are running.
 pub struct Load {
     shared: Arc<Shared>,
     clients: Vec<JoinHandle<()>>,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 impl Load {
-    /// So many clients, and a watcher at each agent.
-    pub fn start(cluster: &AgentCluster, clients: usize) -> Self {
+    /// Starts so many clients, and a proxy at each agent.
+    pub fn start(cluster: &AgentCluster, client_count: usize) -> Self {
         let shared = Arc::new(Shared::default());
-        let locals: Vec<_> = (0..cluster.len()).map(|at| cluster.local(at)).collect();
-        let begun = Instant::now();
-        let client = |number: usize| {
-            let (shared, locals) = (shared.clone(), locals.clone());
-            std::thread::spawn(move || decide(number, &locals, begun, &shared))
-        };
-        let clients = (0..clients).map(client).collect();
+        let agents: Vec<SocketAddr> = (0..cluster.len()).map(|at| cluster.local(at)).collect();
+        let started = Instant::now();
+        let mut clients = Vec::new();
+        for number in 0..client_count {
+            let client = Client::new(number, agents.clone(), started, shared.clone());
+            clients.push(std::thread::spawn(move || client.run()));
+        }
         for at in 0..cluster.len() {
-            let (lines, shared) = (cluster.watch(at, &format!("front-{at}")), shared.clone());
+            let events = cluster.watch(at, &format!("front-{at}"));
+            let shared = shared.clone();
             std::thread::spawn(move || {
-                for line in lines {
-                    if let Some(epoch) = line["cast"]["epoch"].as_u64() {
-                        cast(epoch, &shared);
+                for event in events {
+                    if let Some(epoch) = event["cast"]["epoch"].as_u64() {
+                        locked(&shared.platform).cast_vote(epoch);
                     }
                 }
             });
@@ -74,12 +104,12 @@
         Self { shared, clients }
     }
 
-    /// Decisions that clients have heard of so far.
+    /// Subjects that clients have seen decided so far.
     pub fn decisions(&self) -> usize {
         locked(&self.shared.history).acknowledged().into_iter().collect::<BTreeMap<_, _>>().len()
     }
 
-    /// Ends the clients and compares what they heard with what all agents hold.
+    /// Ends the clients and compares what they were answered with what all agents hold.
     pub fn end(self, cluster: &AgentCluster) -> Report {
         self.shared.stop.store(true, Ordering::SeqCst);
         let mut report = Report::default();
@@ -92,114 +122,151 @@
         report.faults.extend(history.not_linearizable());
         let acknowledged: BTreeMap<u64, Vec<u8>> = history.acknowledged().into_iter().collect();
         report.decisions = acknowledged.len() as u64;
-        let http = client(Duration::from_secs(8));
         for at in 0..cluster.len() {
-            let mut held = BTreeMap::new();
-            wait_until("an agent reads the whole ledger", || {
-                let all = subjects(&http, cluster.local(at));
-                held = all.clone().unwrap_or_default();
-                all.is_some()
-            });
-            for (number, value) in &acknowledged {
-                if held.get(number) != Some(value) {
-                    let held = held.get(number);
-                    report
-                        .faults
-                        .push(format!("subject {number}: {value:?} acknowledged, n{at} holds {held:?}"));
-                }
-            }
+            report.faults.extend(missing_decisions(cluster, at, &acknowledged));
         }
-        let (_, epochs, stale) = &*locked(&self.shared.gate);
-        report.epochs = epochs.len();
-        report.stale = *stale;
+        let platform = locked(&self.shared.platform);
+        report.epochs = platform.admitted_epochs.len();
+        report.stale = platform.stale_votes;
         report
     }
 }
 
-/// A front that is told to cast shows its epoch first.
-fn cast(epoch: u64, shared: &Shared) {
-    let (gate, epochs, stale) = &mut *locked(&shared.gate);
-    let act = Subject::new("cast", epoch);
-    match gate.admit(&build_verdicts::vote_role(), Epoch(epoch), &act) {
-        FencingDecision::Admit => epochs.push(epoch),
-        FencingDecision::StaleEpoch { .. } => *stale += 1,
-        FencingDecision::Duplicate { .. } | FencingDecision::Full => {}
+/// Acknowledged decisions that an agent does not hold.
+fn missing_decisions(
+    cluster: &AgentCluster,
+    at: usize,
+    acknowledged: &BTreeMap<u64, Vec<u8>>,
+) -> Vec<String> {
+    let http = client(COMPARE_TIMEOUT);
+    let mut held = BTreeMap::new();
+    wait_until("an agent reads the whole ledger", || match read_subjects(&http, cluster.local(at)) {
+        Some(subjects) => {
+            held = subjects;
+            true
+        }
+        None => false,
+    });
+    let mut missing = Vec::new();
+    for (number, value) in acknowledged {
+        let found = held.get(number);
+        if found != Some(value) {
+            missing.push(format!("subject {number}: {value:?} acknowledged, n{at} holds {found:?}"));
+        }
     }
+    missing
 }
 
-/// All subjects in space `s`, read so that nothing decided before is missing.
-fn subjects(http: &ureq::Agent, from: std::net::SocketAddr) -> Option<BTreeMap<u64, Vec<u8>>> {
-    let (mut all, mut after) = (BTreeMap::new(), String::new());
+/// All subjects in space `s`, by linearizable reads, so that nothing that was decided before is missing.
+fn read_subjects(http: &ureq::Agent, agent: SocketAddr) -> Option<BTreeMap<u64, Vec<u8>>> {
+    let mut subjects = BTreeMap::new();
+    let mut after = String::new();
     loop {
-        let (code, page) = get(http, from, &format!("/v1/ledger?space=s{after}")).ok()?;
+        let (code, page) = get(http, agent, &format!("/v1/ledger?space=s{after}")).ok()?;
         if code != 200 {
             return None;
         }
         for view in page["subjects"].as_array()? {
             let value = view["standing"]["Decided"].as_array()?;
-            let bytes = value.iter().filter_map(|byte| byte.as_u64()).map(|byte| byte as u8).collect();
-            all.insert(view["subject"]["number"].as_u64()?, bytes);
+            subjects.insert(view["subject"]["number"].as_u64()?, bytes(value));
         }
         match page["next"]["number"].as_u64() {
             Some(number) => after = format!("&after=s/{number}"),
-            None => return Some(all),
+            None => return Some(subjects),
         }
     }
 }
 
-/// One client: a session, then proposals and reads, each sent again to another agent until it is answered.
-fn decide(number: usize, locals: &[std::net::SocketAddr], begun: Instant, shared: &Shared) {
-    let http = client(Duration::from_millis(1500));
-    let now = || begun.elapsed().as_micros() as u64;
-    let mut at = number;
-    let mut session = Value::Null;
-    let mut sequence = 0u64;
-    // A proposal that was sent is sent until it is answered, also after the end of the run: that is what tells
-    // whether it was decided.
-    while !shared.stop.load(Ordering::SeqCst) {
-        if session.is_null() {
-            at += 1;
-            if let Ok((200, answer)) =
-                post(&http, locals[at % locals.len()], "/v1/sessions?within_ms=800", &json!({}))
-            {
-                session = answer["reply"]["Opened"].clone();
-                sequence = 0;
+/// One client: opens a session, then proposes and reads, each sent to one agent after the other.
+struct Client {
+    number: usize,
+    agents: Vec<SocketAddr>,
+    /// Requests sent so far, and with them which agent is next.
+    requests: usize,
+    http: ureq::Agent,
+    started: Instant,
+    shared: Arc<Shared>,
+    session: Option<Value>,
+    sequence: u64,
+}
+
+impl Client {
+    fn new(number: usize, agents: Vec<SocketAddr>, started: Instant, shared: Arc<Shared>) -> Self {
+        let http = client(ANSWER_TIMEOUT);
+        Self { number, agents, requests: number, http, started, shared, session: None, sequence: 0 }
+    }
+
+    fn run(mut self) {
+        while !self.shared.stop.load(Ordering::SeqCst) {
+            let Some(session) = self.session.clone() else {
+                self.open_session();
+                continue;
+            };
+            let operation = self.shared.operations.fetch_add(1, Ordering::SeqCst);
+            let subject = operation / OPERATIONS_PER_SUBJECT / OPEN_SUBJECTS * OPEN_SUBJECTS
+                + operation % OPEN_SUBJECTS;
+            if operation.is_multiple_of(OPERATIONS_PER_READ) {
+                self.read(subject);
+            } else {
+                self.decide(subject, &session);
             }
-            continue;
         }
-        let turn = shared.operations.fetch_add(1, Ordering::SeqCst);
-        let subject = turn / EACH / OPEN * OPEN + turn % OPEN;
-        if turn.is_multiple_of(3) {
-            let op = locked(&shared.history).begin_read(subject, now());
-            let path = format!("/v1/ledger/s/{subject}?within_ms=800");
-            // A read that gets no answer says nothing, and need not be sent again.
-            at += 1;
-            if let Ok((200, page)) = get(&http, locals[at % locals.len()], &path) {
-                let value = page["subjects"][0]["standing"]["Decided"].as_array().map(|v| bytes(v));
-                locked(&shared.history).end_read(op, value, now());
-            }
-            continue;
+    }
+
+    /// Microseconds since the start of the run.
+    fn now(&self) -> u64 {
+        self.started.elapsed().as_micros() as u64
+    }
+
+    fn next_agent(&mut self) -> SocketAddr {
+        self.requests += 1;
+        self.agents[self.requests % self.agents.len()]
+    }
+
+    fn open_session(&mut self) {
+        let agent = self.next_agent();
+        if let Ok((200, answer)) = post(&self.http, agent, "/v1/sessions?within_ms=800", &json!({})) {
+            let session = answer["reply"]["Opened"].clone();
+            self.session = if session.is_null() { None } else { Some(session) };
+            self.sequence = 0;
         }
-        sequence += 1;
-        let value = [number as u8, (sequence >> 8) as u8, sequence as u8];
-        let op = locked(&shared.history).begin_decide(subject, value.to_vec(), now());
+    }
+
+    /// Reads a subject. A read without an answer shows nothing and need not be sent again.
+    fn read(&mut self, subject: u64) {
+        let operation = locked(&self.shared.history).begin_read(subject, self.now());
+        let path = format!("/v1/ledger/s/{subject}?within_ms=800");
+        let agent = self.next_agent();
+        if let Ok((200, page)) = get(&self.http, agent, &path) {
+            let value = page["subjects"][0]["standing"]["Decided"].as_array().map(|value| bytes(value));
+            locked(&self.shared.history).end_read(operation, value, self.now());
+        }
+    }
+
+    /// Decides a subject. The proposal is sent until it is answered, also after the end of the run: only that tells
+    /// whether it was decided.
+    fn decide(&mut self, subject: u64, session: &Value) {
+        self.sequence += 1;
+        let value = [self.number as u8, (self.sequence >> 8) as u8, self.sequence as u8];
+        let operation = locked(&self.shared.history).begin_decide(subject, value.to_vec(), self.now());
         let command = json!({"Decide": {"subject": {"space": "s", "number": subject}, "value": value}});
-        let proposal = json!({"session": session, "sequence": sequence, "command": command});
+        let proposal = json!({"session": session, "sequence": self.sequence, "command": command});
         let body = json!({"proposal": proposal, "within_ms": 800});
-        let end = Instant::now() + Duration::from_secs(25);
+        let deadline = Instant::now() + PROPOSAL_TIMEOUT;
         loop {
-            at += 1;
-            let answer = post(&http, locals[at % locals.len()], "/v1/propose", &body);
-            if let Ok((200, answer)) = &answer
-                && let Some(held) = answer["reply"]["Decided"]["value"].as_array()
-            {
-                locked(&shared.history).end_decide(op, bytes(held), now());
-                break;
+            let agent = self.next_agent();
+            let answer = match post(&self.http, agent, "/v1/propose", &body) {
+                Ok((200, answer)) => answer,
+                _ => Value::Null,
+            };
+            if let Some(decided) = answer["reply"]["Decided"]["value"].as_array() {
+                locked(&self.shared.history).end_decide(operation, bytes(decided), self.now());
+                return;
             }
-            let lost = matches!(&answer, Ok((200, answer)) if answer["reply"] == "SessionLost");
-            if lost || Instant::now() > end {
-                session = Value::Null;
-                break;
+            let session_lost = answer["reply"] == "SessionLost";
+            if session_lost || Instant::now() > deadline {
+                self.session = None;
+                return;
             }
         }
     }
--- a/crates/agent/examples/throughput/main.rs
+++ b/crates/agent/examples/throughput/main.rs
@@ -14,13 +14,32 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-fn value(name: &str, default: u64) -> u64 {
+/// Pause between two failovers, so that the old leader is back in its place.
+const RECOVERY_PAUSE: Duration = Duration::from_millis(300);
+
+/// What happens to the leader.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum LeaderFault {
+    Kill,
+    Freeze,
+}
+
+fn main() {
+    let program = std::env::current_exe().expect("this program has a path");
+    let program = program.with_file_name("../garnetcrank-agent");
+    measure_throughput(&program, argument("--seconds", 5));
+    println!();
+    measure_failover(&program, argument("--times", 40));
+}
+
+/// A number from the command line.
+fn argument(name: &str, default: u64) -> u64 {
     let mut args = std::env::args().skip_while(|arg| arg != name).skip(1);
-    args.next().map_or(default, |text| text.parse().unwrap_or_else(|e| panic!("{name}: {e}")))
+    args.next().map_or(default, |text| text.parse().unwrap_or_else(|error| panic!("{name}: {error}")))
 }
 
+/// The program's own defaults.
 fn options(agents: usize) -> ClusterOptions {
-    // The program's own defaults.
     ClusterOptions {
         agents,
         tick_ms: 20,
@@ -31,11 +50,53 @@
     }
 }
 
-/// One client with its own session, at one agent, until it is told to stop; microseconds of each decision.
-fn decide(at: SocketAddr, number: u64, stop: &AtomicBool) -> Histogram<u64> {
+fn measure_throughput(program: &Path, seconds: u64) {
+    println!(
+        "| agents | clients | decisions a second | p50, ms | p99, ms | p99.9, ms | resident at rest, after, MiB |"
+    );
+    println!("| --- | --- | --- | --- | --- | --- | --- |");
+    for agents in [3, 5] {
+        for clients in [1, 16, 64] {
+            measure_clients(program, agents, clients, seconds);
+        }
+    }
+}
+
+/// Measures one line of the table.
+fn measure_clients(program: &Path, agents: usize, clients: usize, seconds: u64) {
+    let folder = tempfile::tempdir().expect("a folder");
+    let cluster = AgentCluster::start(program, folder.path(), &options(agents));
+    let resident_at_rest = max_resident_mib(&cluster);
+    let stop = Arc::new(AtomicBool::new(false));
+    let started = Instant::now();
+    let mut threads = Vec::new();
+    for number in 0..clients {
+        let agent = cluster.local(number % agents);
+        let stop = stop.clone();
+        threads.push(std::thread::spawn(move || run_client(agent, number as u64, &stop)));
+    }
+    std::thread::sleep(Duration::from_secs(seconds));
+    stop.store(true, Ordering::Relaxed);
+    let mut latencies = Histogram::<u64>::new(3).expect("a histogram");
+    for thread in threads {
+        latencies.add(thread.join().expect("a client")).expect("histograms add");
+    }
+    let rate = latencies.len() as f64 / started.elapsed().as_secs_f64();
+    let quantile_ms = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
+    println!(
+        "| {agents} | {clients} | {rate:.0} | {:.2} | {:.2} | {:.2} | {resident_at_rest:.1}, {:.1} |",
+        quantile_ms(0.5),
+        quantile_ms(0.99),
+        quantile_ms(0.999),
+        max_resident_mib(&cluster)
+    );
+}
+
+/// One client with a session of its own, at one agent, until it is stopped; microseconds of each decision.
+fn run_client(agent: SocketAddr, number: u64, stop: &AtomicBool) -> Histogram<u64> {
     let http = client(Duration::from_secs(10));
-    let mut times = Histogram::new(3).expect("a histogram");
-    let (_, opened) = post(&http, at, "/v1/sessions", &json!({})).expect("a session");
+    let mut latencies = Histogram::new(3).expect("a histogram");
+    let (_, opened) = post(&http, agent, "/v1/sessions", &json!({})).expect("a session");
     let session: Value = opened["reply"]["Opened"].clone();
     let mut sequence = 0u64;
     while !stop.load(Ordering::Relaxed) {
@@ -43,97 +104,67 @@
         let subject = json!({"space": "measured", "number": number << 32 | sequence});
         let command = json!({"Decide": {"subject": subject, "value": [1]}});
         let body = json!({"proposal": {"session": session, "sequence": sequence, "command": command}});
-        let begun = Instant::now();
-        let (_, answer) = post(&http, at, "/v1/propose", &body).expect("an answer");
+        let started = Instant::now();
+        let (_, answer) = post(&http, agent, "/v1/propose", &body).expect("an answer");
         assert_eq!(answer["reply"]["Decided"]["first"], true, "{answer}");
-        times.record(begun.elapsed().as_micros() as u64).expect("in range");
+        latencies.record(started.elapsed().as_micros() as u64).expect("in range");
     }
-    times
+    latencies
 }
 
-/// The largest of the agents, in MiB.
-fn resident(cluster: &AgentCluster) -> f64 {
+/// Resident memory of the largest agent, in MiB.
+fn max_resident_mib(cluster: &AgentCluster) -> f64 {
     (0..cluster.len()).map(|at| cluster.resident_kib(at) as f64 / 1024.0).fold(0.0, f64::max)
 }
 
-fn throughput(program: &Path, seconds: u64) {
-    println!(
-        "| agents | clients | decisions a second | p50, ms | p99, ms | p99.9, ms | resident at rest, after, MiB |"
-    );
-    println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for agents in [3, 5] {
-        for clients in [1, 16, 64] {
-            let folder = tempfile::tempdir().expect("a folder");
-            let cluster = AgentCluster::start(program, folder.path(), &options(agents));
-            let rest = resident(&cluster);
-            let stop = Arc::new(AtomicBool::new(false));
-            let begun = Instant::now();
-            let run = |number: usize| {
-                let (at, stop) = (cluster.local(number % agents), stop.clone());
-                std::thread::spawn(move || decide(at, number as u64, &stop))
-            };
-            let threads: Vec<_> = (0..clients).map(run).collect();
-            std::thread::sleep(Duration::from_secs(seconds));
-            stop.store(true, Ordering::Relaxed);
-            let mut all = Histogram::<u64>::new(3).expect("a histogram");
-            threads.into_iter().for_each(|t| all.add(t.join().expect("a client")).expect("histograms add"));
-            let rate = all.len() as f64 / begun.elapsed().as_secs_f64();
-            let at = |quantile| all.value_at_quantile(quantile) as f64 / 1e3;
-            println!(
-                "| {agents} | {clients} | {rate:.0} | {:.2} | {:.2} | {:.2} | {rest:.1}, {:.1} |",
-                at(0.5),
-                at(0.99),
-                at(0.999),
-                resident(&cluster)
-            );
-        }
-    }
-}
-
-fn hand_over(program: &Path, times: u64) {
+fn measure_failover(program: &Path, times: u64) {
     println!("| leader | times | median until the next decision, ms | longest, ms |");
     println!("| --- | --- | --- | --- |");
-    for killed in [true, false] {
-        let folder = tempfile::tempdir().expect("a folder");
-        let mut cluster = AgentCluster::start(program, folder.path(), &options(3));
-        let http = client(Duration::from_secs(5));
-        let mut gaps = Histogram::<u64>::new(3).expect("a histogram");
-        for turn in 0..times {
-            let mut leader = 0;
-            wait_until("somebody leads", || {
-                leader = cluster.leader().unwrap_or(9);
-                leader != 9
-            });
-            let begun = Instant::now();
-            if killed {
-                cluster.kill(leader)
-            } else {
-                cluster.freeze(leader)
-            }
-            let subject = json!({"space": "gap", "number": turn});
-            let body = json!({"command": {"Decide": {"subject": subject, "value": []}}, "within_ms": 4000});
-            wait_until("the others decide", || {
-                let answer = post(&http, cluster.local((leader + 1) % 3), "/v1/propose", &body);
-                matches!(answer, Ok((200, answer)) if answer["result"] == "applied")
-            });
-            gaps.record(begun.elapsed().as_micros() as u64).expect("in range");
-            if killed {
-                cluster.start_agent(leader)
-            } else {
-                cluster.wake(leader)
-            }
-            std::thread::sleep(Duration::from_millis(300));
-        }
-        let what = if killed { "killed" } else { "frozen" };
+    for fault in [LeaderFault::Kill, LeaderFault::Freeze] {
+        let gaps = measure_gaps(program, fault, times);
+        let what = match fault {
+            LeaderFault::Kill => "killed",
+            LeaderFault::Freeze => "frozen",
+        };
         let ms = |micros: u64| micros as f64 / 1e3;
         println!("| {what} | {times} | {:.0} | {:.0} |", ms(gaps.value_at_quantile(0.5)), ms(gaps.max()));
     }
 }
 
-fn main() {
-    let program = std::env::current_exe().expect("this program has a path");
-    let program = program.with_file_name("../garnetcrank-agent");
-    throughput(&program, value("--seconds", 5));
-    println!();
-    hand_over(&program, value("--times", 40));
+/// Microseconds from each fault of the leader to the next decision.
+fn measure_gaps(program: &Path, fault: LeaderFault, times: u64) -> Histogram<u64> {
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut cluster = AgentCluster::start(program, folder.path(), &options(3));
+    let http = client(Duration::from_secs(5));
+    let mut gaps = Histogram::<u64>::new(3).expect("a histogram");
+    for number in 0..times {
+        let leader = wait_for_leader(&cluster);
+        let started = Instant::now();
+        match fault {
+            LeaderFault::Kill => cluster.kill(leader),
+            LeaderFault::Freeze => cluster.freeze(leader),
+        }
+        let subject = json!({"space": "gap", "number": number});
+        let body = json!({"command": {"Decide": {"subject": subject, "value": []}}, "within_ms": 4000});
+        wait_until("the others decide", || {
+            let answer = post(&http, cluster.local((leader + 1) % 3), "/v1/propose", &body);
+            matches!(answer, Ok((200, answer)) if answer["result"] == "applied")
+        });
+        gaps.record(started.elapsed().as_micros() as u64).expect("in range");
+        match fault {
+            LeaderFault::Kill => cluster.start_agent(leader),
+            LeaderFault::Freeze => cluster.wake(leader),
+        }
+        std::thread::sleep(RECOVERY_PAUSE);
+    }
+    gaps
+}
+
+fn wait_for_leader(cluster: &AgentCluster) -> usize {
+    let mut found = None;
+    wait_until("somebody leads", || {
+        found = cluster.leader();
+        found.is_some()
+    });
+    found.unwrap_or_default()
 }
--- a/crates/agent/src/engine/mod.rs
+++ b/crates/agent/src/engine/mod.rs
@@ -1,13 +1,13 @@
 //! The engine: one thread that owns the Raft node and all that follows from it. Everything reaches it as an
 //! [`EngineInput`] in one bounded queue, and it waits for nothing else.
 //!
-//! - [`clock`]: ticks, and pauses of the process;
-//! - [`requests`]: requests of the HTTP port; [`replies`]: the answers that are due to them; [`sessions`]: sessions
+//! - `clock`: ticks, and pauses of the process;
+//! - `requests`: requests of the HTTP port; `replies`: the answers that are due to them; `sessions`: sessions
 //!   for callers that have none;
-//! - [`reads`], [`views`]: what the replicated state and the node look like from outside;
-//! - [`persistence`]: what Raft wants written and sent; [`leadership`]: who leads;
-//! - [`membership`]: connections to the members;
-//! - [`votes`]: the lease on the vote and the verdicts on builds; [`publisher`]: what proxies that watch are told.
+//! - `reads`, `views`: what the replicated state and the node look like from outside;
+//! - `persistence`: what Raft wants written and sent; `leadership`: who leads;
+//! - `membership`: connections to the members;
+//! - `votes`: the lease on the vote and the verdicts on builds; `publisher`: what proxies that watch are told.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
--- a/crates/agent/tests/processes.rs
+++ b/crates/agent/tests/processes.rs
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn frozen_and_woken_leaders_make_no_double_decision() {
+fn leaders_that_freeze_and_resume_make_no_double_decision() {
     let (_folder, cluster) = start(&ClusterOptions::default());
     let load = Load::start(&cluster, 4);
     // On a busy machine elections take longer: more rounds, until enough has been decided to tell anything.
     for round in (0..120).take_while(|round| *round < 20 || load.decisions() <= 50) {
         let leader = cluster.leader().unwrap_or(round % 3);
         cluster.freeze(leader);
-        // Some shorter than an election, some far longer than a grant's life.
+        // Some shorter than an election timeout, some far longer than a lease's duration.
         std::thread::sleep(Duration::from_millis([40, 250, 700][round % 3]));
         cluster.wake(leader);
         std::thread::sleep(Duration::from_millis(60));
@@ -40,7 +40,7 @@
     let report = load.end(&cluster);
     assert!(report.faults.is_empty(), "{:?}", report.faults);
     assert!(report.decisions > 50, "{} decisions", report.decisions);
-    assert!(report.epochs > 1, "the role changed hands: {} epochs", report.epochs);
+    assert!(report.epochs > 1, "the lease changed its holder: {} epochs", report.epochs);
 }
 
 #[test]
@@ -77,28 +77,30 @@
 }
 
 #[test]
-fn a_lost_store_comes_back_as_another_member_only_after_the_old_one_is_removed() {
+fn a_lost_store_is_replaced_only_after_the_old_member_is_removed() {
     let (_folder, mut cluster) = start(&ClusterOptions::default());
     assert_eq!(decide(&cluster, 0, 1, 7)["reply"]["Decided"]["first"], true);
     cluster.kill(2);
     cluster.delete_store(2);
     cluster.start_agent(2);
-    wait_until("the hello of the wrong instance is refused", || {
+    wait_until("the hello to the wrong instance is rejected", || {
         cluster.log(0).contains("refused: this is n2")
     });
     let status = get(&client(Duration::from_secs(2)), cluster.local(2), "/v1/status").expect("it answers").1;
     assert_eq!(status["me"]["part"], "none", "it must not vote");
     let me = &status["me"];
     let add = json!({"add": {"id": me["id"], "name": me["name"], "address": me["address"]}});
-    assert!(!cluster.post_to_leader("/v1/members", &add), "its old self is a member still");
-    wait_until("the old one is removed", || cluster.post_to_leader("/v1/members", &json!({"remove": "n2"})));
+    assert!(!cluster.post_to_leader("/v1/members", &add), "the old instance is a member still");
+    wait_until("the old member is removed", || {
+        cluster.post_to_leader("/v1/members", &json!({"remove": "n2"}))
+    });
     cluster.add(2);
     wait_until("it votes", || cluster.role(2) == "voter");
     assert_eq!(decide(&cluster, 2, 1, 9)["reply"]["Decided"], json!({"value": [7], "first": false}));
 }
 
 #[test]
-fn a_snapshot_beyond_one_frame_reaches_a_newcomer_in_pieces() {
+fn a_snapshot_beyond_one_frame_reaches_a_new_member_in_chunks() {
     let (_folder, mut cluster) = start(&ClusterOptions { compact_every: 100, ..ClusterOptions::default() });
     cluster.kill(2);
     let http = client(Duration::from_secs(5));
@@ -118,7 +120,9 @@
         }
     });
     cluster.delete_store(2);
-    wait_until("the old one is removed", || cluster.post_to_leader("/v1/members", &json!({"remove": "n2"})));
+    wait_until("the old member is removed", || {
+        cluster.post_to_leader("/v1/members", &json!({"remove": "n2"}))
+    });
     cluster.start_agent(2);
     cluster.add(2);
     wait_until("it votes", || cluster.role(2) == "voter");
@@ -126,11 +130,11 @@
 }
 
 #[test]
-fn without_a_quorum_callers_are_told_in_time_and_it_works_again_after() {
+fn without_a_quorum_callers_are_answered_in_time_and_service_resumes_after() {
     let (_folder, mut cluster) = start(&ClusterOptions::default());
     cluster.kill(1);
     cluster.kill(2);
-    wait_until("the last one leads no more", || cluster.status(0)["node"]["standing"] != "leader");
+    wait_until("the last one no longer leads", || cluster.status(0)["node"]["standing"] != "leader");
     let began = std::time::Instant::now();
     let answer = decide(&cluster, 0, 1, 1);
     assert!(["not_proposed", "may_yet"].contains(&answer["result"].as_str().unwrap_or_default()), "{answer}");
@@ -143,58 +147,76 @@
     assert_eq!(code, 200);
     cluster.start_agent(1);
     wait_until("it decides again", || decide(&cluster, 0, 1, 1)["result"] == "applied");
-    assert!(cluster.stop(0) && cluster.stop(1), "told to stop they end well");
+    assert!(cluster.stop(0) && cluster.stop(1), "they exit with success on SIGTERM");
 }
 
-/// What a front at each agent is told, until one line of any of them will do.
-fn told(
+/// Watches as a proxy at each of some agents, until one gets an event that is wanted; the agent of that one.
+/// `meanwhile` runs before each look.
+fn wait_for_event(
     cluster: &AgentCluster,
-    within: &[usize],
+    agents: &[usize],
     what: &str,
     meanwhile: impl Fn() -> bool,
-    will_do: impl Fn(&serde_json::Value) -> bool,
+    is_wanted: impl Fn(&serde_json::Value) -> bool,
 ) -> usize {
-    let watches: Vec<_> = within.iter().map(|at| (*at, cluster.watch(*at, &format!("front-{at}")))).collect();
+    let mut watches = Vec::new();
+    for at in agents {
+        watches.push((*at, cluster.watch(*at, &format!("front-{at}"))));
+    }
     let mut found = None;
     wait_until(what, || {
         meanwhile();
-        found =
-            watches.iter().find(|(_, lines)| lines.try_iter().any(|line| will_do(&line))).map(|(at, _)| *at);
+        let watch = watches.iter().find(|(_, events)| events.try_iter().any(|event| is_wanted(&event)));
+        found = watch.map(|(at, _)| *at);
         found.is_some()
     });
     found.unwrap_or_default()
 }
 
 #[test]
-fn a_word_to_go_back_is_cast_by_one_front_for_all_and_by_another_when_its_agent_freezes() {
+fn a_rollback_verdict_is_cast_by_one_proxy_for_all_and_by_another_when_its_agent_freezes() {
     let (_folder, cluster) = start(&ClusterOptions::default());
     let http = client(Duration::from_secs(3));
-    let say = |at: usize| {
-        let said =
+    let report = |at: usize| {
+        let verdict =
             json!({"front": format!("front-{at}"), "opinion": {"build": 42, "stage": 1, "word": "back"}});
-        post(&http, cluster.local(at), "/v1/verdicts", &said).is_ok_and(|(_, answer)| answer["heard"] == true)
+        post(&http, cluster.local(at), "/v1/verdicts", &verdict)
+            .is_ok_and(|(_, answer)| answer["heard"] == true)
     };
-    wait_until("the verdict is passed on", || say(1));
-    let back =
-        |line: &serde_json::Value| line["cast"]["opinion"]["word"] == "back" && line["condemned"][0] == 42;
-    // A front goes on saying what it holds: said once, it lapses where the next grant takes longer than it stands.
-    let again = |at: usize| move || say(at);
-    let caster = told(&cluster, &[0, 1, 2], "one front is told to cast", again(1), back);
+    wait_until("the verdict is accepted", || report(1));
+    let is_rollback =
+        |event: &serde_json::Value| event["cast"]["opinion"]["word"] == "back" && event["condemned"][0] == 42;
+    // A proxy reports its verdict again and again: reported once, it may expire before the next lease is acquired.
+    let report_again = |at: usize| move || report(at);
+    let caster =
+        wait_for_event(&cluster, &[0, 1, 2], "one proxy is assigned the vote", report_again(1), is_rollback);
     cluster.freeze(caster);
     let others: Vec<usize> = (0..3).filter(|at| *at != caster).collect();
-    wait_until("the others have a leader", || say(others[0]));
-    let next = told(&cluster, &others, "another front is told to cast", again(others[0]), back);
+    wait_until("the others have a leader", || report(others[0]));
+    let next = wait_for_event(
+        &cluster,
+        &others,
+        "another proxy is assigned the vote",
+        report_again(others[0]),
+        is_rollback,
+    );
     assert_ne!(next, caster);
     cluster.wake(caster);
-    let off = |line: &serde_json::Value| line["cast"].is_null() && line["condemned"][0] == 42;
-    told(&cluster, &[caster], "the one that froze is told to cast no more", || false, off);
+    let is_unassigned = |event: &serde_json::Value| event["cast"].is_null() && event["condemned"][0] == 42;
+    wait_for_event(
+        &cluster,
+        &[caster],
+        "the proxy at the frozen agent is assigned it no more",
+        || false,
+        is_unassigned,
+    );
 }
 
 #[test]
 fn bad_requests_get_a_clear_error() {
     let (_folder, cluster) = start(&ClusterOptions { agents: 1, ..ClusterOptions::default() });
     let http = client(Duration::from_secs(3));
-    for (path, body, word) in [
+    for (path, body, expected) in [
         ("/v1/propose", json!({"command": {"Decide": {"subject": {"space": "s"}, "value": []}}}), "number"),
         ("/v1/propose", json!({}), "either"),
         ("/v1/propose", json!({"commands": 1}), "commands"),
@@ -209,7 +231,7 @@
         ("/v1/nothing", json!({}), "no such path"),
     ] {
         let (_, answer) = post(&http, cluster.local(0), path, &body).expect("an answer");
-        assert!(answer.to_string().contains(word), "{path} {body}: {answer}");
+        assert!(answer.to_string().contains(expected), "{path} {body}: {answer}");
     }
     let (code, answer) = get(&http, cluster.local(0), "/v1/ledger/condemned/x").expect("an answer");
     assert!(code == 400 && answer.to_string().contains("condemned/42"), "{answer}");
--- a/crates/test-support/src/faulty_disk.rs
+++ b/crates/test-support/src/faulty_disk.rs
@@ -8,20 +8,20 @@
 
 use redb::StorageBackend;
 
-/// What a write may be torn at: drives promise no more than one sector.
-const SECTOR: usize = 512;
+/// Unit in which a write may be torn, in bytes: drives write no more than one sector atomically.
+const SECTOR_BYTES: usize = 512;
 
 #[derive(Debug, Clone)]
-enum Op {
+enum Operation {
     Write { offset: usize, data: Vec<u8> },
     SetLen(usize),
 }
 
-impl Op {
+impl Operation {
     fn apply(&self, image: &mut Vec<u8>, torn: Option<&mut fastrand::Rng>) {
         match self {
-            Op::SetLen(len) => image.resize(*len, 0),
-            Op::Write { offset, data } => {
+            Operation::SetLen(len) => image.resize(*len, 0),
+            Operation::Write { offset, data } => {
                 let end = offset + data.len();
                 if image.len() < end {
                     image.resize(end, 0);
@@ -30,10 +30,10 @@
                     image[*offset..end].copy_from_slice(data);
                     return;
                 };
-                for (n, sector) in data.chunks(SECTOR).enumerate() {
+                for (number, sector) in data.chunks(SECTOR_BYTES).enumerate() {
                     if rng.bool() {
-                        let at = offset + n * SECTOR;
-                        image[at..at + sector.len()].copy_from_slice(sector);
+                        let start = offset + number * SECTOR_BYTES;
+                        image[start..start + sector.len()].copy_from_slice(sector);
                     }
                 }
             }
@@ -42,40 +42,45 @@
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
+    /// What survives a power cut for certain.
     durable: Vec<u8>,
-    seen: Vec<u8>,
-    unsynced: Vec<Op>,
-    operations: u64,
-    cut_at: Option<u64>,
-    dead: bool,
+    /// What a running program reads.
+    written: Vec<u8>,
+    /// Operations since the last sync.
+    unsynced: Vec<Operation>,
+    operation_count: u64,
+    power_cut_after: Option<u64>,
+    is_off: bool,
     capacity: Option<usize>,
     fail_syncs: bool,
     ignore_syncs: bool,
 }
 
-impl Inner {
-    fn step(&mut self) -> io::Result<()> {
-        if self.dead {
-            return Err(io::Error::other("the power is cut"));
+impl State {
+    /// Counts an operation, unless the power is cut by then.
+    fn begin_operation(&mut self) -> io::Result<()> {
+        self.check_power()?;
+        self.operation_count += 1;
+        if self.power_cut_after.is_some_and(|limit| self.operation_count > limit) {
+            self.is_off = true;
         }
-        self.operations += 1;
-        if self.cut_at.is_some_and(|at| self.operations > at) {
-            self.dead = true;
-            return Err(io::Error::other("the power is cut"));
-        }
-        Ok(())
+        self.check_power()
+    }
+
+    fn check_power(&self) -> io::Result<()> {
+        if self.is_off { Err(io::Error::other("the power is cut")) } else { Ok(()) }
     }
 
-    fn put(&mut self, op: Op) {
-        op.apply(&mut self.seen, None);
-        self.unsynced.push(op);
+    fn apply(&mut self, operation: Operation) {
+        operation.apply(&mut self.written, None);
+        self.unsynced.push(operation);
     }
 }
 
-/// The disk: clones are the same disk.
+/// A disk in memory with faults. Clones are the same disk.
 #[derive(Debug, Clone, Default)]
-pub struct FaultyDisk(Arc<Mutex<Inner>>);
+pub struct FaultyDisk(Arc<Mutex<State>>);
 
 impl FaultyDisk {
     /// An empty disk.
@@ -85,112 +90,108 @@
 
     /// A disk that holds these bytes.
     pub fn holding(image: Vec<u8>) -> Self {
-        Self(Arc::new(Mutex::new(Inner { seen: image.clone(), durable: image, ..Inner::default() })))
+        Self(Arc::new(Mutex::new(State { written: image.clone(), durable: image, ..State::default() })))
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes, changes of length and syncs so far.
+    /// Number of writes, changes of length and syncs so far.
     pub fn operations(&self) -> u64 {
-        self.inner().operations
+        self.state().operation_count
     }
 
-    /// The power goes when this many operations have been done.
+    /// Cuts the power after this many operations.
     pub fn cut_power_after(&self, operations: u64) {
-        self.inner().cut_at = Some(operations);
+        self.state().power_cut_after = Some(operations);
     }
 
     /// From now on writes beyond this length fail as on a full device.
     pub fn set_capacity(&self, bytes: Option<usize>) {
-        self.inner().capacity = bytes;
+        self.state().capacity = bytes;
     }
 
-    /// From now on every sync fails, once and again.
+    /// From now on every sync fails.
     pub fn fail_syncs(&self, fail: bool) {
-        self.inner().fail_syncs = fail;
+        self.state().fail_syncs = fail;
     }
 
-    /// From now on syncs are said to be done and are not: the protection that a test switches off.
+    /// From now on syncs report success and do nothing: a test uses it to show that it would find a loss.
     pub fn ignore_syncs(&self, ignore: bool) {
-        self.inner().ignore_syncs = ignore;
+        self.state().ignore_syncs = ignore;
     }
 
-    /// What a machine finds that starts after the power went: the synced bytes, and of each later write all,
-    /// nothing or some sectors, as `seed` has it.
+    /// The disk as it is found after the power cut: the synced bytes, and of each later write all, nothing or some
+    /// sectors, chosen at random from `seed`.
     pub fn after_power_cut(&self, seed: u64) -> FaultyDisk {
-        let inner = self.inner();
+        let state = self.state();
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut image = inner.durable.clone();
-        for op in &inner.unsynced {
+        let mut image = state.durable.clone();
+        for operation in &state.unsynced {
             match rng.u8(0..3) {
                 0 => {}
-                1 => op.apply(&mut image, None),
-                _ => op.apply(&mut image, Some(&mut rng)),
+                1 => operation.apply(&mut image, None),
+                _ => operation.apply(&mut image, Some(&mut rng)),
             }
         }
         FaultyDisk::holding(image)
     }
 
-    /// The bytes as a running program sees them.
+    /// The bytes as a running program reads them.
     pub fn image(&self) -> Vec<u8> {
-        self.inner().seen.clone()
+        self.state().written.clone()
     }
 }
 
 impl StorageBackend for FaultyDisk {
     fn len(&self) -> io::Result<u64> {
-        let inner = self.inner();
-        if inner.dead {
-            return Err(io::Error::other("the power is cut"));
-        }
-        Ok(inner.seen.len() as u64)
+        let state = self.state();
+        state.check_power()?;
+        Ok(state.written.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let inner = self.inner();
-        if inner.dead {
-            return Err(io::Error::other("the power is cut"));
-        }
+        let state = self.state();
+        state.check_power()?;
         let from = offset as usize;
-        let bytes = inner.seen.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let bytes = state.written.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut inner = self.inner();
-        inner.step()?;
-        if inner.capacity.is_some_and(|most| len as usize > most) {
+        let mut state = self.state();
+        state.begin_operation()?;
+        if state.capacity.is_some_and(|capacity| len as usize > capacity) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        inner.put(Op::SetLen(len as usize));
+        state.apply(Operation::SetLen(len as usize));
         Ok(())
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        let mut inner = self.inner();
-        inner.step()?;
-        if inner.fail_syncs {
+        let mut state = self.state();
+        state.begin_operation()?;
+        if state.fail_syncs {
             return Err(io::Error::other("the sync failed"));
         }
-        if inner.ignore_syncs {
+        if state.ignore_syncs {
             return Ok(());
         }
-        inner.durable = inner.seen.clone();
-        inner.unsynced.clear();
+        state.durable = state.written.clone();
+        state.unsynced.clear();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut inner = self.inner();
-        inner.step()?;
+        let mut state = self.state();
+        state.begin_operation()?;
         let end = offset as usize + data.len();
-        if inner.capacity.is_some_and(|most| end > most) {
+        if state.capacity.is_some_and(|capacity| end > capacity) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        inner.put(Op::Write { offset: offset as usize, data: data.to_vec() });
+        state.apply(Operation::Write { offset: offset as usize, data: data.to_vec() });
         Ok(())
     }
 }
