--- a/crates/agent/src/http_api/error.rs
+++ b/crates/agent/src/http_api/error.rs
@@ -6,7 +6,7 @@
 use axum::response::{IntoResponse, Json, Response};
 use garnetcrank_consensus::ids::ParseSubjectError;
 
-use super::watch_stream::MAX_PROXY_NAME_BYTES;
+use super::MAX_PROXY_NAME_BYTES;
 use crate::api::ErrorBody;
 use crate::engine_input::QueryError;
 
--- a/crates/agent/src/http_api/mod.rs
+++ b/crates/agent/src/http_api/mod.rs
@@ -25,6 +25,8 @@
 
 /// Longest request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Longest name of a proxy, in bytes.
+const MAX_PROXY_NAME_BYTES: usize = 64;
 /// How much longer than the request's own timeout a handler waits for the engine. The engine answers in time by
 /// itself; this is for an engine that does not run.
 const ENGINE_GRACE_MS: u64 = 2_000;
--- a/crates/agent/src/http_api/watch_stream.rs
+++ b/crates/agent/src/http_api/watch_stream.rs
@@ -12,13 +12,11 @@
 use tokio::time::timeout;
 
 use super::error::ApiError;
-use super::{HttpApi, QueryOptions};
+use super::{HttpApi, MAX_PROXY_NAME_BYTES, QueryOptions};
 use crate::engine_input::{EngineInput, PublishedState};
 
 /// Longest time between two lines, so that a proxy notices a paused agent by its silence.
 pub const WATCH_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest name of a proxy, in bytes.
-pub(super) const MAX_PROXY_NAME_BYTES: usize = 64;
 
 /// Tells the engine that a proxy's watch has ended, however its connection ends.
 struct WatchGuard {
--- a/crates/agent/src/peer_transport/connection.rs
+++ b/crates/agent/src/peer_transport/connection.rs
@@ -9,7 +9,7 @@
 use tokio::net::tcp::ReadHalf;
 use tokio::time::Interval;
 
-use super::outbound::PeerQueue;
+use super::queue::PeerQueue;
 use super::{IDLE_TIMEOUT, with_timeout};
 use crate::peer_protocol::{self, Frame, PeerProtocolError};
 
--- a/crates/agent/src/peer_transport/mod.rs
+++ b/crates/agent/src/peer_transport/mod.rs
@@ -17,6 +17,7 @@
 mod connection;
 mod inbound;
 mod outbound;
+mod queue;
 
 pub use inbound::listen;
 pub use outbound::PeerSender;
--- a/crates/agent/src/peer_transport/outbound.rs
+++ b/crates/agent/src/peer_transport/outbound.rs
@@ -1,8 +1,7 @@
-//! The queue to one peer and the task that connects to that peer.
+//! The sender of messages to one peer, and the task that keeps a connection to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
@@ -10,35 +9,24 @@
 use garnetcrank_consensus::replicated_state::Member;
 use tokio::net::TcpStream;
 use tokio::runtime::Handle;
-use tokio::sync::mpsc;
-use tokio::time::sleep;
 use tracing::{info, warn};
 
 use super::connection::{ConnectionEnd, send_until_closed};
+use super::queue::{self, PeerQueue, QueueFull, QueueSender, QueueState};
 use super::{HANDSHAKE_TIMEOUT, PeerContext, with_timeout};
 use crate::counters::count;
 use crate::engine_input::EngineInput;
-use crate::peer_protocol::{
-    self, Hello, HelloReply, MAGIC, MAX_HELLO_BYTES, MAX_UNCHUNKED_BYTES, PeerProtocolError, VERSION,
-};
-
-/// Most messages that wait for one peer.
-const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Most long messages that wait for one peer: a second snapshot for a peer that has not got the first is of no use.
-const MAX_QUEUED_LONG_MESSAGES: usize = 1;
-/// Most bytes that wait for one peer. Beyond that messages are dropped, and Raft sends again what matters.
-const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
+use crate::peer_protocol::{self, Hello, HelloReply, MAGIC, MAX_HELLO_BYTES, PeerProtocolError, VERSION};
+
 /// First wait before a peer is connected to again.
 const MIN_BACKOFF: Duration = Duration::from_millis(30);
 /// Longest wait before a peer is connected to again.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The queue to one peer. Dropping it ends the connection.
+/// Sends messages to one peer. Dropping it ends the connection.
 #[derive(Debug)]
 pub struct PeerSender {
-    short: mpsc::Sender<Vec<u8>>,
-    long: mpsc::Sender<Vec<u8>>,
-    queued_bytes: Arc<AtomicUsize>,
+    queue: QueueSender,
     context: Arc<PeerContext>,
 }
 
@@ -51,65 +39,18 @@
         engine: SyncSender<EngineInput>,
         runtime: &Handle,
     ) -> Self {
-        let (short, short_receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
-        let (long, long_receiver) = mpsc::channel(MAX_QUEUED_LONG_MESSAGES);
-        let queued_bytes = Arc::new(AtomicUsize::new(0));
-        let queue =
-            PeerQueue { short: short_receiver, long: long_receiver, queued_bytes: queued_bytes.clone() };
+        let (sender, receiver) = queue::peer_queue();
         let connector = Connector { context: context.clone(), peer, address, engine };
-        runtime.spawn(connector.run(queue));
-        Self { short, long, queued_bytes, context: context.clone() }
+        runtime.spawn(connector.run(receiver));
+        Self { queue: sender, context: context.clone() }
     }
 
     /// Queues a message, or drops it if too much is queued already.
     pub fn send(&self, message: &Message) {
-        let bytes = raft_node::encode_message(message);
-        let length = bytes.len();
-        // A message that is longer than the limit by itself would never be sent otherwise.
-        let fits = self.queued_bytes.load(Ordering::Relaxed) + length <= MAX_QUEUED_BYTES
-            || length > MAX_QUEUED_BYTES;
-        let queue = if length > MAX_UNCHUNKED_BYTES { &self.long } else { &self.short };
-        if fits && queue.try_send(bytes).is_ok() {
-            self.queued_bytes.fetch_add(length, Ordering::Relaxed);
-            count(&self.context.counters.sent);
-        } else {
-            count(&self.context.counters.unsent);
-        }
-    }
-}
-
-/// The receiving end of a [`PeerSender`].
-pub(super) struct PeerQueue {
-    pub(super) short: mpsc::Receiver<Vec<u8>>,
-    pub(super) long: mpsc::Receiver<Vec<u8>>,
-    queued_bytes: Arc<AtomicUsize>,
-}
-
-/// Whether anyone can still send into a queue.
-enum QueueState {
-    Open,
-    Closed,
-}
-
-impl PeerQueue {
-    /// Notes that a message has been taken out.
-    pub(super) fn on_dequeued(&self, bytes: &[u8]) {
-        self.queued_bytes.fetch_sub(bytes.len(), Ordering::Relaxed);
-    }
-
-    /// Drops all that is queued meanwhile: by the end of `span` it would be old, and Raft sends again what matters.
-    async fn discard_for(&mut self, span: Duration, context: &PeerContext) -> QueueState {
-        let end = sleep(span);
-        tokio::pin!(end);
-        loop {
-            let received = tokio::select! {
-                () = &mut end => return QueueState::Open,
-                bytes = self.short.recv() => bytes,
-                bytes = self.long.recv() => bytes,
-            };
-            let Some(bytes) = received else { return QueueState::Closed };
-            self.on_dequeued(&bytes);
-            count(&context.counters.unsent);
+        let counters = &self.context.counters;
+        match self.queue.try_send(raft_node::encode_message(message)) {
+            Ok(()) => count(&counters.sent),
+            Err(QueueFull) => count(&counters.unsent),
         }
     }
 }
@@ -165,7 +106,7 @@
                 Err(error) => error,
             };
             self.report_failure(&error, &mut last_error);
-            let state = queue.discard_for(backoff.jittered(), &self.context).await;
+            let state = queue.discard_for(backoff.jittered(), &self.context.counters.unsent).await;
             if matches!(state, QueueState::Closed) {
                 return;
             }
--- a/crates/cli/src/agent_client.rs
+++ b/crates/cli/src/agent_client.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use ureq::Agent as HttpAgent;
 
-use crate::error::CliError;
+use crate::error::{AttemptError, AttemptErrorCause, CliError};
 
 /// Longest wait for a connection to an agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -25,29 +25,6 @@
     timeout: Duration,
 }
 
-/// An agent that could not answer; another one may.
-#[derive(Debug, thiserror::Error)]
-#[error("{address}: {cause}")]
-pub struct AttemptError {
-    address: String,
-    #[source]
-    cause: AttemptErrorCause,
-}
-
-/// Why an agent could not answer.
-#[derive(Debug, thiserror::Error)]
-enum AttemptErrorCause {
-    /// No connection, or it broke.
-    #[error("{0}")]
-    Http(#[from] ureq::Error),
-    /// An answer of another form than expected.
-    #[error("an answer that can't be read: {0}")]
-    Json(#[from] serde_json::Error),
-    /// The agent is not able to answer just now.
-    #[error("{0}")]
-    Unavailable(String),
-}
-
 /// Why one agent gave no usable answer.
 enum RequestError {
     /// Another agent may answer.
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -6,8 +6,6 @@
 use garnetcrank_consensus::replicated_state::Reply;
 use garnetcrank_store::StoreError;
 
-use crate::agent_client::AttemptError;
-
 /// Longest wait that `--within` takes, in seconds: what an agent waits at most.
 pub const MAX_TIMEOUT_SECONDS: f64 = 60.0;
 
@@ -154,6 +152,31 @@
     }
 }
 
+/// An agent that could not answer; another one may.
+#[derive(Debug, thiserror::Error)]
+#[error("{address}: {cause}")]
+pub struct AttemptError {
+    /// The agent's address.
+    pub address: String,
+    /// Why it could not answer.
+    #[source]
+    pub cause: AttemptErrorCause,
+}
+
+/// Why an agent could not answer.
+#[derive(Debug, thiserror::Error)]
+pub enum AttemptErrorCause {
+    /// No connection, or it broke.
+    #[error("{0}")]
+    Http(#[from] ureq::Error),
+    /// An answer of another form than expected.
+    #[error("an answer that can't be read: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The agent is not able to answer just now.
+    #[error("{0}")]
+    Unavailable(String),
+}
+
 /// One line for each attempt.
 fn join(attempts: &[AttemptError]) -> String {
     let lines: Vec<String> = attempts.iter().map(ToString::to_string).collect();
--- a/crates/cli/src/ledger/members.rs
+++ b/crates/cli/src/ledger/members.rs
@@ -4,6 +4,7 @@
 use garnetcrank_agent::api::{MemberView, MembershipRequest};
 use serde_json::json;
 
+use super::member_table::members_table;
 use super::status::Status;
 use crate::agent_client::AgentClient;
 use crate::error::CliError;
@@ -11,8 +12,6 @@
 
 /// [`MemberView::role`] of an instance that waits to be added.
 const ROLE_NONE: &str = "none";
-/// In a table: not known.
-const UNKNOWN: &str = "?";
 
 #[derive(Debug, Subcommand)]
 pub(super) enum MembersCommand {
@@ -84,31 +83,3 @@
         format!("leadership is being transferred to {to}; see members list")
     })
 }
-
-/// The members as a table; the leader is marked as such.
-pub(super) fn members_table(members: &[MemberView], leader: Option<&str>) -> String {
-    let header = ["NAME", "NUMBER", "ADDRESS", "PART", "HEARD FROM", "HOLDS"];
-    output::table(header, members.iter().map(|member| member_row(member, leader)))
-}
-
-fn member_row(member: &MemberView, leader: Option<&str>) -> [String; 6] {
-    let is_leader = leader == Some(member.name.as_str());
-    let role = if is_leader { "leader" } else { &member.role };
-    let recently_active = match member.recently_active {
-        Some(true) => "yes",
-        Some(false) => "NO",
-        None => UNKNOWN,
-    };
-    let matched_index = match member.matched_index {
-        Some(index) => index.to_string(),
-        None => UNKNOWN.to_owned(),
-    };
-    [
-        member.name.clone(),
-        member.id.clone(),
-        member.address.clone(),
-        role.to_owned(),
-        recently_active.to_owned(),
-        matched_index,
-    ]
-}
--- a/crates/cli/src/ledger/mod.rs
+++ b/crates/cli/src/ledger/mod.rs
@@ -14,6 +14,7 @@
 mod command_text;
 mod inspect;
 mod leases;
+mod member_table;
 mod members;
 mod proposals;
 mod status;
--- a/crates/cli/src/ledger/status.rs
+++ b/crates/cli/src/ledger/status.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::members;
+use super::member_table::members_table;
 use crate::agent_client::AgentClient;
 use crate::error::CliError;
 use crate::output::{self, OutputFormat};
@@ -80,7 +80,7 @@
             status.starts,
             status.uptime_ms / MS_PER_SECOND
         ),
-        members::members_table(&status.members, leader),
+        members_table(&status.members, leader),
     ];
     lines.join("\n")
 }
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -12,10 +12,10 @@
     program
 }
 
-fn say(at: &str, words: &[&str]) -> (Option<i32>, String, String) {
+fn garnetcrank(agents: &str, arguments: &[&str]) -> (Option<i32>, String, String) {
     let output: Output = Command::new(env!("CARGO_BIN_EXE_garnetcrank"))
-        .env("GARNETCRANK_AGENT", at)
-        .args(words)
+        .env("GARNETCRANK_AGENT", agents)
+        .args(arguments)
         .output()
         .expect("the program runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn an_operator_decides_reads_moves_the_lead_and_looks_at_a_store() {
+fn an_operator_decides_reads_transfers_leadership_and_inspects_a_store() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut cluster = AgentCluster::start(&agent(), folder.path(), &ClusterOptions::default());
     let all: Vec<String> = (0..3).map(|at| cluster.local(at).to_string()).collect();
     let all = all.join(",");
-    let run = |words: &[&str]| say(&all, words);
+    let run = |arguments: &[&str]| garnetcrank(&all, arguments);
 
     let (code, out, _) = run(&["ledger", "propose", "condemned/42", "by hand"]);
     assert_eq!((code, out.as_str()), (Some(0), "condemned/42 is decided: by hand\n"));
@@ -37,7 +37,7 @@
     assert!(err.contains("decided otherwise before"), "{err}");
     let (code, _, err) = run(&["ledger", "propose", "condemned", "x"]);
     assert_eq!(code, Some(2), "{err}");
-    assert!(err.contains("condemned/42"), "the form is told: {err}");
+    assert!(err.contains("condemned/42"), "the error gives the form: {err}");
 
     let (code, out, _) = run(&["ledger", "list", "--space", "condemned"]);
     assert_eq!(code, Some(0));
@@ -55,7 +55,9 @@
     let leader = cluster.leader().expect("a leader");
     let next = format!("n{}", (leader + 1) % 3);
     assert_eq!(run(&["ledger", "transfer", &next]).0, Some(0));
-    wait_until("the lead has moved", || run(&["ledger", "status"]).1.contains(&format!("leader: {next}")));
+    wait_until("leadership has been transferred", || {
+        run(&["ledger", "status"]).1.contains(&format!("leader: {next}"))
+    });
     let (_, out, _) = run(&["ledger", "members", "list"]);
     assert!(["n0", "n1", "n2"].iter().all(|name| out.contains(name)), "{out}");
     let (code, _, err) = run(&["ledger", "members", "remove", &next]);
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -3,7 +3,7 @@
 use redb::{ReadableTable, WriteTransaction};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-use crate::Record;
+use crate::batch::Record;
 use crate::checksum::{CorruptValue, Corruption, add_checksum, verify_checksum};
 use crate::error::StoreError;
 use crate::schema::{CHUNKS_NAME, KEYS_NAME, LOG_NAME, META, META_NAME};
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use crate::Identity;
+use crate::batch::Identity;
 use crate::checksum::{CorruptValue, Corruption};
 
 /// In an error: the place of what concerns the whole file.
--- a/crates/store/src/schema/tests.rs
+++ b/crates/store/src/schema/tests.rs
@@ -4,7 +4,7 @@
 use redb::{Database, ReadableDatabase, WriteTransaction};
 
 use super::{KEYS, META, StoredSchema, stored_schema, upgrade};
-use crate::StoreError;
+use crate::error::StoreError;
 
 fn file_of(version: u32) -> Database {
     let db = Database::builder().create_with_backend(InMemoryBackend::new()).unwrap();
--- a/crates/store/src/store/commit.rs
+++ b/crates/store/src/store/commit.rs
@@ -3,10 +3,10 @@
 use redb::{ReadableDatabase, ReadableTable, WriteTransaction};
 
 use super::{LogEnd, Store};
+use crate::batch::{Batch, Record, Snapshot};
 use crate::codec::{SnapshotHeader, decode_record, encode_chunk, encode_key_value, encode_record, put_meta};
-use crate::error::BatchOrderError;
+use crate::error::{BatchOrderError, StoreError};
 use crate::schema::{CHUNKS, HARD_STATE_KEY, KEYS, LOG, SNAPSHOT_KEY};
-use crate::{Batch, Record, Snapshot, StoreError};
 
 /// Largest chunk of a snapshot in one value, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
--- a/crates/store/src/store/keys.rs
+++ b/crates/store/src/store/keys.rs
@@ -3,8 +3,8 @@
 use redb::ReadableDatabase;
 
 use super::Store;
-use crate::StoreError;
 use crate::codec::decode_key_value;
+use crate::error::StoreError;
 use crate::schema::KEYS;
 
 impl Store {
--- a/crates/store/src/store/load.rs
+++ b/crates/store/src/store/load.rs
@@ -3,10 +3,11 @@
 use redb::{ReadTransaction, ReadableDatabase};
 
 use super::Store;
+use crate::batch::{HardState, Record, Snapshot};
 use crate::checksum::{CorruptValue, Corruption};
 use crate::codec::{SnapshotHeader, decode_chunk, decode_record, read_meta};
+use crate::error::StoreError;
 use crate::schema::{CHUNKS, CHUNKS_NAME, HARD_STATE_KEY, LOG, LOG_NAME, META, SNAPSHOT_KEY};
-use crate::{HardState, Record, Snapshot, StoreError};
 
 /// What is stored, as read back at a start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -3,7 +3,8 @@
 
 use redb::Database;
 
-use crate::{Identity, StoreError};
+use crate::batch::Identity;
+use crate::error::StoreError;
 
 mod commit;
 mod keys;
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -9,13 +9,14 @@
 use redb::{Database, ReadableTable, StorageBackend, WriteTransaction};
 
 use super::{LogEnd, Store};
+use crate::batch::Identity;
 use crate::checksum::{CorruptValue, Corruption};
 use crate::codec::{SnapshotHeader, get_meta, put_meta};
+use crate::error::StoreError;
 use crate::schema::{
     self, CHUNKS, IDENTITY_KEY, KEYS, LOG, META_NAME, SCHEMA_VERSION, SNAPSHOT_KEY, STARTS_KEY, StoredSchema,
 };
 use crate::synced_device::SyncedDevice;
-use crate::{Identity, StoreError};
 
 /// Memory for cached pages, in bytes. The caller keeps the entries, so few pages are read twice.
 const CACHE_BYTES: usize = 8 * 1024 * 1024;
--- a/crates/store/src/store/scrub.rs
+++ b/crates/store/src/store/scrub.rs
@@ -4,9 +4,9 @@
 use serde::Serialize;
 
 use super::Store;
-use crate::StoreError;
 use crate::checksum::CorruptValue;
 use crate::codec::{decode_chunk, decode_key_value, decode_record, verify_meta};
+use crate::error::StoreError;
 use crate::schema::{CHUNKS, KEYS, LOG, META, SCHEMA_KEY};
 
 /// What a scrub found.
