--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -44,7 +44,7 @@
 /// The platform that proxies cast their votes at, with a fencing gate in front.
 #[derive(Default)]
 struct Platform {
-    gate: FencingGate,
+    fencing_gate: FencingGate,
     admitted_epochs: Vec<u64>,
     stale_votes: u64,
 }
@@ -53,7 +53,7 @@
     /// A proxy that is assigned the vote shows its epoch first.
     fn cast_vote(&mut self, epoch: u64) {
         let order = Subject::new("cast", epoch);
-        match self.gate.admit(&build_verdicts::vote_role(), Epoch(epoch), &order) {
+        match self.fencing_gate.admit(&build_verdicts::vote_role(), Epoch(epoch), &order) {
             FencingDecision::Admit => self.admitted_epochs.push(epoch),
             FencingDecision::StaleEpoch { .. } => self.stale_votes += 1,
             FencingDecision::Duplicate { .. } | FencingDecision::Full => {}
--- a/crates/agent/src/config/tests.rs
+++ b/crates/agent/src/config/tests.rs
@@ -20,3 +20,21 @@
     assert!(error_with("}", ",\"log\":{\"format\":\"xml\"}}").contains("log.format: "));
     assert!(error_with("}", "").contains("EOF"));
 }
+
+#[test]
+fn an_error_gives_the_value_and_what_is_allowed() {
+    let error_with = |key: &str, value: u64| {
+        let text = MINIMAL.replace('}', &format!(",\"{key}\":{value}}}"));
+        Config::parse(&text).unwrap_err().to_string()
+    };
+    assert_eq!(error_with("fold_every", 40), "fold_every must be between 100 and 10000000, got 40");
+    assert_eq!(error_with("store_most_mb", 7), "store_most_mb must be at least 8, got 7");
+    assert_eq!(
+        error_with("election_ticks", 8),
+        "election_ticks must be between 9 (three times heartbeat_ticks) and 10000, got 8"
+    );
+    assert_eq!(
+        error_with("life_ms", 899),
+        "life_ms must be between 900 (three elections of election_ticks x tick_ms) and 3600000 (an hour), got 899"
+    );
+}
--- a/crates/agent/src/engine/mod.rs
+++ b/crates/agent/src/engine/mod.rs
@@ -7,7 +7,8 @@
 //! - `reads`, `views`: what the replicated state and the node look like from outside;
 //! - `persistence`: what Raft wants written and sent; `leadership`: who leads;
 //! - `membership`: connections to the members;
-//! - `votes`: the lease on the vote and the verdicts on builds; `publisher`: what proxies that watch are told.
+//! - `votes`: the lease on the vote and the verdicts on builds; `publisher`: what is published to proxies
+//!   that watch.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -77,7 +78,7 @@
     pub storage_writer: SyncSender<Batch>,
     /// Where connections run.
     pub runtime: Handle,
-    /// What proxies that watch are told.
+    /// Where state is published to proxies that watch.
     pub published: watch::Sender<PublishedState>,
     /// How often the store has been opened, this time included.
     pub starts: u64,
--- a/crates/agent/src/engine/publisher.rs
+++ b/crates/agent/src/engine/publisher.rs
@@ -1,4 +1,4 @@
-//! What proxies that watch are told.
+//! What is published to proxies that watch.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::api::WatchEvent;
 use crate::engine_input::PublishedState;
 
-/// The proxies that watch, and what they were told last.
+/// The proxies that watch, and what was published last.
 pub(super) struct ProxyPublisher {
     /// Number of watches by the proxy's name: one that connects again may have two for a moment.
     watches: BTreeMap<String, u32>,
@@ -51,7 +51,7 @@
 }
 
 impl Engine {
-    /// Tells the proxies what is new.
+    /// Publishes what has changed.
     pub(super) fn publish(&mut self) {
         let now = self.clock.now();
         let state = self.node.state();
--- a/crates/agent/src/http_api/mod.rs
+++ b/crates/agent/src/http_api/mod.rs
@@ -36,7 +36,7 @@
 pub struct HttpApi {
     /// The engine's queue.
     pub engine: SyncSender<EngineInput>,
-    /// What proxies that watch are told.
+    /// What the engine publishes to proxies that watch.
     pub published: watch::Receiver<PublishedState>,
     /// Counters of the agent.
     pub counters: Arc<Counters>,
--- a/crates/agent/src/storage_writer.rs
+++ b/crates/agent/src/storage_writer.rs
@@ -72,13 +72,15 @@
 /// What operators should do about an error of the store.
 pub fn advice(error: &StoreError) -> &'static str {
     match error {
-        StoreError::Full(_) => "free space on the device and start again: nothing that was decided is lost",
+        StoreError::DeviceFull(_) => {
+            "free space on the device and start again: nothing that was decided is lost"
+        }
         StoreError::Corrupt(_) => {
             "don't trust the device: remove this member, give it an empty store and add it again"
         }
-        StoreError::Schema { .. } => "use the program version that wrote the store",
-        StoreError::Identity { .. } => "the configuration names another instance's store",
-        StoreError::Order(_) => "a bug in this program: report it with the log",
+        StoreError::UnsupportedSchema { .. } => "use the program version that wrote the store",
+        StoreError::WrongOwner { .. } => "the configuration names another instance's store",
+        StoreError::OutOfOrder(_) => "a bug in this program: report it with the log",
         StoreError::InUse => "stop the other agent that uses it, or give this one a store of its own",
         StoreError::File { .. } | StoreError::NotFound { .. } => "check the path and its permissions",
         StoreError::Empty | StoreError::Device(_) | StoreError::Failed { .. } => {
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -18,7 +18,7 @@
     Corrupt(#[from] CorruptValue),
     /// The file has a schema version that this program can't read.
     #[error("the file has layout {found}, this program knows up to {known}: use the program that wrote it")]
-    Schema {
+    UnsupportedSchema {
         /// The file's version.
         found: u32,
         /// The latest version that this program can read.
@@ -26,7 +26,7 @@
     },
     /// The file belongs to another instance.
     #[error("the store belongs to {}, not to {}", describe(found), describe(wanted))]
-    Identity {
+    WrongOwner {
         /// The file's owner.
         found: Box<Identity>,
         /// The instance that opens it.
@@ -34,10 +34,10 @@
     },
     /// A batch that does not follow what is stored. Nothing was changed.
     #[error("a batch out of order: {0}")]
-    Order(#[from] BatchOrderError),
+    OutOfOrder(#[from] BatchOrderError),
     /// The device is full; nothing of the batch was stored and nothing that was stored is lost.
     #[error("the device is full: {0}")]
-    Full(#[source] io::Error),
+    DeviceFull(#[source] io::Error),
     /// The file does not exist.
     #[error("{}: no such file", path.display())]
     NotFound {
@@ -114,7 +114,7 @@
 impl From<redb::Error> for StoreError {
     fn from(error: redb::Error) -> Self {
         match error {
-            redb::Error::Io(source) if is_full(&source) => Self::Full(source),
+            redb::Error::Io(source) if is_full(&source) => Self::DeviceFull(source),
             redb::Error::Corrupted(what) => Self::pages(Corruption::Pages(what)),
             redb::Error::DatabaseAlreadyOpen => Self::InUse,
             other => Self::Device(Box::new(other)),
--- a/crates/store/src/schema/mod.rs
+++ b/crates/store/src/schema/mod.rs
@@ -78,7 +78,7 @@
     target: u32,
     upgrades: &[Upgrade],
 ) -> Result<(), StoreError> {
-    let unsupported = StoreError::Schema { found: stored, known: target };
+    let unsupported = StoreError::UnsupportedSchema { found: stored, known: target };
     if stored > target || stored == 0 {
         return Err(unsupported);
     }
--- a/crates/store/src/schema/tests.rs
+++ b/crates/store/src/schema/tests.rs
@@ -29,9 +29,12 @@
     let txn = db.begin_write().unwrap();
     upgrade(&txn, 1, 2, &[write_marker]).unwrap();
     assert_eq!(stored_schema(&txn).unwrap(), StoredSchema::Version(2));
-    assert!(matches!(upgrade(&txn, 3, 2, &[write_marker]), Err(StoreError::Schema { found: 3, known: 2 })));
+    assert!(matches!(
+        upgrade(&txn, 3, 2, &[write_marker]),
+        Err(StoreError::UnsupportedSchema { found: 3, known: 2 })
+    ));
     assert!(
-        matches!(upgrade(&txn, 1, 3, &[write_marker]), Err(StoreError::Schema { .. })),
+        matches!(upgrade(&txn, 1, 3, &[write_marker]), Err(StoreError::UnsupportedSchema { .. })),
         "a step is missing"
     );
 }
--- a/crates/store/src/store/commit.rs
+++ b/crates/store/src/store/commit.rs
@@ -20,7 +20,7 @@
     /// Makes a change durable: when this returns, all of `batch` survives any crash.
     ///
     /// # Errors
-    /// [`StoreError::Order`] for a batch that does not follow what is stored, with nothing changed. After any other
+    /// [`StoreError::OutOfOrder`] for a batch that does not follow what is stored, with nothing changed. After any other
     /// error the store has ended and every later call fails: the caller recovers by opening the file again.
     pub fn commit(&mut self, batch: &Batch) -> Result<(), StoreError> {
         if let Some(reason) = &self.failure {
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -53,7 +53,7 @@
         };
         if owner != *identity {
             let (found, wanted) = (Box::new(owner), Box::new(identity.clone()));
-            return Err(StoreError::Identity { found, wanted });
+            return Err(StoreError::WrongOwner { found, wanted });
         }
         // Counted durably at each start, so that what an earlier run has in flight is told from this run's.
         let starts = stored_starts(&txn)? + 1;
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -133,7 +133,7 @@
         }
         assert!(last < 100_000, "the device never filled");
     };
-    assert!(matches!(error, StoreError::Full(_)), "{error}");
+    assert!(matches!(error, StoreError::DeviceFull(_)), "{error}");
     drop(store);
     disk.set_capacity(None);
     let mut store = Store::open_on(disk, &me()).unwrap();
@@ -193,7 +193,7 @@
     let other = Identity { id: 8, ..me() };
     let again = FaultyDisk::holding(disk.image());
     let error = Store::open_on(again, &other).unwrap_err();
-    assert!(matches!(error, StoreError::Identity { .. }), "{error}");
+    assert!(matches!(error, StoreError::WrongOwner { .. }), "{error}");
 
     let mut store = Store::open_on(FaultyDisk::holding(disk.image()), &me()).unwrap();
     assert_eq!(store.starts(), 2);
@@ -204,7 +204,7 @@
         Batch { snapshot: Some(Snapshot { index: 39, ..Snapshot::default() }), ..Batch::default() },
     ] {
         let error = store.commit(&bad).unwrap_err();
-        assert!(matches!(error, StoreError::Order(_)), "{error}");
+        assert!(matches!(error, StoreError::OutOfOrder(_)), "{error}");
     }
     store.commit(&Batch { entries: vec![record(44, 5)], ..Batch::default() }).unwrap();
     // A snapshot of another history takes the log behind it along: its next entry is the only one that fits.
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -157,7 +157,7 @@
     let (_folder, path) = copy();
     let other = Identity { id: 7, ..identity() };
     let error = Store::open(&path, &other).expect_err("another's store");
-    assert!(matches!(error, StoreError::Identity { .. }));
+    assert!(matches!(error, StoreError::WrongOwner { .. }));
     assert_eq!(
         error.to_string(),
         "the store belongs to alma (0a11ce0000000001) of cluster eger, not to alma (0000000000000007) of cluster eger"
