--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -23,7 +23,7 @@
 /// Maximum number of votes under way.
 const MAX_CALLS: usize = 4;
 /// Maximum number of descriptors that the client uses: its calls and the watch stream.
-pub const DESCRIPTORS: usize = MAX_CALLS + 1;
+pub(crate) const DESCRIPTORS: usize = MAX_CALLS + 1;
 
 /// A vote that was sent and has not been replied to.
 struct PendingVote {
@@ -32,7 +32,7 @@
 }
 
 /// Client of the agent.
-pub struct AgentClient {
+pub(crate) struct AgentClient {
     proxy_name: String,
     agent: SocketAddr,
     call_timeout: Micros,
@@ -40,14 +40,14 @@
     pending: Vec<PendingVote>,
     router: VoteRouter,
     /// Reconnects of the watch stream.
-    pub reconnects: u64,
+    pub(crate) reconnects: u64,
     /// Votes that the agent has passed on.
-    pub passed_on: u64,
+    pub(crate) passed_on: u64,
 }
 
 impl AgentClient {
     /// A client for the proxy of this name, whose votes stand at the release controller for `vote_ttl`.
-    pub fn new(settings: &ConsensusSettings, proxy_name: &str, vote_ttl: Micros, seed: u64) -> Self {
+    pub(crate) fn new(settings: &ConsensusSettings, proxy_name: &str, vote_ttl: Micros, seed: u64) -> Self {
         AgentClient {
             proxy_name: proxy_name.to_owned(),
             agent: settings.agent,
@@ -67,17 +67,17 @@
     }
 
     /// Whether there is nothing to do but to wait for updates.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.watch.is_connected()
     }
 
     /// A rollout status from the release controller. Returns the status that the policy is to be notified of.
-    pub fn on_rollout_status(&mut self, now: Micros, status: RolloutStatus) -> RolloutStatus {
+    pub(crate) fn on_rollout_status(&mut self, now: Micros, status: RolloutStatus) -> RolloutStatus {
         self.router.on_rollout_update(now, status)
     }
 
     /// The policy votes. Returns what the caller has to do.
-    pub fn on_vote(
+    pub(crate) fn on_vote(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -89,7 +89,7 @@
     }
 
     /// Reconnects and expires calls where that is due. Returns what the caller has to do.
-    pub fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<RouterAction> {
+    pub(crate) fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<RouterAction> {
         let used_agent = self.router.uses_agent();
         let mut actions = Vec::new();
         let name = &self.proxy_name;
@@ -103,7 +103,7 @@
     }
 
     /// Reads what has arrived on one of the client's connections. Returns what the caller has to do.
-    pub fn on_ready(
+    pub(crate) fn on_ready(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -18,10 +18,10 @@
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
 use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
-pub use endpoint_registry::EndpointAddress;
+pub(crate) use endpoint_registry::EndpointAddress;
 use endpoint_registry::{EndpointRegistry, ListOrigin};
 use line_assembler::LineAssembler;
-pub use member_list::MemberList;
+pub(crate) use member_list::MemberList;
 
 /// Silence after which a watch stream is dead: one of its heartbeats, one every 2 s, and a margin. What a dead stream
 /// misses counts as notified 6 s after it fell silent, so two more connections may fail before one delivers it.
@@ -33,11 +33,11 @@
 
 /// What has become known of the endpoint list.
 #[derive(Debug, Default)]
-pub struct DiscoveryUpdate {
+pub(crate) struct DiscoveryUpdate {
     /// For the policy, in order.
-    pub endpoint_updates: Vec<EndpointUpdate>,
+    pub(crate) endpoint_updates: Vec<EndpointUpdate>,
     /// For the connections to endpoints, in order.
-    pub addresses: Vec<EndpointAddress>,
+    pub(crate) addresses: Vec<EndpointAddress>,
 }
 
 impl DiscoveryUpdate {
@@ -63,7 +63,7 @@
 }
 
 /// Client of discovery.
-pub struct Discovery {
+pub(crate) struct Discovery {
     address: SocketAddr,
     registry: EndpointRegistry,
     watch: WatchStream,
@@ -73,14 +73,14 @@
     lines: LineAssembler,
     poll: Option<UnaryCall>,
     /// Discovery has sent a list since the start.
-    pub heard: bool,
+    pub(crate) heard: bool,
     /// Reconnects of the watch stream.
-    pub reconnects: u64,
+    pub(crate) reconnects: u64,
 }
 
 impl Discovery {
     /// A client that knows no endpoint yet.
-    pub fn new(address: SocketAddr, settings: &Settings, seed: u64) -> Self {
+    pub(crate) fn new(address: SocketAddr, settings: &Settings, seed: u64) -> Self {
         let pushed = !settings.config.poll_endpoints;
         // Where the list is polled, many proxies poll at once and are answered one after another.
         let first_byte_timeout = if pushed { FIRST_BYTE_TIMEOUT } else { SILENCE_TIMEOUT };
@@ -104,7 +104,7 @@
     }
 
     /// Applies the list that the configuration holds.
-    pub fn load_cached(&mut self, list: MemberList) -> DiscoveryUpdate {
+    pub(crate) fn load_cached(&mut self, list: MemberList) -> DiscoveryUpdate {
         let mut update = DiscoveryUpdate::default();
         let complete_list = MemberList { complete: true, ..list };
         self.registry.apply(complete_list, ListOrigin::Cached, &mut update);
@@ -113,7 +113,12 @@
 
     /// Takes in a configuration that was read again. The present list stays, unless the cached one is newer; the next
     /// connection goes to the new address, at once.
-    pub fn reconfigure(&mut self, address: SocketAddr, cached: MemberList, now: Micros) -> DiscoveryUpdate {
+    pub(crate) fn reconfigure(
+        &mut self,
+        address: SocketAddr,
+        cached: MemberList,
+        now: Micros,
+    ) -> DiscoveryUpdate {
         let last_events = self.watch.retarget(address, now);
         let mut update = self.take_events(last_events, now);
         if address != self.address {
@@ -139,7 +144,7 @@
     }
 
     /// The policy wants to watch the list, or no longer wants to.
-    pub fn set_watching(&mut self, want: bool, now: Micros) -> DiscoveryUpdate {
+    pub(crate) fn set_watching(&mut self, want: bool, now: Micros) -> DiscoveryUpdate {
         if self.pushed {
             return DiscoveryUpdate::default();
         }
@@ -151,7 +156,7 @@
     }
 
     /// The policy polls the complete list.
-    pub fn poll(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> DiscoveryUpdate {
+    pub(crate) fn poll(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> DiscoveryUpdate {
         if self.poll.is_some() {
             // The answer that is on its way is the answer to this poll too.
             return DiscoveryUpdate::default();
@@ -178,13 +183,13 @@
     }
 
     /// Whether there is nothing to do but to wait for updates.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         let watch_needs_care = self.watch_mode == WatchMode::On && !self.watch.is_connected();
         self.poll.is_none() && !watch_needs_care
     }
 
     /// Reconnects and expires the poll where that is due.
-    pub fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> DiscoveryUpdate {
+    pub(crate) fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> DiscoveryUpdate {
         let mut update = DiscoveryUpdate::default();
         let poll_expired = self.poll.as_ref().is_some_and(|call| call.check_timeout(now).is_some());
         if poll_expired {
@@ -201,7 +206,7 @@
     }
 
     /// Reads what has arrived on one of the client's connections.
-    pub fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> DiscoveryUpdate {
+    pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> DiscoveryUpdate {
         if let Some(call) = self.poll.as_mut().filter(|call| call.id == id) {
             let Some(outcome) = call.on_ready(readiness) else { return DiscoveryUpdate::default() };
             self.poll = None;
--- a/crates/proxy/src/discovery/endpoint_registry.rs
+++ b/crates/proxy/src/discovery/endpoint_registry.rs
@@ -12,17 +12,17 @@
 
 /// What a list says of connections to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndpointAddress {
+pub(crate) struct EndpointAddress {
     /// The endpoint.
-    pub endpoint: EndpointId,
+    pub(crate) endpoint: EndpointId,
     /// Where it listens; none: it has been removed.
-    pub address: Option<SocketAddr>,
+    pub(crate) address: Option<SocketAddr>,
     /// Another process listens there than before: idle connections are of no use.
-    pub restarted: bool,
+    pub(crate) restarted: bool,
     /// It takes no new requests.
-    pub draining: bool,
+    pub(crate) draining: bool,
     /// The build that it runs.
-    pub build: Build,
+    pub(crate) build: Build,
 }
 
 impl EndpointAddress {
--- a/crates/proxy/src/discovery/member_list.rs
+++ b/crates/proxy/src/discovery/member_list.rs
@@ -12,18 +12,18 @@
 
 /// An endpoint list, or a change of one.
 #[derive(Debug, Clone, Deserialize)]
-pub struct MemberList {
+pub(crate) struct MemberList {
     /// Version of the list; it grows with each change.
-    pub revision: u64,
+    pub(crate) revision: u64,
     /// The list is complete; otherwise it holds changed members only.
-    pub complete: bool,
+    pub(crate) complete: bool,
     /// The members.
-    pub members: Vec<Member>,
+    pub(crate) members: Vec<Member>,
 }
 
 /// One endpoint of a list.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Member {
+pub(crate) struct Member {
     pub(super) id: String,
     /// Where it listens.
     #[serde(rename = "host_port", default)]
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -1,104 +1,114 @@
-//! One request and its answer on a connection of ours, told apart by how far it came.
+//! One request and its response on a connection to a server.
 
 use garnetcrank_http::{Parsing, Response, ResponseReader};
 
 use crate::connection::Connection;
 
+/// How far an exchange is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ExchangeStage {
+    /// The connection is being established.
     Connecting,
+    /// The request is being sent.
     Sending,
+    /// The request was sent completely.
     Receiving,
 }
 
-/// The state of one exchange. The request stands in the connection's output ring.
+/// The state of one exchange. The request is in the connection's output ring.
 #[derive(Debug)]
-pub struct HttpExchange {
+pub(crate) struct HttpExchange {
     stage: ExchangeStage,
     reader: ResponseReader,
 }
 
-/// How far an exchange is.
+/// What a step of an exchange came to.
 #[derive(Debug)]
-pub enum ExchangeProgress {
+pub(crate) enum ExchangeProgress {
     /// It goes on.
     Pending,
-    /// The answer is whole; with the connection's further use.
+    /// The response is complete.
     Response {
-        /// The answer.
+        /// The response.
         response: Response,
-        /// Another request may be written on this connection.
+        /// Another request may be sent on this connection.
         reusable: bool,
     },
-    /// No connection, or it broke before the request's last byte was written.
+    /// The connection was not established, or broke before the request's last byte was sent: it had no effect.
     NeverSent,
-    /// It broke or made no sense after that.
+    /// The connection broke, or the response made no sense, after that.
     ConnectionLost,
 }
 
 impl HttpExchange {
-    /// On a connection that is being made.
-    pub fn connecting(reader: ResponseReader) -> Self {
+    /// An exchange on a connection that is being established.
+    pub(crate) fn connecting(reader: ResponseReader) -> Self {
         HttpExchange { stage: ExchangeStage::Connecting, reader }
     }
 
-    /// On a connection that is up.
-    pub fn on_open_connection(reader: ResponseReader) -> Self {
+    /// An exchange on a connection that is established.
+    pub(crate) fn on_open_connection(reader: ResponseReader) -> Self {
         HttpExchange { stage: ExchangeStage::Sending, reader }
     }
 
-    /// Whether the request's last byte has been written.
-    pub fn request_sent(&self) -> bool {
+    /// Whether the request's last byte has been sent.
+    pub(crate) fn request_sent(&self) -> bool {
         self.stage == ExchangeStage::Receiving
     }
 
-    /// Whether the connection came up.
-    pub fn connected(&self) -> bool {
+    /// Whether the connection was established.
+    pub(crate) fn connected(&self) -> bool {
         self.stage != ExchangeStage::Connecting
     }
 
-    /// The answer as far as it has come.
-    pub fn reader(&mut self) -> &mut ResponseReader {
+    /// The reader of the response.
+    pub(crate) fn reader(&mut self) -> &mut ResponseReader {
         &mut self.reader
     }
 
-    /// Goes on as far as the connection lets it.
-    pub fn step(&mut self, conn: &mut Connection) -> ExchangeProgress {
+    /// Goes on as far as the connection allows.
+    pub(crate) fn step(&mut self, connection: &mut Connection) -> ExchangeProgress {
         if self.stage == ExchangeStage::Connecting {
-            match conn.connected() {
+            match connection.connected() {
                 Ok(true) => self.stage = ExchangeStage::Sending,
                 Ok(false) => return ExchangeProgress::Pending,
                 Err(_) => return ExchangeProgress::NeverSent,
             }
         }
-        let mut broke = false;
+        let mut broken = false;
         if self.stage == ExchangeStage::Sending {
-            match conn.flush() {
+            match connection.flush() {
                 Ok(true) => self.stage = ExchangeStage::Receiving,
                 Ok(false) => {}
-                // An answer may have come before the break, and is looked for below.
-                Err(_) => broke = true,
+                // A response may have arrived before the connection broke, and is looked for below.
+                Err(_) => broken = true,
             }
         }
+        self.read(connection, broken)
+    }
+
+    fn read(&mut self, connection: &mut Connection, broken: bool) -> ExchangeProgress {
         loop {
-            let ended = conn.fill();
-            let lost = if self.request_sent() {
-                ExchangeProgress::ConnectionLost
-            } else {
-                ExchangeProgress::NeverSent
-            };
-            match self.reader.read(&mut conn.input, ended) {
-                // No machine answers with 200 what it has not read: those are bytes of something else.
-                Ok(Parsing::Done(response)) if !self.request_sent() && response.status == 200 => return lost,
+            let ended = connection.fill();
+            match self.reader.read(&mut connection.input, ended) {
+                // No server answers with 200 what it has not read: those bytes are something else.
+                Ok(Parsing::Done(response)) if !self.request_sent() && response.status == 200 => {
+                    return self.lost();
+                }
                 Ok(Parsing::Done(response)) => {
-                    let clean = self.request_sent() && !ended && conn.input.is_empty();
-                    return ExchangeProgress::Response { reusable: clean && response.keep_alive, response };
+                    let nothing_follows = self.request_sent() && !ended && connection.input.is_empty();
+                    let reusable = nothing_follows && response.keep_alive;
+                    return ExchangeProgress::Response { response, reusable };
                 }
-                Err(_) => return lost,
-                Ok(Parsing::More) if ended || broke => return lost,
-                Ok(Parsing::More) if conn.more_to_read() => {}
+                Err(_) => return self.lost(),
+                Ok(Parsing::More) if ended || broken => return self.lost(),
+                Ok(Parsing::More) if connection.more_to_read() => {}
                 Ok(Parsing::More) => return ExchangeProgress::Pending,
             }
         }
     }
+
+    fn lost(&self) -> ExchangeProgress {
+        if self.request_sent() { ExchangeProgress::ConnectionLost } else { ExchangeProgress::NeverSent }
+    }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,6 +1,13 @@
 //! The proxy: one process that stands between clients and endpoints, and forwards requests as the policy decides.
 //! `RELAY_CONFIG` names its configuration.
 
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::missing_errors_doc
+)]
+
 mod agent_client;
 mod classify;
 mod clock;
--- a/crates/proxy/src/proxy/commands.rs
+++ b/crates/proxy/src/proxy/commands.rs
@@ -136,14 +136,7 @@
         }
         let started = if self.find_upstream_connection(endpoint, now) {
             let streamed = self.settings.config.classes[class.0].streamed;
-            let request = UpstreamRequest {
-                id,
-                attempt,
-                machine: endpoint,
-                request: &message,
-                until: deadline,
-                streamed,
-            };
+            let request = UpstreamRequest { id, attempt, endpoint, request: &message, deadline, streamed };
             let events = &mut self.upstream_events;
             self.upstream.start_attempt(&self.handle, &mut self.conn_ids, now, &request, events)
         } else {
--- a/crates/proxy/src/proxy/downstream_events.rs
+++ b/crates/proxy/src/proxy/downstream_events.rs
@@ -1,7 +1,5 @@
 //! What clients did: requests, bad requests, disconnects.
 
-use std::borrow::Cow;
-
 use garnetcrank_http::{Bad, Request};
 use garnetcrank_policy::api::{Micros, RequestId};
 use tracing::warn;
@@ -33,9 +31,9 @@
     pub(super) fn on_downstream_event(&mut self, event: DownstreamEvent, now: Micros) {
         match event {
             DownstreamEvent::Request(client, message) => self.on_request(client, message, now),
-            DownstreamEvent::Bad(bad) => self.on_bad_request(bad, now),
-            DownstreamEvent::Left(id) => self.on_client_disconnected(id, now),
-            DownstreamEvent::Drained(id) => {
+            DownstreamEvent::BadRequest(bad) => self.on_bad_request(bad, now),
+            DownstreamEvent::Disconnected(id) => self.on_client_disconnected(id, now),
+            DownstreamEvent::OutputDrained(id) => {
                 let streaming = self.shared.dispatcher().get(id).and_then(|r| r.streaming_attempt);
                 if let Some(attempt) = streaming {
                     self.upstream.pause(id, attempt, false, now, &mut self.upstream_events);
@@ -59,9 +57,10 @@
         }
         let classification = match classify(&self.settings, &message) {
             Ok(classification) => classification,
-            Err((status, reason)) => {
-                self.downstream.answer_bad(client, status, reason, now, &mut self.downstream_events);
-                self.on_bad_request(BadRequest::Meaningless(reason), now);
+            Err(error) => {
+                let events = &mut self.downstream_events;
+                self.downstream.answer_bad(client, error.status(), &error.to_string(), now, events);
+                self.on_bad_request(BadRequest::Unclassified(error), now);
                 return;
             }
         };
@@ -74,7 +73,7 @@
             Admission::DuplicateRequestId => {
                 let reason = "a request of this Request-Id is still open";
                 self.downstream.answer_bad(client, 409, reason, now, &mut self.downstream_events);
-                self.on_bad_request(BadRequest::NameTaken, now);
+                self.on_bad_request(BadRequest::DuplicateRequestId, now);
             }
             Admission::OverLimit => {
                 self.counters.over_limit += 1;
@@ -122,29 +121,20 @@
             return;
         }
         self.bad_request_logged_at = now;
-        warn!(total = self.counters.bad_requests, last = %reason(bad), "bad requests");
+        warn!(total = self.counters.bad_requests, last = %bad, "bad requests");
     }
 
     fn count_bad_request(&mut self, bad: BadRequest) {
         self.counters.bad_requests += 1;
         match bad {
-            BadRequest::Unreadable(Bad::Truncated) => self.counters.bad_requests_truncated += 1,
-            BadRequest::Unreadable(Bad::BodyTooLarge | Bad::HeadTooLarge) => {
+            BadRequest::Malformed(Bad::Truncated) => self.counters.bad_requests_truncated += 1,
+            BadRequest::Malformed(Bad::BodyTooLarge | Bad::HeadTooLarge) => {
                 self.counters.bad_requests_too_large += 1;
             }
-            BadRequest::Unreadable(_) => {}
-            BadRequest::Late => self.counters.bad_requests_timed_out += 1,
-            BadRequest::Meaningless(_) => self.counters.bad_requests_unclassified += 1,
-            BadRequest::NameTaken => self.counters.bad_requests_duplicate_id += 1,
+            BadRequest::Malformed(_) => {}
+            BadRequest::TimedOut => self.counters.bad_requests_timed_out += 1,
+            BadRequest::Unclassified(_) => self.counters.bad_requests_unclassified += 1,
+            BadRequest::DuplicateRequestId => self.counters.bad_requests_duplicate_id += 1,
         }
     }
 }
-
-fn reason(bad: BadRequest) -> Cow<'static, str> {
-    match bad {
-        BadRequest::Unreadable(bad) => bad.to_string().into(),
-        BadRequest::Late => "it was not complete in time".into(),
-        BadRequest::Meaningless(reason) => reason.into(),
-        BadRequest::NameTaken => "its Request-Id is that of another one still open".into(),
-    }
-}
--- a/crates/proxy/src/proxy/upstream_events.rs
+++ b/crates/proxy/src/proxy/upstream_events.rs
@@ -16,30 +16,24 @@
 
     fn on_upstream_event(&mut self, event: UpstreamEvent, now: Micros) {
         match event {
-            UpstreamEvent::Begun { id, attempt, headers } => {
+            UpstreamEvent::ResponseStarted { id, attempt, headers } => {
                 self.on_response_started(id, attempt, headers, now);
             }
-            UpstreamEvent::Part { id, bytes } => self.forward_body_part(id, &bytes, now),
-            UpstreamEvent::Ended { id, attempt, outcome, lag, load, answer } => {
+            UpstreamEvent::BodyPart { id, bytes } => self.forward_body_part(id, &bytes, now),
+            UpstreamEvent::AttemptCompleted { id, attempt, outcome, latency, load_report, response } => {
                 self.counters.record_outcome(outcome);
-                let result = AttemptResult {
-                    id,
-                    attempt,
-                    outcome,
-                    latency: lag,
-                    request_finished: false,
-                    load_report: load,
-                };
+                let result =
+                    AttemptResult { id, attempt, outcome, latency, request_finished: false, load_report };
                 let mut dispatcher = self.shared.dispatcher();
-                dispatcher.on_attempt_completed(result, answer, &mut self.commands);
+                dispatcher.on_attempt_completed(result, response, &mut self.commands);
                 self.shared.drain_dispatcher(&mut dispatcher, now, &mut self.commands);
             }
-            UpstreamEvent::Probed { machine, outcome, lag, load } => {
+            UpstreamEvent::HealthCheckCompleted { endpoint, outcome, latency, load_report } => {
                 self.shared.dispatcher().queue_event(Event::HealthCheckCompleted {
-                    endpoint: machine,
+                    endpoint,
                     outcome,
-                    latency: lag,
-                    load_report: load,
+                    latency,
+                    load_report,
                 });
             }
         }
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -16,7 +16,7 @@
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
 use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
-pub use protocol::RolloutState;
+pub(crate) use protocol::RolloutState;
 use protocol::{EventLine, PROGRESS_EVENT, VoteRequest};
 
 /// Silence after which the event stream is dead: three of its heartbeats, one a second, and a margin.
@@ -46,7 +46,7 @@
 }
 
 /// Client of the release controller.
-pub struct ReleaseController {
+pub(crate) struct ReleaseController {
     address: SocketAddr,
     watch: WatchStream,
     pending: Vec<PendingVote>,
@@ -55,14 +55,14 @@
     /// An event of an unknown type was logged; further ones are not.
     unknown_event_logged: bool,
     /// Reconnects of the event stream.
-    pub reconnects: u64,
+    pub(crate) reconnects: u64,
     /// Rollout states that were older than the known one.
-    pub stale: u64,
+    pub(crate) stale: u64,
 }
 
 impl ReleaseController {
     /// A client that knows nothing yet. `vote_timeout` of 0 stands for one second.
-    pub fn new(address: SocketAddr, vote_timeout: Micros, seed: u64) -> Self {
+    pub(crate) fn new(address: SocketAddr, vote_timeout: Micros, seed: u64) -> Self {
         ReleaseController {
             address,
             watch: WatchStream::new(
@@ -82,7 +82,7 @@
     }
 
     /// Takes in a rollout state. Returns its status, unless the state is older than the known one.
-    pub fn on_rollout_state(&mut self, state: RolloutState, now: Micros) -> Option<RolloutStatus> {
+    pub(crate) fn on_rollout_state(&mut self, state: RolloutState, now: Micros) -> Option<RolloutStatus> {
         let since = now.saturating_sub(state.age());
         if !self.is_newer(state, since) {
             self.stale += 1;
@@ -101,7 +101,12 @@
 
     /// Takes in a configuration that was read again. Its state counts only if it is further on. New connections go to
     /// the new address; votes under way end at the old one.
-    pub fn reconfigure(&mut self, address: SocketAddr, state: RolloutState, now: Micros) -> Vec<Event> {
+    pub(crate) fn reconfigure(
+        &mut self,
+        address: SocketAddr,
+        state: RolloutState,
+        now: Micros,
+    ) -> Vec<Event> {
         self.address = address;
         let last_events = self.watch.retarget(address, now);
         let mut events = self.take_events(last_events, now);
@@ -114,12 +119,12 @@
     }
 
     /// Whether there is nothing to do but to wait for events.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.watch.is_connected()
     }
 
     /// Casts a vote. Its result follows later as an event, or is returned if the vote cannot be sent.
-    pub fn cast_vote(
+    pub(crate) fn cast_vote(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -157,7 +162,7 @@
     }
 
     /// Reconnects and expires votes where that is due.
-    pub fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<Event> {
+    pub(crate) fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<Event> {
         let target = || "/events".to_owned();
         let watch_events = self.watch.on_tick(handle, ids, Source::ReleaseController, now, target);
         let mut events = self.take_events(watch_events, now);
@@ -176,7 +181,7 @@
     }
 
     /// Reads what has arrived on one of the client's connections.
-    pub fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
+    pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
         if let Some(position) = self.pending.iter().position(|pending| pending.call.id == id) {
             let Some(outcome) = self.pending[position].call.on_ready(readiness) else { return Vec::new() };
             let PendingVote { origin, .. } = self.pending.remove(position);
--- a/crates/proxy/src/release_controller/protocol.rs
+++ b/crates/proxy/src/release_controller/protocol.rs
@@ -8,7 +8,7 @@
 
 /// Where the newest build stands, as the release controller writes it.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
-pub struct RolloutState {
+pub(crate) struct RolloutState {
     #[serde(rename = "release")]
     pub(super) build: u32,
     #[serde(rename = "tranche")]
--- a/crates/proxy/src/unary_call.rs
+++ b/crates/proxy/src/unary_call.rs
@@ -15,9 +15,9 @@
 const RING_BYTES: usize = 32 * 1024;
 
 /// A call under way.
-pub struct UnaryCall {
+pub(crate) struct UnaryCall {
     /// Id of its connection.
-    pub id: ConnId,
+    pub(crate) id: ConnId,
     connection: Connection,
     exchange: HttpExchange,
     deadline: Micros,
@@ -25,7 +25,7 @@
 
 /// How a call ended.
 #[derive(Debug)]
-pub enum CallOutcome {
+pub(crate) enum CallOutcome {
     /// A response arrived.
     Response(Response),
     /// The request was not sent completely, so it had no effect.
@@ -35,19 +35,19 @@
 }
 
 /// The request of a call.
-pub struct CallRequest<'a> {
+pub(crate) struct CallRequest<'a> {
     /// The peer.
-    pub to: SocketAddr,
+    pub(crate) to: SocketAddr,
     /// HTTP method.
-    pub method: &'a str,
+    pub(crate) method: &'a str,
     /// Path and query.
-    pub target: &'a str,
+    pub(crate) target: &'a str,
     /// Body, in JSON.
-    pub body: &'a [u8],
+    pub(crate) body: &'a [u8],
     /// Maximum size of the response body, in bytes.
-    pub max_response_bytes: usize,
+    pub(crate) max_response_bytes: usize,
     /// When the call is given up.
-    pub deadline: Micros,
+    pub(crate) deadline: Micros,
 }
 
 impl UnaryCall {
@@ -55,7 +55,12 @@
     ///
     /// # Errors
     /// The connection could not be started, or the request is larger than its buffer.
-    pub fn start(handle: &Handle, id: ConnId, source: Source, request: CallRequest<'_>) -> io::Result<Self> {
+    pub(crate) fn start(
+        handle: &Handle,
+        id: ConnId,
+        source: Source,
+        request: CallRequest<'_>,
+    ) -> io::Result<Self> {
         let mut connection = Connection::connect(handle, request.to, source, RING_BYTES, RING_BYTES)?;
         let host = request.to.to_string();
         let headers: [(&str, &[u8]); 3] = [
@@ -78,7 +83,7 @@
     }
 
     /// Sends and reads what is possible. Returns the outcome once the call has ended.
-    pub fn on_ready(&mut self, readiness: Readiness) -> Option<CallOutcome> {
+    pub(crate) fn on_ready(&mut self, readiness: Readiness) -> Option<CallOutcome> {
         self.connection.update_readiness(readiness);
         match self.exchange.step(&mut self.connection) {
             ExchangeProgress::Pending => None,
@@ -89,7 +94,7 @@
     }
 
     /// Returns the outcome if the deadline has passed.
-    pub fn check_timeout(&self, now: Micros) -> Option<CallOutcome> {
+    pub(crate) fn check_timeout(&self, now: Micros) -> Option<CallOutcome> {
         if now < self.deadline {
             return None;
         }
--- a/crates/proxy/src/watch_stream.rs
+++ b/crates/proxy/src/watch_stream.rs
@@ -24,25 +24,25 @@
 /// A silent connection is replaced at once, as its timeout bounds the rate: a peer that comes back speaks to the
 /// connections that are open, and what it says then may count from that moment on.
 #[derive(Debug, Clone, Copy)]
-pub struct ReconnectBackoff {
+pub(crate) struct ReconnectBackoff {
     /// The first limit.
-    pub initial: Micros,
+    pub(crate) initial: Micros,
     /// The highest limit.
-    pub max: Micros,
+    pub(crate) max: Micros,
 }
 
 impl ReconnectBackoff {
     /// For a peer that many proxies share and that may be overloaded. Its events are wanted within four seconds, also
     /// over a few connections that fail one after another.
-    pub const REMOTE: ReconnectBackoff = ReconnectBackoff { initial: 100 * MS, max: 800 * MS };
+    pub(crate) const REMOTE: ReconnectBackoff = ReconnectBackoff { initial: 100 * MS, max: 800 * MS };
     /// For a peer on this machine that serves this proxy alone: what it has counts as notified whether or not a
     /// connection is open.
-    pub const LOCAL: ReconnectBackoff = ReconnectBackoff { initial: 20 * MS, max: 100 * MS };
+    pub(crate) const LOCAL: ReconnectBackoff = ReconnectBackoff { initial: 20 * MS, max: 100 * MS };
 }
 
 /// Timeout of the first byte for a peer that speaks at once where it is alive. What it has to say counts soon after,
 /// whether or not it arrived, so a silent connection must leave time for two more.
-pub const FIRST_BYTE_TIMEOUT: Micros = 1_000 * MS;
+pub(crate) const FIRST_BYTE_TIMEOUT: Micros = 1_000 * MS;
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Micros = 1_000 * MS;
 /// Capacity of each of the connection's ring buffers, in bytes.
@@ -51,7 +51,7 @@
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A supervised stream of events from one peer.
-pub struct WatchStream {
+pub(crate) struct WatchStream {
     /// Name of the peer, for log lines.
     name: &'static str,
     to: SocketAddr,
@@ -69,16 +69,16 @@
 
 /// What has arrived on a watch stream.
 #[derive(Debug, Default)]
-pub struct WatchEvents {
+pub(crate) struct WatchEvents {
     /// Lines, heartbeats (empty lines) among them.
-    pub lines: Vec<Vec<u8>>,
+    pub(crate) lines: Vec<Vec<u8>>,
     /// The connection was lost or could not be made.
-    pub lost: bool,
+    pub(crate) lost: bool,
 }
 
 impl WatchEvents {
     /// The lines that are no heartbeats.
-    pub fn non_empty_lines(&self) -> impl Iterator<Item = &[u8]> {
+    pub(crate) fn non_empty_lines(&self) -> impl Iterator<Item = &[u8]> {
         self.lines.iter().map(Vec::as_slice).filter(|line| !line.trim_ascii().is_empty())
     }
 
@@ -90,7 +90,7 @@
 impl WatchStream {
     /// A stream that connects at its first tick. Silence for the first timeout, or for the second on a new connection,
     /// means that the connection is dead.
-    pub fn new(
+    pub(crate) fn new(
         name: &'static str,
         to: SocketAddr,
         (silence_timeout, first_byte_timeout): (Micros, Micros),
@@ -112,13 +112,13 @@
     }
 
     /// Whether a connection is open and has delivered a line.
-    pub fn is_connected(&self) -> bool {
+    pub(crate) fn is_connected(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_delivered)
     }
 
     /// Closes the connection; the next one may be made at once. What had arrived and was not read yet counts as
     /// notified, so it is returned.
-    pub fn close(&mut self, now: Micros) -> WatchEvents {
+    pub(crate) fn close(&mut self, now: Micros) -> WatchEvents {
         let last_events = self.poll(now);
         self.open = None;
         self.reconnect_at = 0;
@@ -126,7 +126,7 @@
     }
 
     /// Moves to another address: the old connection is closed as by [`WatchStream::close`].
-    pub fn retarget(&mut self, to: SocketAddr, now: Micros) -> WatchEvents {
+    pub(crate) fn retarget(&mut self, to: SocketAddr, now: Micros) -> WatchEvents {
         if self.to == to {
             return WatchEvents::default();
         }
@@ -136,7 +136,7 @@
     }
 
     /// Gives the connection up, for a reason that is logged.
-    pub fn disconnect(&mut self, now: Micros, reason: &str) {
+    pub(crate) fn disconnect(&mut self, now: Micros, reason: &str) {
         if self.open.take().is_some() {
             self.schedule_reconnect(now, reason);
         }
@@ -150,7 +150,7 @@
     }
 
     /// Connects, or gives up a silent connection, where that is due. `target` gives the path and query to ask for.
-    pub fn on_tick(
+    pub(crate) fn on_tick(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -217,7 +217,7 @@
     }
 
     /// Reads what has arrived on connection `id`, if that is this stream's.
-    pub fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> WatchEvents {
+    pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> WatchEvents {
         let Some(open) = self.open.as_mut().filter(|open| open.id == id) else {
             return WatchEvents::default();
         };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,6 +4,13 @@
 //! its configuration file. Times in it are milliseconds; unknown keys are ignored. [`Settings`] holds the result,
 //! with times in microseconds.
 
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::missing_errors_doc
+)]
+
 mod config;
 mod error;
 mod raw;
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -2,6 +2,13 @@
 //!
 //! Malformed input ends the program with a message on standard error that names the line, and a non-zero exit code.
 
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::missing_errors_doc
+)]
+
 mod adapter;
 mod error;
 mod instance;
