--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,6 +1,6 @@
 //! The body of a message: delimited by its length, by chunks or by the end of the connection.
 
-use crate::error::Bad;
+use crate::error::MessageError;
 use crate::headers::Headers;
 use crate::ring::Ring;
 
@@ -40,36 +40,41 @@
 
 impl Framing {
     /// The framing that the headers announce; none: they announce no body.
-    pub(crate) fn of(headers: &Headers) -> Result<Option<Framing>, Bad> {
-        let mut lengths = headers.all("content-length");
+    pub(crate) fn of(headers: &Headers) -> Result<Option<Framing>, MessageError> {
+        let mut lengths = headers.values("content-length");
         let length = lengths.next();
         if lengths.next().is_some() {
-            return Err(Bad::Malformed("more than one Content-Length"));
+            return Err(MessageError::Malformed("more than one Content-Length"));
         }
-        let mut encodings = headers.all("transfer-encoding");
+        let mut encodings = headers.values("transfer-encoding");
         let Some(encoding) = encodings.next() else {
             return length.map(Self::of_length).transpose();
         };
         if length.is_some() {
-            return Err(Bad::Malformed("Content-Length beside Transfer-Encoding"));
+            return Err(MessageError::Malformed("Content-Length beside Transfer-Encoding"));
         }
         if encodings.next().is_some() || !encoding.trim_ascii().eq_ignore_ascii_case(b"chunked") {
-            return Err(Bad::Unsupported("a transfer encoding other than chunked"));
+            return Err(MessageError::Unsupported("a transfer encoding other than chunked"));
         }
         Ok(Some(Framing::ChunkSize))
     }
 
-    fn of_length(value: &[u8]) -> Result<Framing, Bad> {
+    fn of_length(value: &[u8]) -> Result<Framing, MessageError> {
         let digits = std::str::from_utf8(value.trim_ascii())
             .ok()
             .filter(|digits| !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit()))
-            .ok_or(Bad::Malformed("Content-Length is no number"))?;
+            .ok_or(MessageError::Malformed("Content-Length is no number"))?;
         // Digits that are no usize are a number beyond every bound.
-        digits.parse().map(Framing::Length).map_err(|_| Bad::BodyTooLarge)
+        digits.parse().map(Framing::Length).map_err(|_| MessageError::BodyTooLarge)
     }
 
     /// Moves body bytes from `ring` to `to`, which takes `max` bytes in all. Returns whether the body has ended.
-    pub(crate) fn read(&mut self, ring: &mut Ring, to: &mut Vec<u8>, max: usize) -> Result<bool, Bad> {
+    pub(crate) fn read(
+        &mut self,
+        ring: &mut Ring,
+        to: &mut Vec<u8>,
+        max: usize,
+    ) -> Result<bool, MessageError> {
         loop {
             match self.step(ring, to, max)? {
                 Step::Continue => {}
@@ -79,7 +84,7 @@
         }
     }
 
-    fn step(&mut self, ring: &mut Ring, to: &mut Vec<u8>, max: usize) -> Result<Step, Bad> {
+    fn step(&mut self, ring: &mut Ring, to: &mut Vec<u8>, max: usize) -> Result<Step, MessageError> {
         let room = max.saturating_sub(to.len());
         match self {
             Framing::Ended | Framing::Length(0) => Ok(Step::Ended),
@@ -102,7 +107,7 @@
         }
     }
 
-    fn read_chunk_end(&mut self, ring: &mut Ring) -> Result<Step, Bad> {
+    fn read_chunk_end(&mut self, ring: &mut Ring) -> Result<Step, MessageError> {
         match ring.contiguous() {
             [b'\r', b'\n', ..] => {
                 ring.consume(2);
@@ -110,30 +115,31 @@
                 Ok(Step::Continue)
             }
             [] | [b'\r'] => Ok(Step::NeedsMore),
-            _ => Err(Bad::Malformed("a chunk is longer than it says")),
+            _ => Err(MessageError::Malformed("a chunk is longer than it says")),
         }
     }
 
-    fn read_chunk_size(&mut self, ring: &mut Ring) -> Result<Step, Bad> {
+    fn read_chunk_size(&mut self, ring: &mut Ring) -> Result<Step, MessageError> {
         match httparse::parse_chunk_size(ring.contiguous()) {
             Ok(httparse::Status::Complete((line_bytes, size))) => {
                 ring.consume(line_bytes);
-                let size = usize::try_from(size).map_err(|_| Bad::Malformed("a chunk's size is absurd"))?;
+                let size =
+                    usize::try_from(size).map_err(|_| MessageError::Malformed("a chunk's size is absurd"))?;
                 *self = if size == 0 { Framing::Trailers(0) } else { Framing::ChunkData(size) };
                 Ok(Step::Continue)
             }
             Ok(httparse::Status::Partial) if ring.len() <= MAX_CHUNK_LINE_BYTES => Ok(Step::NeedsMore),
-            _ => Err(Bad::Malformed("a chunk's size can't be read")),
+            _ => Err(MessageError::Malformed("a chunk's size can't be read")),
         }
     }
 
     /// Reads and drops one trailer line; an empty one ends the body.
-    fn read_trailer(&mut self, ring: &mut Ring) -> Result<Step, Bad> {
+    fn read_trailer(&mut self, ring: &mut Ring) -> Result<Step, MessageError> {
         let Framing::Trailers(read) = self else { return Ok(Step::Continue) };
         let bytes = ring.contiguous();
         let Some(line_end) = bytes.iter().position(|byte| *byte == b'\n') else {
             if ring.len() > MAX_CHUNK_LINE_BYTES {
-                return Err(Bad::Malformed("a trailer line is too long"));
+                return Err(MessageError::Malformed("a trailer line is too long"));
             }
             return Ok(Step::NeedsMore);
         };
@@ -143,7 +149,7 @@
         if is_empty {
             *self = Framing::Ended;
         } else if *read > MAX_TRAILERS {
-            return Err(Bad::Malformed("too many trailer lines"));
+            return Err(MessageError::Malformed("too many trailer lines"));
         }
         Ok(Step::Continue)
     }
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -1,6 +1,6 @@
 //! Writing of messages.
 
-use crate::ring::{Full, Ring};
+use crate::ring::{Ring, RingFull};
 
 /// Usual size of a request's head, in bytes: what is reserved before it is written.
 const REQUEST_HEAD_BYTES: usize = 512;
@@ -19,7 +19,7 @@
     target: &str,
     headers: impl Iterator<Item = (&'a str, &'a [u8])>,
     body: &[u8],
-) -> Result<(), Full> {
+) -> Result<(), RingFull> {
     let mut text = Vec::with_capacity(REQUEST_HEAD_BYTES + body.len());
     for part in [method, " ", target, " HTTP/1.1\r\n"] {
         text.extend_from_slice(part.as_bytes());
@@ -43,7 +43,7 @@
     status: u16,
     headers: impl Iterator<Item = (&'a str, &'a [u8])>,
     body: Option<&[u8]>,
-) -> Result<(), Full> {
+) -> Result<(), RingFull> {
     let mut text = Vec::with_capacity(RESPONSE_HEAD_BYTES + body.map_or(0, <[u8]>::len));
     text.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).as_bytes());
     write_headers(&mut text, headers);
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -2,7 +2,7 @@
 
 /// Why a message can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
+pub enum MessageError {
     /// It breaks the grammar or contradicts itself.
     #[error("{0}")]
     Malformed(&'static str),
@@ -23,15 +23,15 @@
     Truncated,
 }
 
-impl Bad {
+impl MessageError {
     /// The status code for a client that sent such a request.
     pub fn status(self) -> u16 {
         match self {
-            Bad::Malformed(_) | Bad::Truncated => 400,
-            Bad::BodyTooLarge => 413,
-            Bad::HeadTooLarge => 431,
-            Bad::Unsupported(_) => 501,
-            Bad::Version => 505,
+            MessageError::Malformed(_) | MessageError::Truncated => 400,
+            MessageError::BodyTooLarge => 413,
+            MessageError::HeadTooLarge => 431,
+            MessageError::Unsupported(_) => 501,
+            MessageError::Version => 505,
         }
     }
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,6 +1,6 @@
 //! The head of a message: its start line and headers, parsed by httparse.
 
-use crate::error::Bad;
+use crate::error::MessageError;
 use crate::ring::Ring;
 
 /// Maximum size of a head, in bytes: some kilobytes are common, more is a mistake or an attack.
@@ -10,11 +10,11 @@
 
 /// How far the reading of a message is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Parsing<T> {
+pub enum Parsed<T> {
     /// More bytes are needed.
-    More,
+    Incomplete,
     /// The message is complete.
-    Done(T),
+    Complete(T),
 }
 
 /// A head that was parsed.
@@ -25,26 +25,26 @@
     pub(crate) content: T,
 }
 
-pub(crate) fn head_error(error: httparse::Error) -> Bad {
+pub(crate) fn head_error(error: httparse::Error) -> MessageError {
     match error {
-        httparse::Error::TooManyHeaders => Bad::HeadTooLarge,
-        httparse::Error::Version => Bad::Version,
-        _ => Bad::Malformed("the head can't be read"),
+        httparse::Error::TooManyHeaders => MessageError::HeadTooLarge,
+        httparse::Error::Version => MessageError::Version,
+        _ => MessageError::Malformed("the head can't be read"),
     }
 }
 
 /// Takes a head from the ring once it is complete.
 pub(crate) fn take_head<T>(
     ring: &mut Ring,
-    parse: impl FnOnce(&[u8]) -> Result<Option<ParsedHead<T>>, Bad>,
-) -> Result<Option<T>, Bad> {
+    parse: impl FnOnce(&[u8]) -> Result<Option<ParsedHead<T>>, MessageError>,
+) -> Result<Option<T>, MessageError> {
     if ring.is_empty() {
         return Ok(None);
     }
     let bytes = ring.contiguous();
     let head_bytes = &bytes[..bytes.len().min(MAX_HEAD_BYTES)];
     match parse(head_bytes)? {
-        None if head_bytes.len() == MAX_HEAD_BYTES => Err(Bad::HeadTooLarge),
+        None if head_bytes.len() == MAX_HEAD_BYTES => Err(MessageError::HeadTooLarge),
         None => Ok(None),
         Some(head) => {
             ring.consume(head.len);
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,6 +1,6 @@
 //! Header lines of a message.
 
-use crate::error::Bad;
+use crate::error::MessageError;
 
 /// Headers that concern a single connection, and those that give a message's framing. A proxy does not forward them.
 const HOP_BY_HOP: [&str; 10] = [
@@ -31,7 +31,7 @@
     }
 
     /// All values of one header, as they came.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter().filter(move |(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
@@ -39,21 +39,21 @@
     ///
     /// # Errors
     /// It occurs more than once, or its value is not UTF-8.
-    pub fn one<'a>(&'a self, name: &'a str) -> Result<Option<&'a str>, Bad> {
-        let mut values = self.all(name);
+    pub fn single_value<'a>(&'a self, name: &'a str) -> Result<Option<&'a str>, MessageError> {
+        let mut values = self.values(name);
         let Some(value) = values.next() else { return Ok(None) };
         if values.next().is_some() {
-            return Err(Bad::Malformed("a header that may stand once stands twice"));
+            return Err(MessageError::Malformed("a header that may stand once stands twice"));
         }
         match std::str::from_utf8(value) {
             Ok(text) => Ok(Some(text.trim())),
-            Err(_) => Err(Bad::Malformed("a header value is not text")),
+            Err(_) => Err(MessageError::Malformed("a header value is not text")),
         }
     }
 
     /// Whether a header that is a comma-separated list contains `token`.
-    pub fn names(&self, name: &str, token: &str) -> bool {
-        let mut tokens = self.all(name).flat_map(|value| value.split(|byte| *byte == b','));
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
+        let mut tokens = self.values(name).flat_map(|value| value.split(|byte| *byte == b','));
         tokens.any(|candidate| candidate.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
@@ -62,7 +62,7 @@
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.iter().filter(|(name, _)| {
             let is_hop_by_hop = HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop));
-            !is_hop_by_hop && !self.names("connection", name)
+            !is_hop_by_hop && !self.contains_token("connection", name)
         })
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -18,10 +18,10 @@
 mod stream;
 
 pub use encode::{write_request, write_response};
-pub use error::Bad;
-pub use head::Parsing;
+pub use error::MessageError;
+pub use head::Parsed;
 pub use headers::Headers;
 pub use request::{Request, RequestReader};
 pub use response::{Response, ResponseReader};
-pub use ring::{Full, Ring};
+pub use ring::{Ring, RingFull};
 pub use stream::StreamReader;
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,8 +1,8 @@
 //! Requests, read one after another from a connection.
 
 use crate::body::Framing;
-use crate::error::Bad;
-use crate::head::{MAX_HEADERS, ParsedHead, Parsing, head_error, take_head};
+use crate::error::MessageError;
+use crate::head::{MAX_HEADERS, Parsed, ParsedHead, head_error, take_head};
 use crate::headers::Headers;
 use crate::ring::Ring;
 
@@ -44,7 +44,7 @@
     }
 
     /// Whether a request has been read in part.
-    pub fn midway(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         self.partial.is_some()
     }
 
@@ -57,36 +57,38 @@
     ///
     /// # Errors
     /// The request is rejected; the connection is of no further use then.
-    pub fn read(&mut self, ring: &mut Ring) -> Result<Parsing<Request>, Bad> {
+    pub fn read(&mut self, ring: &mut Ring) -> Result<Parsed<Request>, MessageError> {
         if self.partial.is_none() {
-            let Some(head) = request_head(ring)? else { return Ok(Parsing::More) };
+            let Some(head) = request_head(ring)? else { return Ok(Parsed::Incomplete) };
             self.begin(head, ring)?;
         }
-        let Some(PartialRequest { request, framing }) = &mut self.partial else { return Ok(Parsing::More) };
+        let Some(PartialRequest { request, framing }) = &mut self.partial else {
+            return Ok(Parsed::Incomplete);
+        };
         // One byte more than allowed is read, so that a body at the limit is told from one beyond it.
         let is_complete = framing.read(ring, &mut request.body, self.max_body_bytes + 1)?;
         if request.body.len() > self.max_body_bytes {
-            return Err(Bad::BodyTooLarge);
+            return Err(MessageError::BodyTooLarge);
         }
         if !is_complete {
-            return Ok(Parsing::More);
+            return Ok(Parsed::Incomplete);
         }
         self.wants_continue = false;
-        Ok(self.partial.take().map_or(Parsing::More, |partial| Parsing::Done(partial.request)))
+        Ok(self.partial.take().map_or(Parsed::Incomplete, |partial| Parsed::Complete(partial.request)))
     }
 
-    fn begin(&mut self, request: Request, ring: &Ring) -> Result<(), Bad> {
+    fn begin(&mut self, request: Request, ring: &Ring) -> Result<(), MessageError> {
         let framing = Framing::of(&request.headers)?.unwrap_or(Framing::Ended);
         if matches!(framing, Framing::Length(length) if length > self.max_body_bytes) {
-            return Err(Bad::BodyTooLarge);
+            return Err(MessageError::BodyTooLarge);
         }
-        self.wants_continue = request.headers.names("expect", "100-continue") && ring.is_empty();
+        self.wants_continue = request.headers.contains_token("expect", "100-continue") && ring.is_empty();
         self.partial = Some(PartialRequest { request, framing });
         Ok(())
     }
 }
 
-fn request_head(ring: &mut Ring) -> Result<Option<Request>, Bad> {
+fn request_head(ring: &mut Ring) -> Result<Option<Request>, MessageError> {
     take_head(ring, |bytes| {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut lines);
@@ -94,16 +96,16 @@
             return Ok(None);
         };
         if head.version != Some(1) {
-            return Err(Bad::Version);
+            return Err(MessageError::Version);
         }
         let headers = Headers::read(head.headers);
-        if headers.one("host")?.is_none() {
-            return Err(Bad::Malformed("no Host"));
+        if headers.single_value("host")?.is_none() {
+            return Err(MessageError::Malformed("no Host"));
         }
         let content = Request {
             method: head.method.unwrap_or_default().to_owned(),
             target: head.path.unwrap_or_default().to_owned(),
-            keep_alive: !headers.names("connection", "close"),
+            keep_alive: !headers.contains_token("connection", "close"),
             headers,
             body: Vec::new(),
         };
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,8 +1,8 @@
 //! Responses, held until they are complete or taken as they come.
 
 use crate::body::Framing;
-use crate::error::Bad;
-use crate::head::{MAX_HEADERS, ParsedHead, Parsing, head_error, take_head};
+use crate::error::MessageError;
+use crate::head::{MAX_HEADERS, Parsed, ParsedHead, head_error, take_head};
 use crate::headers::Headers;
 use crate::ring::Ring;
 
@@ -50,7 +50,7 @@
 impl ResponseReader {
     /// A reader of a response that is held until it is complete, with a body of up to `max_body_bytes`. A response with
     /// status 200 must give its length: where the end of the connection delimits it, a truncated one looks complete.
-    pub fn whole(max_body_bytes: usize) -> Self {
+    pub fn buffered(max_body_bytes: usize) -> Self {
         Self::new(max_body_bytes, BodyMode::Buffered)
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// The response as far as it has come; none before its head is complete.
-    pub fn begun(&self) -> Option<&Response> {
+    pub fn partial_response(&self) -> Option<&Response> {
         self.partial.as_ref().map(|partial| &partial.response)
     }
 
@@ -80,68 +80,68 @@
     ///
     /// # Errors
     /// The response is rejected; the connection is of no further use then.
-    pub fn read(&mut self, ring: &mut Ring, ended: bool) -> Result<Parsing<Response>, Bad> {
+    pub fn read(&mut self, ring: &mut Ring, ended: bool) -> Result<Parsed<Response>, MessageError> {
         if self.partial.is_none() {
             self.partial = self.read_head(ring)?;
         }
         let Some(PartialResponse { response, framing }) = &mut self.partial else {
-            return if ended { Err(Bad::Truncated) } else { Ok(Parsing::More) };
+            return if ended { Err(MessageError::Truncated) } else { Ok(Parsed::Incomplete) };
         };
         let is_buffered = self.mode == BodyMode::Buffered;
         // One byte more than allowed is read, so that a body at the limit is told from one beyond it.
         let read_limit = self.max_body_bytes + usize::from(is_buffered);
         let mut is_complete = framing.read(ring, &mut response.body, read_limit)?;
         if is_buffered && response.body.len() > self.max_body_bytes {
-            return Err(Bad::BodyTooLarge);
+            return Err(MessageError::BodyTooLarge);
         }
         if ended && ring.is_empty() && !is_complete {
             if *framing != Framing::UntilClose {
-                return Err(Bad::Truncated);
+                return Err(MessageError::Truncated);
             }
             is_complete = true;
         }
         if !is_complete {
-            return Ok(Parsing::More);
+            return Ok(Parsed::Incomplete);
         }
-        Ok(self.partial.take().map_or(Parsing::More, |partial| Parsing::Done(partial.response)))
+        Ok(self.partial.take().map_or(Parsed::Incomplete, |partial| Parsed::Complete(partial.response)))
     }
 
     /// Reads the head of the final response; interim responses before it are skipped.
-    fn read_head(&mut self, ring: &mut Ring) -> Result<Option<PartialResponse>, Bad> {
+    fn read_head(&mut self, ring: &mut Ring) -> Result<Option<PartialResponse>, MessageError> {
         while let Some(head) = response_head(ring)? {
             if head.status == 101 {
-                return Err(Bad::Unsupported("a change of protocol"));
+                return Err(MessageError::Unsupported("a change of protocol"));
             }
             if head.status >= 200 {
                 return self.begin(head).map(Some);
             }
             self.interim_responses += 1;
             if self.interim_responses > MAX_INTERIM_RESPONSES {
-                return Err(Bad::Malformed("too many interim answers"));
+                return Err(MessageError::Malformed("too many interim answers"));
             }
         }
         Ok(None)
     }
 
-    fn begin(&self, head: Response) -> Result<PartialResponse, Bad> {
+    fn begin(&self, head: Response) -> Result<PartialResponse, MessageError> {
         let framing = match head.status {
             204 | 304 => Framing::Ended,
             _ => Framing::of(&head.headers)?.unwrap_or(Framing::UntilClose),
         };
         let is_buffered = self.mode == BodyMode::Buffered;
         if is_buffered && matches!(framing, Framing::Length(length) if length > self.max_body_bytes) {
-            return Err(Bad::BodyTooLarge);
+            return Err(MessageError::BodyTooLarge);
         }
         let until_close = framing == Framing::UntilClose;
         if is_buffered && until_close && head.status == 200 {
-            return Err(Bad::Malformed("an answer that does not say how long it is"));
+            return Err(MessageError::Malformed("an answer that does not say how long it is"));
         }
         let keep_alive = head.keep_alive && !until_close;
         Ok(PartialResponse { response: Response { keep_alive, ..head }, framing })
     }
 }
 
-fn response_head(ring: &mut Ring) -> Result<Option<Response>, Bad> {
+fn response_head(ring: &mut Ring) -> Result<Option<Response>, MessageError> {
     take_head(ring, |bytes| {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut lines);
@@ -151,7 +151,7 @@
         let headers = Headers::read(head.headers);
         let content = Response {
             status: head.code.unwrap_or_default(),
-            keep_alive: head.version == Some(1) && !headers.names("connection", "close"),
+            keep_alive: head.version == Some(1) && !headers.contains_token("connection", "close"),
             headers,
             body: Vec::new(),
         };
--- a/crates/http/src/ring.rs
+++ b/crates/http/src/ring.rs
@@ -20,7 +20,7 @@
 /// The ring has too little room for what was to be added; nothing was added.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the ring buffer has too little room")]
-pub struct Full;
+pub struct RingFull;
 
 /// Bytes in order, up to a fixed number. Memory grows as needed.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
     }
 
     /// Number of bytes that can be added.
-    pub fn room(&self) -> usize {
+    pub fn free_bytes(&self) -> usize {
         self.max_bytes - self.bytes.len()
     }
 
@@ -59,21 +59,21 @@
     ///
     /// # Errors
     /// There is too little room.
-    pub fn push(&mut self, more: &[u8]) -> Result<(), Full> {
-        if more.len() > self.room() {
-            return Err(Full);
+    pub fn push(&mut self, more: &[u8]) -> Result<(), RingFull> {
+        if more.len() > self.free_bytes() {
+            return Err(RingFull);
         }
         self.bytes.extend(more);
         Ok(())
     }
 
     /// Reads once from `from`, as much as there is room for. Returns the number of bytes read, which is 0 at the end of the
-    /// input and without room: check [`Ring::room`] first.
+    /// input and without room: check [`Ring::free_bytes`] first.
     ///
     /// # Errors
     /// The read failed.
     pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
-        let max = self.room().min(MAX_READ_BYTES);
+        let max = self.free_bytes().min(MAX_READ_BYTES);
         READ_BUFFER.with_borrow_mut(|buffer| {
             let read = from.read(&mut buffer[..max])?;
             self.bytes.extend(&buffer[..read]);
--- a/crates/http/src/ring/tests.rs
+++ b/crates/http/src/ring/tests.rs
@@ -1,6 +1,6 @@
 //! Order, bounds and memory of the ring buffer.
 
-use super::{Full, MAX_EMPTY_CAPACITY, Ring};
+use super::{MAX_EMPTY_CAPACITY, Ring, RingFull};
 
 #[test]
 fn bytes_keep_their_order_over_many_wraps() {
@@ -25,10 +25,10 @@
 fn what_does_not_fit_is_rejected_completely() {
     let mut ring = Ring::new(4);
     assert_eq!(ring.push(b"abc"), Ok(()));
-    assert_eq!(ring.push(b"de"), Err(Full));
+    assert_eq!(ring.push(b"de"), Err(RingFull));
     assert_eq!(ring.contiguous(), b"abc");
     assert_eq!(ring.fill(&mut &b"xyz"[..]).expect("a slice reads"), 1);
-    assert_eq!((ring.room(), ring.contiguous()), (0, &b"abcx"[..]));
+    assert_eq!((ring.free_bytes(), ring.contiguous()), (0, &b"abcx"[..]));
 }
 
 #[test]
--- a/crates/http/src/stream.rs
+++ b/crates/http/src/stream.rs
@@ -1,7 +1,7 @@
 //! A response that stays open and carries one text a line.
 
-use crate::error::Bad;
-use crate::head::Parsing;
+use crate::error::MessageError;
+use crate::head::Parsed;
 use crate::response::ResponseReader;
 use crate::ring::Ring;
 
@@ -25,19 +25,24 @@
 
     /// The status code, once known.
     pub fn status(&self) -> Option<u16> {
-        self.reader.begun().map(|response| response.status)
+        self.reader.partial_response().map(|response| response.status)
     }
 
     /// Adds the lines that are complete to `lines`, without their line ends. Returns whether the response has ended.
     ///
     /// # Errors
     /// The response is rejected. Lines that were complete before that are in `lines`.
-    pub fn read(&mut self, ring: &mut Ring, ended: bool, lines: &mut Vec<Vec<u8>>) -> Result<bool, Bad> {
+    pub fn read(
+        &mut self,
+        ring: &mut Ring,
+        ended: bool,
+        lines: &mut Vec<Vec<u8>>,
+    ) -> Result<bool, MessageError> {
         loop {
             let before = ring.len();
             let (body, is_complete) = match self.reader.read(ring, ended) {
-                Ok(Parsing::Done(response)) => (response.body, Ok(true)),
-                Ok(Parsing::More) => (self.reader.take_body(), Ok(false)),
+                Ok(Parsed::Complete(response)) => (response.body, Ok(true)),
+                Ok(Parsed::Incomplete) => (self.reader.take_body(), Ok(false)),
                 Err(error) => (self.reader.take_body(), Err(error)),
             };
             self.split_lines(&body, lines)?;
@@ -50,10 +55,10 @@
         }
     }
 
-    fn split_lines(&mut self, body: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), Bad> {
+    fn split_lines(&mut self, body: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), MessageError> {
         for part in body.split_inclusive(|byte| *byte == b'\n') {
             if self.line.len() + part.len() > self.max_line_bytes {
-                return Err(Bad::BodyTooLarge);
+                return Err(MessageError::BodyTooLarge);
             }
             self.line.extend_from_slice(part);
             if self.line.ends_with(b"\n") {
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,21 +1,21 @@
 //! Messages split at each byte, bodies of every framing, and arbitrary input.
 
 use garnetcrank_http::{
-    Bad, Parsing, Request, RequestReader, Response, ResponseReader, Ring, StreamReader, write_request,
-    write_response,
+    MessageError, Parsed, Request, RequestReader, Response, ResponseReader, Ring, StreamReader,
+    write_request, write_response,
 };
 
 /// Reads requests from text that comes in the given pieces, through a ring of `most` bytes.
-fn requests(pieces: &[&[u8]], most: usize) -> Result<Vec<Request>, Bad> {
+fn requests(pieces: &[&[u8]], most: usize) -> Result<Vec<Request>, MessageError> {
     let (mut ring, mut reader, mut all) = (Ring::new(most), RequestReader::new(1000), Vec::new());
     for piece in pieces {
         let mut rest = *piece;
         while !rest.is_empty() {
-            let fits = rest.len().min(ring.room());
+            let fits = rest.len().min(ring.free_bytes());
             assert!(fits > 0, "a full ring that nothing is taken from");
             ring.push(&rest[..fits]).expect("room");
             rest = &rest[fits..];
-            while let Parsing::Done(request) = reader.read(&mut ring)? {
+            while let Parsed::Complete(request) = reader.read(&mut ring)? {
                 all.push(request);
             }
         }
@@ -23,10 +23,10 @@
     Ok(all)
 }
 
-fn answer(text: &[u8], ended: bool) -> Result<Parsing<Response>, Bad> {
+fn answer(text: &[u8], ended: bool) -> Result<Parsed<Response>, MessageError> {
     let mut ring = Ring::new(text.len().max(1));
     ring.push(text).expect("room");
-    ResponseReader::whole(1000).read(&mut ring, ended)
+    ResponseReader::buffered(1000).read(&mut ring, ended)
 }
 
 const TWO: &[u8] = b"POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nX-Y: z\r\n\r\nhello\
@@ -84,7 +84,7 @@
         "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n{}",
         "x".repeat(1001)
     );
-    assert_eq!(requests(&[text.as_bytes()], 64 * 1024), Err(Bad::BodyTooLarge));
+    assert_eq!(requests(&[text.as_bytes()], 64 * 1024), Err(MessageError::BodyTooLarge));
 }
 
 #[test]
@@ -96,17 +96,17 @@
         ("HTTP/1.1 500 Oops\r\n\r\nhello", true, false),
         ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", false, true),
     ] {
-        let Ok(Parsing::Done(response)) = answer(text.as_bytes(), ended) else { panic!("{text:?}") };
+        let Ok(Parsed::Complete(response)) = answer(text.as_bytes(), ended) else { panic!("{text:?}") };
         assert_eq!((response.body.as_slice(), response.keep_alive), (&b"hello"[..], keep_alive), "{text:?}");
         for at in 0..text.len() {
             let part = answer(&text.as_bytes()[..at], false);
-            assert!(matches!(part, Ok(Parsing::More)), "{part:?} of {at} bytes of {text:?}");
+            assert!(matches!(part, Ok(Parsed::Incomplete)), "{part:?} of {at} bytes of {text:?}");
         }
     }
     // Cut short, this one would look as whole.
-    assert!(matches!(answer(b"HTTP/1.1 200 OK\r\n\r\nhello", true), Err(Bad::Malformed(_))));
+    assert!(matches!(answer(b"HTTP/1.1 200 OK\r\n\r\nhello", true), Err(MessageError::Malformed(_))));
     let without = answer(b"HTTP/1.1 204 None\r\n\r\n", false);
-    assert!(matches!(without, Ok(Parsing::Done(r)) if r.body.is_empty() && r.keep_alive));
+    assert!(matches!(without, Ok(Parsed::Complete(r)) if r.body.is_empty() && r.keep_alive));
 }
 
 #[test]
@@ -117,7 +117,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
     ] {
-        assert_eq!(answer(text.as_bytes(), true), Err(Bad::Truncated), "{text:?}");
+        assert_eq!(answer(text.as_bytes(), true), Err(MessageError::Truncated), "{text:?}");
     }
 }
 
@@ -139,7 +139,10 @@
 fn a_line_beyond_the_bound_is_refused() {
     let mut ring = Ring::new(4096);
     ring.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nelevenbytes\r\n").expect("room");
-    assert_eq!(StreamReader::new(10).read(&mut ring, false, &mut Vec::new()), Err(Bad::BodyTooLarge));
+    assert_eq!(
+        StreamReader::new(10).read(&mut ring, false, &mut Vec::new()),
+        Err(MessageError::BodyTooLarge)
+    );
 }
 
 #[test]
@@ -150,7 +153,7 @@
         let (mut ring, mut lines) = (Ring::new(4096), Vec::new());
         ring.push(text.as_bytes()).expect("room");
         let read = StreamReader::new(10).read(&mut ring, false, &mut lines);
-        assert!(matches!(read, Err(Bad::Malformed(_))), "{noise:?}: {read:?}");
+        assert!(matches!(read, Err(MessageError::Malformed(_))), "{noise:?}: {read:?}");
         assert_eq!(lines, [&b"one"[..], b"two"], "{noise:?}");
     }
 }
@@ -160,13 +163,13 @@
     let lines: [(&str, &[u8]); 2] = [("Host", b"x"), ("X-Y", b"z")];
     let mut ring = Ring::new(4096);
     write_request(&mut ring, "POST", "/a?b", lines.into_iter(), b"body").expect("room");
-    let Ok(Parsing::Done(request)) = RequestReader::new(10).read(&mut ring) else { panic!("no request") };
+    let Ok(Parsed::Complete(request)) = RequestReader::new(10).read(&mut ring) else { panic!("no request") };
     assert_eq!((request.target.as_str(), request.body.as_slice()), ("/a?b", &b"body"[..]));
     write_response(&mut ring, 503, std::iter::once(("Retry-After", &b"0.250"[..])), Some(b"")).expect("room");
-    let Ok(Parsing::Done(response)) = ResponseReader::whole(10).read(&mut ring, false) else {
+    let Ok(Parsed::Complete(response)) = ResponseReader::buffered(10).read(&mut ring, false) else {
         panic!("none")
     };
-    assert_eq!((response.status, response.headers.one("retry-after")), (503, Ok(Some("0.250"))));
+    assert_eq!((response.status, response.headers.single_value("retry-after")), (503, Ok(Some("0.250"))));
     assert!(write_response(&mut Ring::new(10), 200, std::iter::empty(), Some(b"")).is_err());
 }
 
@@ -206,7 +209,7 @@
     };
     for _ in 0..20_000 {
         let (mut ring, mut reader) = (Ring::new(2048), RequestReader::new(50));
-        let (mut back, mut other) = (Ring::new(2048), ResponseReader::whole(50));
+        let (mut back, mut other) = (Ring::new(2048), ResponseReader::buffered(50));
         let (mut request_ok, mut response_ok) = (true, true);
         for _ in 0..next(12) {
             let mut piece = parts[next(parts.len())].to_vec();
@@ -216,14 +219,14 @@
             }
             if request_ok && ring.push(&piece).is_ok() {
                 request_ok = reader.read(&mut ring).is_ok_and(|p| match p {
-                    Parsing::Done(request) => request.body.len() <= 50,
-                    Parsing::More => true,
+                    Parsed::Complete(request) => request.body.len() <= 50,
+                    Parsed::Incomplete => true,
                 });
             }
             if response_ok && back.push(&piece).is_ok() {
                 response_ok = other.read(&mut back, next(20) == 0).is_ok_and(|p| match p {
-                    Parsing::Done(response) => response.body.len() <= 50,
-                    Parsing::More => other.begun().is_none_or(|r| r.body.len() <= 51),
+                    Parsed::Complete(response) => response.body.len() <= 50,
+                    Parsed::Incomplete => other.partial_response().is_none_or(|r| r.body.len() <= 51),
                 });
             }
             assert!(ring.len() <= 2048 && back.len() <= 2048);
--- a/crates/proxy/src/classify.rs
+++ b/crates/proxy/src/classify.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use garnetcrank_http::{Bad, Headers, Request};
+use garnetcrank_http::{Headers, MessageError, Request};
 use garnetcrank_policy::api::{ClassId, Micros, TenantId};
 use garnetcrank_settings::Settings;
 
@@ -36,7 +36,7 @@
 pub(crate) enum ClassifyError {
     /// A header occurs more than once, or is not text.
     #[error("a header that may stand once stands twice, or is not text")]
-    Header(#[source] Bad),
+    Header(#[source] MessageError),
     /// The method is not forwarded.
     #[error("a method that is not passed on")]
     Method,
@@ -105,7 +105,7 @@
 }
 
 fn header<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a str>, ClassifyError> {
-    headers.one(name).map_err(ClassifyError::Header)
+    headers.single_value(name).map_err(ClassifyError::Header)
 }
 
 /// The first part of the path names the class.
--- a/crates/proxy/src/classify/tests.rs
+++ b/crates/proxy/src/classify/tests.rs
@@ -1,6 +1,6 @@
 //! Classification of requests, and the status of each fault.
 
-use garnetcrank_http::{Parsing, RequestReader, Ring};
+use garnetcrank_http::{Parsed, RequestReader, Ring};
 use garnetcrank_policy::api::{ClassId, TenantId};
 use garnetcrank_settings::Settings;
 
@@ -13,7 +13,7 @@
     let text = format!("GET {target} HTTP/1.1\r\nHost: x\r\n{headers}\r\n");
     ring.push(text.as_bytes()).expect("room");
     match RequestReader::new(100).read(&mut ring) {
-        Ok(Parsing::Done(request)) => classify(&settings, &request),
+        Ok(Parsed::Complete(request)) => classify(&settings, &request),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -108,7 +108,7 @@
     /// Reads once, as much as the ring has room for. Returns whether nothing more will arrive. A message that is complete
     /// after it needs no second read to learn that nothing else has arrived.
     pub(crate) fn fill(&mut self) -> bool {
-        if self.readable && !self.ended && self.input.room() > 0 {
+        if self.readable && !self.ended && self.input.free_bytes() > 0 {
             match self.input.fill(&mut &*self.stream) {
                 Ok(0) => self.ended = true,
                 Ok(_) => {}
@@ -140,7 +140,7 @@
 
     /// Whether there may be more to read, and the ring has room for it.
     pub(crate) fn more_to_read(&self) -> bool {
-        self.readable && !self.ended && self.input.room() > 0
+        self.readable && !self.ended && self.input.free_bytes() > 0
     }
 
     /// Sends what is waiting, as much as the peer takes. Returns whether all of it was sent.
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -73,7 +73,7 @@
     lines: LineAssembler,
     poll: Option<UnaryCall>,
     /// Discovery has sent a list since the start.
-    pub(crate) heard: bool,
+    pub(crate) list_received: bool,
     /// Reconnects of the watch stream.
     pub(crate) reconnects: u64,
 }
@@ -98,7 +98,7 @@
             watch_mode: if pushed { WatchMode::On } else { WatchMode::Off },
             lines: LineAssembler::default(),
             poll: None,
-            heard: false,
+            list_received: false,
             reconnects: 0,
         }
     }
@@ -276,7 +276,7 @@
     }
 
     fn apply_list(&mut self, list: MemberList, update: &mut DiscoveryUpdate) {
-        self.heard = true;
+        self.list_received = true;
         if list.complete || list.revision > self.registry.revision() {
             self.registry.apply(list, ListOrigin::Discovery, update);
         } else {
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -245,7 +245,7 @@
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let _ = held.write_all(answer.as_bytes()); // it may be closed by now
     let readiness = Readiness { readable: true, writable: true, error: false };
-    assert!(discovery.on_ready(call, readiness, now).endpoint_updates.is_empty() && !discovery.heard);
+    assert!(discovery.on_ready(call, readiness, now).endpoint_updates.is_empty() && !discovery.list_received);
     assert!(discovery.poll(&handle, &mut ids, now).endpoint_updates.is_empty());
     new.accept().expect("the next call goes where it is now");
 }
@@ -257,5 +257,5 @@
     for line in ["{", "[]", r#"{"revision":1,"complete":true,"members":[{"id":"x","phase":"Odd"}]}"#] {
         assert!(discovery.apply_text(line.as_bytes(), &mut update).is_err(), "{line}");
     }
-    assert!(update.endpoint_updates.is_empty() && !discovery.heard);
+    assert!(update.endpoint_updates.is_empty() && !discovery.list_received);
 }
--- a/crates/proxy/src/dispatcher/in_flight.rs
+++ b/crates/proxy/src/dispatcher/in_flight.rs
@@ -217,5 +217,5 @@
 
 /// The client's own name for a request.
 fn request_id_header(message: &Message) -> &[u8] {
-    message.headers.all("request-id").next().unwrap_or_default().trim_ascii()
+    message.headers.values("request-id").next().unwrap_or_default().trim_ascii()
 }
--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -4,7 +4,7 @@
 use crate::classify::classify;
 use crate::clock::MS;
 use crate::dispatcher::in_flight::EXPIRATION_GRACE;
-use garnetcrank_http::{Parsing, RequestReader, Ring};
+use garnetcrank_http::{Parsed, RequestReader, Ring};
 use garnetcrank_policy::api::{EndpointRecord, EndpointStatus, EndpointUpdate};
 
 const NOW: Micros = 1_700_000_000_000_000;
@@ -39,7 +39,7 @@
     );
     let mut ring = Ring::new(4096);
     ring.push(text.as_bytes()).expect("room");
-    let Ok(Parsing::Done(message)) = RequestReader::new(10).read(&mut ring) else { panic!("no request") };
+    let Ok(Parsed::Complete(message)) = RequestReader::new(10).read(&mut ring) else { panic!("no request") };
     let classification = classify(&settings(), &message).expect("a request");
     assert!(!dispatcher.is_open(&message), "an earlier request is still open");
     dispatcher.on_request(ConnId(1), message, classification, NOW)
@@ -78,8 +78,8 @@
     assert_eq!(drain(&mut dispatcher).len(), 1);
     let mut ring = Ring::new(4096);
     ring.push(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").expect("room");
-    let read = garnetcrank_http::ResponseReader::whole(10).read(&mut ring, false);
-    let Ok(Parsing::Done(answer)) = read else { panic!("no answer") };
+    let read = garnetcrank_http::ResponseReader::buffered(10).read(&mut ring, false);
+    let Ok(Parsed::Complete(answer)) = read else { panic!("no answer") };
     let mut commands = Vec::new();
     dispatcher.on_attempt_completed(result(id, 0, Outcome::Success), Some(answer), &mut commands);
     assert!(matches!(commands[..], [Command::Respond { client: ConnId(1), .. }]));
--- a/crates/proxy/src/downstream.rs
+++ b/crates/proxy/src/downstream.rs
@@ -10,7 +10,7 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness, RegistrationToken};
-use garnetcrank_http::{Bad, write_response};
+use garnetcrank_http::{MessageError, write_response};
 use garnetcrank_policy::api::{Micros, RequestId};
 use rustc_hash::FxHashMap;
 use socket2::{Domain, Socket, Type};
@@ -169,7 +169,13 @@
         }
     }
 
-    fn reject_malformed(&mut self, id: ConnId, bad: Bad, now: Micros, events: &mut Vec<DownstreamEvent>) {
+    fn reject_malformed(
+        &mut self,
+        id: ConnId,
+        bad: MessageError,
+        now: Micros,
+        events: &mut Vec<DownstreamEvent>,
+    ) {
         events.push(DownstreamEvent::BadRequest(BadRequest::Malformed(bad)));
         self.answer_bad(id, bad.status(), &bad.to_string(), now, events);
     }
--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -1,6 +1,6 @@
 //! One client's connection: requests read from it and responses written to it.
 
-use garnetcrank_http::{Bad, Parsing, Request, RequestReader};
+use garnetcrank_http::{MessageError, Parsed, Request, RequestReader};
 use garnetcrank_policy::api::{Micros, RequestId};
 
 use crate::clock::{MS, SECOND};
@@ -65,7 +65,7 @@
     /// A complete request.
     Request(Request),
     /// What has arrived is no request.
-    Malformed(Bad),
+    Malformed(MessageError),
     /// The client has taken all that was waiting of a streamed response.
     OutputDrained(RequestId),
     /// The client has disconnected, or the connection is over.
@@ -150,18 +150,22 @@
     /// Reads a request as far as it has come; none: more bytes are needed.
     fn read_request(&mut self, ended: bool, now: Micros) -> Option<Progress> {
         match self.reader.read(&mut self.connection.input) {
-            Ok(Parsing::Done(request)) => {
+            Ok(Parsed::Complete(request)) => {
                 self.state = ClientState::RequestRead;
                 self.last_progress = now;
                 self.is_new = false;
                 self.keep_alive = request.keep_alive;
                 Some(Progress::Request(request))
             }
-            Ok(Parsing::More) if ended => {
-                let is_partial = self.reader.midway() || !self.connection.input.is_empty();
-                Some(if is_partial { Progress::Malformed(Bad::Truncated) } else { Progress::Disconnected })
+            Ok(Parsed::Incomplete) if ended => {
+                let is_partial = self.reader.is_partial() || !self.connection.input.is_empty();
+                Some(if is_partial {
+                    Progress::Malformed(MessageError::Truncated)
+                } else {
+                    Progress::Disconnected
+                })
             }
-            Ok(Parsing::More) => {
+            Ok(Parsed::Incomplete) => {
                 if self.reader.take_continue() {
                     // A client that can't be sent this has disconnected, which is seen when reading.
                     let _ = self.connection.output.push(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -188,7 +192,7 @@
     /// Whether the connection is between requests, with nothing to read or write in its rings.
     pub(super) fn is_idle(&self) -> bool {
         let rings_empty = self.connection.input.is_empty() && self.connection.output.is_empty();
-        self.state == ClientState::Reading && !self.reader.midway() && rings_empty
+        self.state == ClientState::Reading && !self.reader.is_partial() && rings_empty
     }
 
     /// Whether the connection may be closed at the end of the process: it is idle, and a new one had time for its first
--- a/crates/proxy/src/downstream/event.rs
+++ b/crates/proxy/src/downstream/event.rs
@@ -1,6 +1,6 @@
 //! What clients did.
 
-use garnetcrank_http::{Bad, Request};
+use garnetcrank_http::{MessageError, Request};
 use garnetcrank_policy::api::RequestId;
 
 use crate::classify::ClassifyError;
@@ -11,7 +11,7 @@
 pub(crate) enum BadRequest {
     /// It can't be read.
     #[error("{0}")]
-    Malformed(Bad),
+    Malformed(MessageError),
     /// It was not complete in time.
     #[error("it was not complete in time")]
     TimedOut,
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -1,6 +1,6 @@
 //! One request and its response on a connection to a server.
 
-use garnetcrank_http::{Parsing, Response, ResponseReader};
+use garnetcrank_http::{Parsed, Response, ResponseReader};
 
 use crate::connection::Connection;
 
@@ -92,18 +92,18 @@
             let ended = connection.fill();
             match self.reader.read(&mut connection.input, ended) {
                 // No server answers with 200 what it has not read: those bytes are something else.
-                Ok(Parsing::Done(response)) if !self.request_sent() && response.status == 200 => {
+                Ok(Parsed::Complete(response)) if !self.request_sent() && response.status == 200 => {
                     return self.lost();
                 }
-                Ok(Parsing::Done(response)) => {
+                Ok(Parsed::Complete(response)) => {
                     let nothing_follows = self.request_sent() && !ended && connection.input.is_empty();
                     let reusable = nothing_follows && response.keep_alive;
                     return ExchangeProgress::Response { response, reusable };
                 }
                 Err(_) => return self.lost(),
-                Ok(Parsing::More) if ended || broken => return self.lost(),
-                Ok(Parsing::More) if connection.more_to_read() => {}
-                Ok(Parsing::More) => return ExchangeProgress::Pending,
+                Ok(Parsed::Incomplete) if ended || broken => return self.lost(),
+                Ok(Parsed::Incomplete) if connection.more_to_read() => {}
+                Ok(Parsed::Incomplete) => return ExchangeProgress::Pending,
             }
         }
     }
--- a/crates/proxy/src/proxy/budgets.rs
+++ b/crates/proxy/src/proxy/budgets.rs
@@ -53,7 +53,7 @@
         let overflow_clients = descriptors / OVERFLOW_CLIENTS_DIVISOR + 1;
         // A request in flight takes its client's connection and one to an endpoint.
         let affordable_requests = (descriptors - overflow_clients) / 2;
-        let configured_requests = process.settings.transport.most_held.unwrap_or(usize::MAX);
+        let configured_requests = process.settings.transport.max_in_flight.unwrap_or(usize::MAX);
         let in_flight_requests = configured_requests.min(affordable_requests);
         Budgets {
             descriptors,
--- a/crates/proxy/src/proxy/downstream_events.rs
+++ b/crates/proxy/src/proxy/downstream_events.rs
@@ -1,6 +1,6 @@
 //! What clients did: requests, bad requests, disconnects.
 
-use garnetcrank_http::{Bad, Request};
+use garnetcrank_http::{MessageError, Request};
 use garnetcrank_policy::api::{Micros, RequestId};
 use tracing::warn;
 
@@ -127,8 +127,8 @@
     fn count_bad_request(&mut self, bad: BadRequest) {
         self.counters.bad_requests += 1;
         match bad {
-            BadRequest::Malformed(Bad::Truncated) => self.counters.bad_requests_truncated += 1,
-            BadRequest::Malformed(Bad::BodyTooLarge | Bad::HeadTooLarge) => {
+            BadRequest::Malformed(MessageError::Truncated) => self.counters.bad_requests_truncated += 1,
+            BadRequest::Malformed(MessageError::BodyTooLarge | MessageError::HeadTooLarge) => {
                 self.counters.bad_requests_too_large += 1;
             }
             BadRequest::Malformed(_) => {}
--- a/crates/proxy/src/proxy/sweep.rs
+++ b/crates/proxy/src/proxy/sweep.rs
@@ -73,7 +73,7 @@
         let drained =
             in_flight == 0 && self.downstream.is_drained() && self.shared.others_drained(self.worker);
         if let Some(control_plane) = &mut self.control_plane {
-            control_plane.lifecycle.on_tick(now, control_plane.discovery.heard, drained);
+            control_plane.lifecycle.on_tick(now, control_plane.discovery.list_received, drained);
             self.shared.set_stage(control_plane.lifecycle.stage(now));
         }
     }
--- a/crates/proxy/src/release_controller/tests.rs
+++ b/crates/proxy/src/release_controller/tests.rs
@@ -50,8 +50,8 @@
     let answer = |status: u16, body: &[u8]| {
         let mut ring = garnetcrank_http::Ring::new(4096);
         garnetcrank_http::write_response(&mut ring, status, std::iter::empty(), Some(body)).expect("room");
-        let mut reader = garnetcrank_http::ResponseReader::whole(4096);
-        let garnetcrank_http::Parsing::Done(r) = reader.read(&mut ring, false).expect("an answer") else {
+        let mut reader = garnetcrank_http::ResponseReader::buffered(4096);
+        let garnetcrank_http::Parsed::Complete(r) = reader.read(&mut ring, false).expect("an answer") else {
             panic!("half an answer");
         };
         CallOutcome::Response(r)
--- a/crates/proxy/src/unary_call.rs
+++ b/crates/proxy/src/unary_call.rs
@@ -78,7 +78,7 @@
             request.body,
         )
         .map_err(|_| io::Error::other("a call larger than its buffer"))?;
-        let exchange = HttpExchange::connecting(ResponseReader::whole(request.max_response_bytes));
+        let exchange = HttpExchange::connecting(ResponseReader::buffered(request.max_response_bytes));
         Ok(UnaryCall { id, connection, exchange, deadline: request.deadline })
     }
 
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -65,7 +65,7 @@
     /// No connections yet.
     pub(crate) fn new(transport: Transport) -> Self {
         Upstream {
-            pool: ConnectionPool::new(transport.conn_idle),
+            pool: ConnectionPool::new(transport.idle_timeout),
             transport,
             attempts: FxHashMap::default(),
             deadlines: BTreeSet::new(),
@@ -184,7 +184,7 @@
     ) -> Result<(), Outcome> {
         let reader = match plan.purpose {
             Purpose::Attempt { streamed: true, .. } => ResponseReader::streamed(MAX_BODY_BYTES),
-            _ => ResponseReader::whole(MAX_BODY_BYTES),
+            _ => ResponseReader::buffered(MAX_BODY_BYTES),
         };
         let idle = self.pool.take_idle(plan.endpoint, now);
         let (id, mut connection, exchange, connect_deadline) = match idle {
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -84,7 +84,7 @@
         if self.is_streaming {
             return None;
         }
-        let response = self.exchange.reader().begun()?;
+        let response = self.exchange.reader().partial_response()?;
         (response.status == 200).then(|| response.headers.clone())
     }
 
--- a/crates/proxy/src/upstream/outcome.rs
+++ b/crates/proxy/src/upstream/outcome.rs
@@ -15,7 +15,7 @@
 
 /// The outcome that a response means. Only a rejection that is marked proves that the request had no effect.
 pub(super) fn response_outcome(response: &Response) -> Outcome {
-    let not_started = response.headers.all(NOT_STARTED_HEADER).any(|value| value.trim_ascii() == b"1");
+    let not_started = response.headers.values(NOT_STARTED_HEADER).any(|value| value.trim_ascii() == b"1");
     match response.status {
         200 => Outcome::Success,
         503 | 504 if not_started => Outcome::Overloaded,
@@ -40,7 +40,7 @@
         return Vec::new();
     }
     let body = if purpose == Purpose::HealthCheck { response.body.as_slice() } else { b"" };
-    let text = response.headers.all(LOAD_REPORT_HEADER).next().unwrap_or(body);
+    let text = response.headers.values(LOAD_REPORT_HEADER).next().unwrap_or(body);
     let report: serde_json::Value = serde_json::from_slice(text).unwrap_or_default();
     let values = columns.iter().map(|column| report.get(column).and_then(serde_json::Value::as_f64));
     values.collect::<Option<Vec<_>>>().unwrap_or_default()
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use calloop::{EventLoop, Readiness};
-use garnetcrank_http::{Parsing, Request, RequestReader, Response, ResponseReader, Ring};
+use garnetcrank_http::{Parsed, Request, RequestReader, Response, ResponseReader, Ring};
 use garnetcrank_policy::api::{Build, EndpointId, Micros, Outcome, RequestId};
 use garnetcrank_settings::Transport;
 
@@ -19,8 +19,8 @@
 fn answer(text: &str) -> Response {
     let mut ring = Ring::new(4096);
     ring.push(text.as_bytes()).expect("room");
-    match ResponseReader::whole(4096).read(&mut ring, true) {
-        Ok(Parsing::Done(response)) => response,
+    match ResponseReader::buffered(4096).read(&mut ring, true) {
+        Ok(Parsed::Complete(response)) => response,
         other => panic!("{other:?}"),
     }
 }
@@ -44,11 +44,11 @@
         let mut ring = Ring::new(4096);
         ring.push(b"GET /look HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\n\r\n").expect("room");
         let read = RequestReader::new(10).read(&mut ring);
-        let Ok(Parsing::Done(request)) = read else { panic!("no request") };
+        let Ok(Parsed::Complete(request)) = read else { panic!("no request") };
         let transport = Transport {
-            conn_idle: 30 * SECOND,
+            idle_timeout: 30 * SECOND,
             connect_timeout: SECOND,
-            most_held: None,
+            max_in_flight: None,
             report_columns: Vec::new(),
         };
         let event_loop = EventLoop::try_new().expect("a loop");
--- a/crates/proxy/src/watch_stream/open_stream.rs
+++ b/crates/proxy/src/watch_stream/open_stream.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use garnetcrank_http::{Bad, StreamReader};
+use garnetcrank_http::{MessageError, StreamReader};
 
 use crate::connection::Connection;
 use crate::readiness::ConnId;
@@ -28,7 +28,7 @@
     #[error("connection ended")]
     Closed,
     #[error("what came can't be read: {0}")]
-    Unreadable(Bad),
+    Unreadable(MessageError),
     #[error("connection lost: {0}")]
     Lost(io::Error),
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -49,11 +49,11 @@
 #[derive(Debug, Clone)]
 pub struct Transport {
     /// An endpoint closes a connection that was idle for this long, at the latest.
-    pub conn_idle: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not established within this time is given up.
     pub connect_timeout: Micros,
     /// Maximum number of requests in flight; none: the deployment sets no limit.
-    pub most_held: Option<usize>,
+    pub max_in_flight: Option<usize>,
     /// Names of the values in a load report, in the order in which the decisions get them.
     pub report_columns: Vec<String>,
 }
@@ -83,9 +83,9 @@
             zones,
             kinds: raw.kinds,
             transport: Transport {
-                conn_idle: micros(raw.limits.conn_idle),
+                idle_timeout: micros(raw.limits.conn_idle),
                 connect_timeout: micros(raw.limits.connect_timeout),
-                most_held: (raw.limits.most_held > 0).then_some(raw.limits.most_held),
+                max_in_flight: (raw.limits.most_held > 0).then_some(raw.limits.most_held),
                 report_columns: raw.report.columns,
             },
         })
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -24,8 +24,8 @@
     assert_eq!((settings.config.zone, settings.config.retry_after), (ZoneId(1), Some(900_000)));
     assert_eq!(settings.config.rollout.exposure_caps, [0.2, 1.0]);
     let transport = settings.transport;
-    assert_eq!((transport.connect_timeout, transport.conn_idle), (250_000, 30_000_000));
-    assert_eq!(transport.most_held, None);
+    assert_eq!((transport.connect_timeout, transport.idle_timeout), (250_000, 30_000_000));
+    assert_eq!(transport.max_in_flight, None);
 }
 
 #[test]
