--- /dev/null
+++ b/crates/proxy/tests/proxy/main.rs
@@ -0,0 +1,15 @@
+//! The whole program on loopback, between scripted clients, endpoints, discovery and release controller.
+
+mod attempts;
+mod bad_clients;
+mod common;
+mod configuration;
+mod consensus;
+mod endpoints;
+mod forwarding;
+mod limits;
+mod rollout;
+mod shutdown;
+mod streaming;
+mod watch_streams;
+mod workers;
--- a/crates/test-support/src/scripted_servers.rs
+++ b/crates/test-support/src/scripted_servers.rs
@@ -23,7 +23,7 @@
 
 /// A message as it was read: its first line, its header lines and its body.
 #[derive(Debug, Clone)]
-pub struct Message {
+pub struct ReceivedMessage {
     /// Its first line.
     pub first: String,
     /// Its header lines.
@@ -32,7 +32,7 @@
     pub body: Vec<u8>,
 }
 
-impl Message {
+impl ReceivedMessage {
     /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
@@ -46,7 +46,7 @@
 }
 
 /// Reads one message; none at the end of the connection or on an error.
-pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
+pub fn read_message(from: &mut impl BufRead) -> Option<ReceivedMessage> {
     let mut line = || {
         let mut text = String::new();
         let read = from.read_line(&mut text).ok()?;
@@ -62,7 +62,7 @@
         let (name, value) = text.split_once(':')?;
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
-    let mut message = Message { first, headers, body: Vec::new() };
+    let mut message = ReceivedMessage { first, headers, body: Vec::new() };
     if message.header("transfer-encoding").is_some() {
         loop {
             let mut size = String::new();
@@ -104,7 +104,7 @@
 #[derive(Default)]
 struct Shared {
     does: Option<EndpointBehavior>,
-    requests: Vec<Message>,
+    requests: Vec<ReceivedMessage>,
     released: u64,
     connections: u64,
 }
@@ -150,7 +150,7 @@
     }
 
     /// The requests that have come whole.
-    pub fn requests(&self) -> Vec<Message> {
+    pub fn requests(&self) -> Vec<ReceivedMessage> {
         lock(&self.shared.0).requests.clone()
     }
 
@@ -366,13 +366,13 @@
 /// How a front is to be started.
 pub struct ProxySetup {
     /// The list of machines that it starts with.
-    pub known: String,
+    pub cached_list: String,
     /// Where the newest build stands at its start.
-    pub news: String,
+    pub rollout: String,
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// Where the platform answers.
-    pub platform: SocketAddr,
+    pub controller: SocketAddr,
     /// Its limit on descriptors.
     pub sockets: usize,
     /// The deployment's settings.
@@ -392,10 +392,10 @@
         platform: &ScriptedStream,
     ) -> ProxySetup {
         ProxySetup {
-            known: known.to_owned(),
-            news,
+            cached_list: known.to_owned(),
+            rollout: news,
             discovery: discovery.address,
-            platform: platform.address,
+            controller: platform.address,
             sockets: 1024,
             settings: serde_json::from_str(include_str!("../../proxy/tests/settings.json")).expect("JSON"),
             listen: None,
@@ -409,7 +409,7 @@
             r#"{{"name":"n1","listen":"{listen}","discovery":"{}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":{}}},
             "pipeline":{{"address":"{}","news":{}}},"known":{},"settings":{}}}"#,
-            self.discovery, self.sockets, self.platform, self.news, self.known, self.settings
+            self.discovery, self.sockets, self.controller, self.rollout, self.cached_list, self.settings
         )
     }
 }
@@ -594,18 +594,18 @@
     }
 
     /// Reads an answer; none if the connection ends before one is whole.
-    pub fn read(&mut self) -> Option<Message> {
+    pub fn read(&mut self) -> Option<ReceivedMessage> {
         read_message(&mut self.reader)
     }
 
     /// Sends text and reads the answer.
-    pub fn exchange(&mut self, text: &str) -> Option<Message> {
+    pub fn exchange(&mut self, text: &str) -> Option<ReceivedMessage> {
         self.send(text);
         self.read()
     }
 
     /// Sends a request that is safe to repeat, with plenty of time, and reads the answer.
-    pub fn look(&mut self) -> Message {
+    pub fn get(&mut self) -> ReceivedMessage {
         self.exchange(&request("GET", "/look", 9000, "")).expect("an answer")
     }
 
