--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -174,7 +174,7 @@
                 None
             }
             Err(error) => {
-                warn!("agent: a verdict could not be sent: {error}");
+                warn!(%error, "vote could not be sent to the agent");
                 self.router.on_agent_reply(vote, false)
             }
         }
@@ -206,7 +206,7 @@
             return;
         }
         actions.extend(self.router.on_agent_lost(now));
-        self.watch.disconnect(now, "a verdict got no answer");
+        self.watch.disconnect(now, "no answer to a vote");
         for (outcome, vote) in expired {
             actions.extend(self.on_call_ended(outcome, vote));
         }
@@ -220,7 +220,7 @@
                     actions.extend(self.router.on_agent_update(now, AgentUpdate::from(update)));
                 }
                 Err(error) => {
-                    self.watch.disconnect(now, &format!("a line that can't be read: {error}"));
+                    self.watch.disconnect(now, &format!("unreadable update: {error}"));
                     lost = true;
                     break;
                 }
@@ -234,8 +234,8 @@
 
     fn log_route_change(&self, used_agent: bool) {
         match (used_agent, self.router.uses_agent()) {
-            (false, true) => info!("agent: verdicts go to the others from here on"),
-            (true, false) => warn!("agent: away or without the others; this front votes alone"),
+            (false, true) => info!("votes go to the agent"),
+            (true, false) => warn!("agent unavailable or without quorum, voting alone"),
             _ => {}
         }
     }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -176,7 +176,7 @@
                 DiscoveryUpdate::default()
             }
             Err(error) => {
-                warn!("discovery: cannot ask for the list: {error}");
+                warn!(%error, "endpoint list cannot be polled");
                 DiscoveryUpdate::unavailable()
             }
         }
@@ -222,8 +222,8 @@
         for line in events.lines {
             let Some(text) = self.lines.push_line(&line) else { continue };
             if let Err(error) = self.apply_text(&text, &mut update) {
-                warn!("discovery: {error}");
-                self.watch.disconnect(now, "a list that can't be read");
+                warn!(%error, "unreadable endpoint list");
+                self.watch.disconnect(now, "unreadable endpoint list");
                 lost = true;
                 break;
             }
@@ -262,7 +262,7 @@
                 update
             }
             Err(error) => {
-                warn!("discovery: {error}");
+                warn!(%error, "unreadable endpoint list");
                 DiscoveryUpdate::unavailable()
             }
         }
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -66,7 +66,7 @@
         ReleaseController {
             address,
             watch: WatchStream::new(
-                "platform",
+                "release-controller",
                 address,
                 (SILENCE_TIMEOUT, FIRST_BYTE_TIMEOUT),
                 ReconnectBackoff::REMOTE,
@@ -154,7 +154,7 @@
                 None
             }
             Err(error) => {
-                warn!("platform: a vote could not be sent: {error}");
+                warn!(%error, "vote could not be sent");
                 let is_own = origin == VoteOrigin::Own;
                 is_own.then_some(Event::VoteCompleted(VoteResult::Failed, None))
             }
@@ -198,8 +198,8 @@
             match self.read_event(line, now) {
                 Ok(status) => events.extend(status.map(Event::RolloutUpdated)),
                 Err(error) => {
-                    warn!("platform: {error}");
-                    self.watch.disconnect(now, "news that can't be read");
+                    warn!(%error, "unreadable rollout event");
+                    self.watch.disconnect(now, "unreadable rollout event");
                     self.reconnects += 1;
                     break;
                 }
@@ -228,7 +228,7 @@
     fn log_unknown_event(&mut self, kind: &str) {
         if !self.unknown_event_logged {
             self.unknown_event_logged = true;
-            warn!("platform: news of type {kind:?} is not understood and passed over");
+            warn!(kind, "unknown rollout event ignored");
         }
     }
 
@@ -254,7 +254,7 @@
             200 => match serde_json::from_slice::<RolloutState>(&response.body) {
                 Ok(state) => (VoteResult::Counted, self.on_rollout_state(state, now)),
                 Err(error) => {
-                    warn!("platform: the answer to a vote can't be read: {error}");
+                    warn!(%error, "unreadable answer to a vote");
                     (VoteResult::Unknown, None)
                 }
             },
@@ -262,11 +262,12 @@
             429 => (VoteResult::RateLimited, None),
             500 => (VoteResult::Failed, None),
             400 => {
-                warn!("platform: a vote was not understood: {}", String::from_utf8_lossy(&response.body));
+                let body = String::from_utf8_lossy(&response.body);
+                warn!(%body, "vote rejected as invalid");
                 (VoteResult::Failed, None)
             }
             other => {
-                warn!("platform: a vote was answered with status {other}");
+                warn!(status = other, "unexpected status of the answer to a vote");
                 (VoteResult::Unknown, None)
             }
         }
--- a/crates/proxy/src/watch_stream.rs
+++ b/crates/proxy/src/watch_stream.rs
@@ -144,7 +144,7 @@
 
     fn schedule_reconnect(&mut self, now: Micros, reason: &str) {
         let wait = self.rng.u64(self.backoff_limit / 2..=self.backoff_limit);
-        warn!("{}: {reason}; connecting anew in {} ms", self.name, wait / MS);
+        warn!(peer = %self.name, reason, retry_in_ms = wait / MS, "watch stream lost");
         self.reconnect_at = now + wait;
         self.backoff_limit = (self.backoff_limit * 2).min(self.backoff.max);
     }
@@ -198,7 +198,7 @@
         if last_events.lost || now < self.last_activity + timeout {
             return last_events;
         }
-        warn!("{}: {reason}; connecting anew", self.name);
+        warn!(peer = %self.name, reason, "watch stream silent, reconnecting");
         self.open = None;
         self.reconnect_at = now;
         WatchEvents { lost: true, ..last_events }
@@ -208,11 +208,11 @@
     fn silence_limit(&self) -> Option<(Micros, &'static str)> {
         let open = self.open.as_ref()?;
         Some(if !open.is_established {
-            (CONNECT_TIMEOUT, "cannot connect: it never came up")
+            (CONNECT_TIMEOUT, "connection not established in time")
         } else if !open.has_delivered {
-            (self.first_byte_timeout, "not a word on a new connection")
+            (self.first_byte_timeout, "no byte on a new connection")
         } else {
-            (self.silence_timeout, "no sign of life")
+            (self.silence_timeout, "no heartbeat")
         })
     }
 
@@ -245,7 +245,7 @@
             self.backoff_limit = self.backoff.initial;
             if !open.has_delivered {
                 open.has_delivered = true;
-                info!("{}: connected", self.name);
+                info!(peer = %self.name, "watch stream connected");
             }
         }
         if let Some(end) = &read.end {
--- a/crates/proxy/src/watch_stream/open_stream.rs
+++ b/crates/proxy/src/watch_stream/open_stream.rs
@@ -23,11 +23,11 @@
 pub(super) enum StreamEnd {
     #[error("cannot connect: {0}")]
     ConnectFailed(io::Error),
-    #[error("answered with status {0}")]
+    #[error("response with status {0}")]
     Status(u16),
-    #[error("connection ended")]
+    #[error("connection closed by the peer")]
     Closed,
-    #[error("what came can't be read: {0}")]
+    #[error("unreadable response: {0}")]
     Unreadable(MessageError),
     #[error("connection lost: {0}")]
     Lost(io::Error),
--- a/crates/proxy/tests/proxy/configuration.rs
+++ b/crates/proxy/tests/proxy/configuration.rs
@@ -101,8 +101,12 @@
     wait_until("the first connection there", || moved.requested_targets().len() == 1);
     moved.set_silent(false); // on connections to come
     wait_until("answers by the list of the new address", || client.get().body == b"new");
-    assert!(proxy.log().contains("discovery: not a word on a new connection"), "{}", proxy.log());
-    assert!(!proxy.log().contains("discovery: no sign of life"), "it waited for a sign of life");
+    assert!(
+        proxy.log().contains(r#"peer=discovery reason="no byte on a new connection""#),
+        "{}",
+        proxy.log()
+    );
+    assert!(!proxy.log().contains(r#"peer=discovery reason="no heartbeat""#), "it waited for a heartbeat");
 }
 
 #[test]
--- a/crates/proxy/tests/proxy/consensus.rs
+++ b/crates/proxy/tests/proxy/consensus.rs
@@ -1,4 +1,4 @@
-//! A proxy with an agent beside it: verdicts go to the others while it is heard, and nothing is lost when it is not.
+//! A proxy with an agent beside it: votes go to the cluster while it is reachable, and none is lost when it is not.
 
 use garnetcrank_test_support::scripted_servers::{
     EndpointBehavior, ProxySetup, RunningProxy, ScriptedEndpoint, ScriptedStream, wait_until,
@@ -34,7 +34,7 @@
     let agent = ScriptedStream::start(&line("", ""));
     agent.answer_votes(200, r#"{"heard":true}"#);
     let proxy = RunningProxy::start(&with_agent(setup, &agent));
-    wait_until("it is joined", || proxy.log().contains("verdicts go to the others"));
+    wait_until("it is joined", || proxy.log().contains("votes go to the agent"));
     assert_eq!(agent.requested_targets()[0], "/v1/watch?front=n1");
     let mut client = proxy.client();
     wait_until("the agent hears a hold, then the word to go back", || {
@@ -65,7 +65,7 @@
     let agent = ScriptedStream::start(&line("", ""));
     agent.answer_votes(200, r#"{"heard":true}"#);
     let proxy = RunningProxy::start(&with_agent(setup, &agent));
-    wait_until("it is joined", || proxy.log().contains("verdicts go to the others"));
+    wait_until("it is joined", || proxy.log().contains("votes go to the agent"));
     let mut client = proxy.client();
     wait_until("the agent hears a hold", || {
         client.get();
@@ -82,7 +82,7 @@
         client.get();
         votes(&controller, "ROLLBACK") > 0
     });
-    assert!(proxy.log().contains("this front votes alone"));
+    assert!(proxy.log().contains("voting alone"));
 }
 
 #[test]
@@ -106,7 +106,7 @@
     let (_discovery, _controller, setup) = trial_setup(&old, &new);
     let agent = ScriptedStream::start(&line("4,5", ""));
     let proxy = RunningProxy::start(&with_agent(setup, &agent));
-    wait_until("it is joined", || proxy.log().contains("verdicts go to the others"));
+    wait_until("it is joined", || proxy.log().contains("votes go to the agent"));
     let (mut client, sent) = (proxy.client(), new.requests().len());
     for _ in 0..40 {
         assert_eq!(client.get().body, b"old");
--- a/crates/proxy/tests/proxy/watch_streams.rs
+++ b/crates/proxy/tests/proxy/watch_streams.rs
@@ -15,7 +15,8 @@
     controller.set_silent(true);
     wait_until("both are found silent", || {
         let log = proxy.log();
-        log.contains("discovery: no sign of life") && log.contains("platform: no sign of life")
+        log.contains(r#"peer=discovery reason="no heartbeat""#)
+            && log.contains(r#"peer=release-controller reason="no heartbeat""#)
     });
     let mut client = proxy.client();
     assert_eq!(client.get().status(), 200);
@@ -24,8 +25,8 @@
     discovery.disconnect_all();
     controller.disconnect_all();
     wait_until("both are connected again", || {
-        proxy.log().matches("discovery: connected").count() > 1
-            && proxy.log().matches("platform: connected").count() > 1
+        proxy.log().matches("watch stream connected peer=discovery").count() > 1
+            && proxy.log().matches("watch stream connected peer=release-controller").count() > 1
     });
     assert!(discovery.requested_targets().iter().all(|t| t.starts_with("/v1/servers?stream=1&index=")));
 }
@@ -41,7 +42,7 @@
     wait_until("new connections", || {
         discovery.requested_targets().len() > asked && controller.requested_targets().len() > heard
     });
-    assert!(proxy.log().contains("can't be read"));
+    assert!(proxy.log().contains("unreadable endpoint list"));
     assert_eq!(proxy.client().get().status(), 200);
 }
 
