--- a/crates/proxy/benches/cores.rs
+++ b/crates/proxy/benches/cores.rs
@@ -1,4 +1,4 @@
-//! What a request costs: at full load by clients and machines, at a steady rate, and at rest.
+//! What a request costs: at full load by clients and endpoints, at a steady rate, and at rest.
 //!
 //! `cargo bench --locked -p garnetcrank-proxy --bench cores -- [--seconds S] [--load-only 1] [--cores 1,2,4]` prints tables.
 
@@ -12,17 +12,17 @@
     args.next().map_or(default, |text| text.parse().unwrap_or_else(|e| panic!("{name}: {e}")))
 }
 
-/// The clients' view, and the front's processor time in seconds.
-fn run(cores: u64, machines: usize, count: usize, gap: Option<Duration>, seconds: f64) -> (LoadReport, f64) {
-    let machines: Vec<_> = (0..machines).map(|_| load_generator::machine()).collect();
-    let (_discovery, _platform, mut plan) = load_generator::around(&machines);
-    plan.features = Some(format!(r#"{{"cores":{cores}}}"#));
-    let front = RunningProxy::start(&plan);
+/// The clients' view, and the proxy's processor time in seconds.
+fn run(cores: u64, endpoints: usize, count: usize, gap: Option<Duration>, seconds: f64) -> (LoadReport, f64) {
+    let endpoints: Vec<_> = (0..endpoints).map(|_| load_generator::start_endpoint()).collect();
+    let (_discovery, _controller, mut setup) = load_generator::proxy_setup(&endpoints);
+    setup.features = Some(format!(r#"{{"cores":{cores}}}"#));
+    let proxy = RunningProxy::start(&setup);
     // Connections are made and buffers grown before anything counts.
-    run_clients(front.address, count, gap, Duration::from_secs_f64(seconds / 4.0));
-    let before = processor_time(front.process());
-    let heard = run_clients(front.address, count, gap, Duration::from_secs_f64(seconds));
-    (heard, processor_time(front.process()) - before)
+    run_clients(proxy.address, count, gap, Duration::from_secs_f64(seconds / 4.0));
+    let before = processor_time(proxy.process());
+    let report = run_clients(proxy.address, count, gap, Duration::from_secs_f64(seconds));
+    (report, processor_time(proxy.process()) - before)
 }
 
 fn main() {
@@ -31,18 +31,18 @@
         "| threads | machines | clients | requests a second | p50, ms | p99, ms | p99.9, ms | processor, us a request | not 200 |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let row = |cores: u64, machines: usize, count: usize, gap: Option<Duration>| {
-        let (heard, used) = run(cores, machines, count, gap, seconds);
-        let answered = heard.times.len();
-        let at = |quantile| heard.times.value_at_quantile(quantile) as f64 / 1e3;
+    let row = |cores: u64, endpoints: usize, count: usize, gap: Option<Duration>| {
+        let (report, used) = run(cores, endpoints, count, gap, seconds);
+        let answered = report.times.len();
+        let at = |quantile| report.times.value_at_quantile(quantile) as f64 / 1e3;
         println!(
-            "| {cores} | {machines} | {count} | {:.0} | {:.2} | {:.2} | {:.2} | {:.1} | {} |",
-            answered as f64 / heard.seconds,
+            "| {cores} | {endpoints} | {count} | {:.0} | {:.2} | {:.2} | {:.2} | {:.1} | {} |",
+            answered as f64 / report.seconds,
             at(0.5),
             at(0.99),
             at(0.999),
             used * 1e6 / answered as f64,
-            heard.others + heard.unanswered
+            report.others + report.unanswered
         );
     };
     let cores = std::env::args().skip_while(|arg| arg != "--cores").nth(1).unwrap_or("1".to_owned());
@@ -57,12 +57,12 @@
     row(1, 400, 128, None);
     // 140 requests a second in all.
     row(1, 8, 14, Some(Duration::from_millis(100)));
-    let machines: Vec<_> = (0..8).map(|_| load_generator::machine()).collect();
-    let (_discovery, _platform, plan) = load_generator::around(&machines);
-    let front = RunningProxy::start(&plan);
+    let endpoints: Vec<_> = (0..8).map(|_| load_generator::start_endpoint()).collect();
+    let (_discovery, _controller, setup) = load_generator::proxy_setup(&endpoints);
+    let proxy = RunningProxy::start(&setup);
     std::thread::sleep(Duration::from_secs(1));
-    let before = processor_time(front.process());
+    let before = processor_time(proxy.process());
     std::thread::sleep(Duration::from_secs_f64(seconds));
-    let used = processor_time(front.process()) - before;
+    let used = processor_time(proxy.process()) - before;
     println!("\nat rest: {:.3} s of processor time a minute", used * 60.0 / seconds);
 }
--- a/crates/test-support/src/load_generator.rs
+++ b/crates/test-support/src/load_generator.rs
@@ -1,4 +1,4 @@
-//! Load on a front: machines that answer as fast as they can and keep nothing, and clients that ask as fast as they
+//! Load on a proxy: endpoints that respond as fast as they can and keep nothing, and clients that send as fast as they
 //! can or at a steady rate.
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,16 +11,20 @@
 
 use crate::scripted_servers::{ProxySetup, ScriptedStream, list, member, progress, state};
 
-/// Stack of a thread here: there may be a thousand.
-const STACK: usize = 64 * 1024;
+/// Significant digits of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Maximum wait of a client for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Stack size of a thread, in bytes: there may be a thousand.
+const STACK_BYTES: usize = 64 * 1024;
 
-fn thread(run: impl FnOnce() + Send + 'static) {
-    let started = std::thread::Builder::new().stack_size(STACK).spawn(run);
+fn spawn_detached(run: impl FnOnce() + Send + 'static) {
+    let started = std::thread::Builder::new().stack_size(STACK_BYTES).spawn(run);
     drop(started.expect("a thread"));
 }
 
 /// Reads a head and its body; false at the end of the connection. The head's text is in `head`.
-fn read_request(from: &mut BufReader<TcpStream>, head: &mut String) -> bool {
+fn read_message(from: &mut BufReader<TcpStream>, head: &mut String) -> bool {
     head.clear();
     loop {
         let before = head.len();
@@ -38,17 +42,17 @@
     rest == 0 || std::io::copy(&mut from.by_ref().take(rest), &mut std::io::sink()).is_ok_and(|n| n == rest)
 }
 
-/// A machine that answers everything with 200 and a short body.
-pub fn machine() -> SocketAddr {
+/// Starts an endpoint that answers everything with 200 and a short body.
+pub fn start_endpoint() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    thread(move || {
+    spawn_detached(move || {
         for stream in listener.incoming().flatten() {
-            thread(move || {
+            spawn_detached(move || {
                 let _ = stream.set_nodelay(true);
                 let Ok(mut out) = stream.try_clone() else { return };
                 let (mut from, mut head) = (BufReader::new(stream), String::new());
-                while read_request(&mut from, &mut head) {
+                while read_message(&mut from, &mut head) {
                     if out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nanswer").is_err() {
                         return;
                     }
@@ -59,86 +63,110 @@
     address
 }
 
-/// Discovery, platform and a front's plan for machines of a released build.
-pub fn around(machines: &[SocketAddr]) -> (ScriptedStream, ScriptedStream, ProxySetup) {
+/// Discovery, a release controller and a setup of a proxy for endpoints of a released build.
+pub fn proxy_setup(endpoints: &[SocketAddr]) -> (ScriptedStream, ScriptedStream, ProxySetup) {
     let members: Vec<String> =
-        machines.iter().enumerate().map(|(n, at)| member(&format!("s-{n}"), *at, 4, "Ready")).collect();
-    let known = list(1, true, &members);
-    let news = state(4, 1, "COMPLETE", 1.0);
-    let (discovery, platform) = (ScriptedStream::start(&known), ScriptedStream::start(&progress(&news)));
-    let plan = ProxySetup::new(&known, news, &discovery, &platform);
-    (discovery, platform, plan)
+        endpoints.iter().enumerate().map(|(n, at)| member(&format!("s-{n}"), *at, 4, "Ready")).collect();
+    let cached_list = list(1, true, &members);
+    let rollout = state(4, 1, "COMPLETE", 1.0);
+    let discovery = ScriptedStream::start(&cached_list);
+    let controller = ScriptedStream::start(&progress(&rollout));
+    let setup = ProxySetup::new(&cached_list, rollout, &discovery, &controller);
+    (discovery, controller, setup)
 }
 
-/// What clients got.
+/// What clients measured.
 #[derive(Debug)]
 pub struct LoadReport {
-    /// Times of answers with 200, in microseconds.
+    /// Times of responses with status 200, in microseconds.
     pub times: Histogram<u64>,
-    /// Other answers.
+    /// Responses with another status.
     pub others: u64,
-    /// Requests without an answer.
+    /// Requests without a response.
     pub unanswered: u64,
-    /// How long it took, in seconds.
+    /// Duration of the run, in seconds.
     pub seconds: f64,
 }
 
-/// So many clients, each on one connection, one request at a time, for a while. `gap`: between two requests of one
-/// client; none: as fast as it can.
-pub fn run_clients(front: SocketAddr, count: usize, gap: Option<Duration>, long: Duration) -> LoadReport {
-    static ID: AtomicU64 = AtomicU64::new(1 << 40);
+impl LoadReport {
+    fn new() -> Self {
+        let times = Histogram::new(SIGNIFICANT_DIGITS).expect("a histogram");
+        LoadReport { times, others: 0, unanswered: 0, seconds: 0.0 }
+    }
+
+    fn add(&mut self, other: &LoadReport) {
+        self.times.add(&other.times).expect("histograms add");
+        self.others += other.others;
+        self.unanswered += other.unanswered;
+    }
+}
+
+/// Runs `count` clients for a while, each with one connection and one request at a time. `gap`: time between two
+/// requests of one client; none: as fast as it can.
+pub fn run_clients(proxy: SocketAddr, count: usize, gap: Option<Duration>, duration: Duration) -> LoadReport {
     let stop = Arc::new(AtomicBool::new(false));
-    let begun = Instant::now();
-    let run = |number: usize| {
+    let started = Instant::now();
+    let spawn = |number: usize| {
         let stop = stop.clone();
-        let started = std::thread::Builder::new().stack_size(STACK).spawn(move || {
-            let mut times = Histogram::<u64>::new(3).expect("a histogram");
-            let (mut others, mut unanswered) = (0u64, 0u64);
-            let stream = TcpStream::connect(front).expect("a connection");
-            let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(Duration::from_secs(10))));
-            let mut out = stream.try_clone().expect("a second handle");
-            let (mut from, mut head) = (BufReader::new(stream), String::new());
-            if let Some(gap) = gap {
-                // Spread over the first gap, or all would ask in step.
-                std::thread::sleep(gap.mul_f64(number as f64 / count as f64));
-            }
-            while !stop.load(Ordering::Relaxed) {
-                let id = ID.fetch_add(1, Ordering::Relaxed);
-                let sent = Instant::now();
-                let text = format!(
-                    "GET /look/7 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id:016x}\r\nTenant: acme\r\n\
-                     Request-Timeout-Ms: 9000\r\n\r\n"
-                );
-                if out.write_all(text.as_bytes()).is_err() || !read_request(&mut from, &mut head) {
-                    unanswered += 1;
-                    break;
-                }
-                if head.starts_with("HTTP/1.1 200") {
-                    times.record(sent.elapsed().as_micros() as u64).expect("in range");
-                } else {
-                    others += 1;
-                }
-                if let Some(gap) = gap {
-                    std::thread::sleep(gap.saturating_sub(sent.elapsed()));
-                }
-            }
-            (times, others, unanswered)
-        });
-        started.expect("a thread")
+        // Spread over the first gap, or all would send in step.
+        let delay = gap.map(|gap| gap.mul_f64(number as f64 / count as f64));
+        let client = move || run_client(proxy, gap, delay, &stop);
+        std::thread::Builder::new().stack_size(STACK_BYTES).spawn(client).expect("a thread")
     };
-    let threads: Vec<_> = (0..count).map(run).collect();
-    std::thread::sleep(long);
+    let threads: Vec<_> = (0..count).map(spawn).collect();
+    std::thread::sleep(duration);
     stop.store(true, Ordering::Relaxed);
-    let seconds = begun.elapsed().as_secs_f64();
-    let mut heard =
-        LoadReport { times: Histogram::new(3).expect("a histogram"), others: 0, unanswered: 0, seconds };
+    let mut report = LoadReport::new();
+    report.seconds = started.elapsed().as_secs_f64();
     for thread in threads {
-        let (times, others, unanswered) = thread.join().expect("a client");
-        heard.times.add(times).expect("histograms add");
-        heard.others += others;
-        heard.unanswered += unanswered;
+        report.add(&thread.join().expect("a client"));
     }
-    heard
+    report
+}
+
+/// One client, until it is stopped or its connection ends.
+fn run_client(
+    proxy: SocketAddr,
+    gap: Option<Duration>,
+    delay: Option<Duration>,
+    stop: &AtomicBool,
+) -> LoadReport {
+    let mut report = LoadReport::new();
+    let stream = TcpStream::connect(proxy).expect("a connection");
+    let _ = stream.set_nodelay(true);
+    let _ = stream.set_read_timeout(Some(RESPONSE_TIMEOUT));
+    let mut output = stream.try_clone().expect("a second handle");
+    let mut input = BufReader::new(stream);
+    let mut head = String::new();
+    if let Some(delay) = delay {
+        std::thread::sleep(delay);
+    }
+    while !stop.load(Ordering::Relaxed) {
+        let sent = Instant::now();
+        if output.write_all(request().as_bytes()).is_err() || !read_message(&mut input, &mut head) {
+            report.unanswered += 1;
+            break;
+        }
+        if head.starts_with("HTTP/1.1 200") {
+            report.times.record(sent.elapsed().as_micros() as u64).expect("in range");
+        } else {
+            report.others += 1;
+        }
+        if let Some(gap) = gap {
+            std::thread::sleep(gap.saturating_sub(sent.elapsed()));
+        }
+    }
+    report
+}
+
+/// A request with an id of its own.
+fn request() -> String {
+    static NEXT_ID: AtomicU64 = AtomicU64::new(1 << 40);
+    let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
+    format!(
+        "GET /look/7 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id:016x}\r\nTenant: acme\r\n\
+         Request-Timeout-Ms: 9000\r\n\r\n"
+    )
 }
 
 /// Processor time of a process so far, all threads, in seconds: of user code and of the system for it.
--- a/crates/test-support/tests/virtual_fleet.rs
+++ b/crates/test-support/tests/virtual_fleet.rs
@@ -1,43 +1,47 @@
-//! What hundreds of fronts together send to cold machines of one core while all others are drained.
+//! What hundreds of instances together send to endpoints in slow start while all others drain.
 
 use garnetcrank_test_support::virtual_fleet::{FleetLoad, FleetPlan, Hints, simulate};
 
-fn bears(plan: FleetPlan) -> FleetLoad {
-    let came = simulate(plan);
-    println!("worst {:.2}, sent {:.2}", came.worst, came.sent);
-    assert!(came.worst <= 0.8, "{:.2} of what a cold machine bears: {plan:?}", came.worst);
-    came
+fn assert_no_overload(plan: FleetPlan) -> FleetLoad {
+    let load = simulate(plan);
+    println!("worst {:.2}, sent {:.2}", load.worst_overload, load.sent);
+    assert!(
+        load.worst_overload <= 0.8,
+        "{:.2} of the capacity of an endpoint in slow start: {plan:?}",
+        load.worst_overload
+    );
+    load
 }
 
 #[test]
-fn machines_of_one_core_bear_what_hundreds_of_fronts_send_while_others_are_drained() {
+fn hundreds_of_instances_overload_no_endpoint_in_slow_start() {
     for seed in 1..=3 {
-        let came = bears(FleetPlan { seed, ..FleetPlan::default() });
-        assert!(came.sent > 0.7, "{:.2} of the requests sent", came.sent);
+        let load = assert_no_overload(FleetPlan { seed, ..FleetPlan::default() });
+        assert!(load.sent > 0.7, "{:.2} of the requests sent", load.sent);
     }
 }
 
 #[test]
-fn slow_cores_bear_what_all_send() {
-    bears(FleetPlan { speed: 0.6, ..FleetPlan::default() });
+fn slow_endpoints_are_not_overloaded() {
+    assert_no_overload(FleetPlan { speed: 0.6, ..FleetPlan::default() });
 }
 
 #[test]
-fn handshakes_of_all_fronts_are_counted() {
-    bears(FleetPlan { handshake: 10_000, ..FleetPlan::default() });
+fn handshakes_of_all_instances_overload_no_endpoint() {
+    assert_no_overload(FleetPlan { handshake: 10_000, ..FleetPlan::default() });
 }
 
 #[test]
-fn work_that_nobody_hints_is_taken_from_what_is_usual() {
-    bears(FleetPlan { hints: Hints::Absent, ..FleetPlan::default() });
+fn without_work_hints_no_endpoint_is_overloaded() {
+    assert_no_overload(FleetPlan { hints: Hints::Absent, ..FleetPlan::default() });
 }
 
 #[test]
-fn machines_that_started_behind_a_cut_bear_what_all_send_once_it_heals() {
-    bears(FleetPlan { hidden: 3_500_000, ..FleetPlan::default() });
+fn endpoints_that_become_known_late_are_not_overloaded() {
+    assert_no_overload(FleetPlan { hidden_for: 3_500_000, ..FleetPlan::default() });
 }
 
 #[test]
-fn fronts_that_are_killed_and_forget_send_no_more() {
-    bears(FleetPlan { killed: 0.7, ..FleetPlan::default() });
+fn instances_that_restart_without_state_overload_no_endpoint() {
+    assert_no_overload(FleetPlan { killed_share: 0.7, ..FleetPlan::default() });
 }
