--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -294,7 +294,8 @@
                 Err(fault) => return Err(WireError::Unreadable(fault.to_string())),
             },
         };
-        let message = raft_node::decode_message(&bytes).map_err(WireError::Unreadable)?;
+        let message =
+            raft_node::decode_message(&bytes).map_err(|error| WireError::Unreadable(error.to_string()))?;
         // Nobody speaks for anyone else: a vote under another's number would be a second vote.
         if InstanceId(message.from) != from {
             return Err(WireError::Unreadable(format!("a message of {:016x}", message.from)));
--- a/crates/consensus/examples/handover/world.rs
+++ b/crates/consensus/examples/handover/world/mod.rs
@@ -11,7 +11,9 @@
 use garnetcrank_consensus::membership::MembershipChange;
 use garnetcrank_consensus::pending_requests::Answer;
 use garnetcrank_consensus::proposal_queue::{NextProposal, ProposalOutcome, ProposalQueue};
-use garnetcrank_consensus::raft_node::{self, Message, RaftNode, RaftSettings, Ready, StorageHeadroom};
+use garnetcrank_consensus::raft_node::{
+    self, AppliedEntry, Message, RaftNode, RaftSettings, Ready, StorageHeadroom,
+};
 use garnetcrank_consensus::replicated_state::{Command, Member, Proposal, Reply, SubjectState};
 use garnetcrank_test_support::linearizability::History;
 
@@ -258,7 +260,7 @@
     parts: Vec<(u32, u64)>,
     one_way: Vec<(usize, usize, u64)>,
     noise: (u8, u8, u8, u64),
-    applied: BTreeMap<u64, u64>,
+    applied: BTreeMap<u64, Term>,
     leaders: BTreeMap<u64, InstanceId>,
     to_replace: Vec<(MembershipChange, Option<u64>)>,
     outcomes: Outcomes,
@@ -596,7 +598,7 @@
         let instance = &mut self.instances[who];
         let id = instance.id;
         let Some(running) = &mut instance.running else { return };
-        for (index, term) in running.node.take_applied() {
+        for AppliedEntry { index, term } in running.node.take_applied() {
             let known = *self.applied.entry(index.0).or_insert(term);
             if known != term {
                 self.outcomes.double.push(format!("step {now}: entry {index} of terms {known} and {term}"));
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,14 +1,18 @@
-//! One decision among several instances. No I/O, no clock, no threads: ticks, messages and the word that a write
-//! is durable come in; writes, messages and answers go out.
+//! Consensus among several instances. No I/O, no clock, no threads: ticks, messages and the news that a write is
+//! durable come in; writes, messages and answers go out.
 //!
-//! - [`raft_node`]: one instance's part in the agreement, on a Raft library without I/O;
-//! - [`replicated_state`]: the replicated state: subjects decided once, sessions, grants with epochs, members;
-//! - [`fencing`]: what stands in front of whatever a grant allows, and refuses an older epoch;
-//! - [`lease_client`]: when an instance takes, renews, uses and leaves a grant;
+//! In reading order:
+//!
+//! - [`ids`]: instances, indexes, terms, epochs, tickets and the names of roles and subjects;
+//! - [`replicated_state`]: what all instances agree on: subjects decided once, sessions, leases, notices, members;
+//! - [`raft_node`]: one instance's part in the consensus, on a Raft library without I/O;
+//! - `raft_log`: the log in memory, as the library reads it;
 //! - [`pending_requests`]: proposals and reads that wait for their answer;
 //! - [`membership`]: changes of membership, one instance at a time;
 //! - [`proposal_queue`]: a session that sends a command again until it is answered;
-//! - [`build_verdicts`]: what the fronts think of a build, and whose vote stands for all;
+//! - [`lease_client`]: when an instance acquires, renews and stops using a lease;
+//! - [`fencing`]: the gate in front of whatever a lease allows, which rejects older epochs;
+//! - [`build_verdicts`]: what the proxies think of a build, and the one vote that follows from it;
 //! - [`chunking`]: messages too long for one frame.
 
 pub mod build_verdicts;
--- /dev/null
+++ b/crates/consensus/src/pending_requests/tests.rs
@@ -0,0 +1,54 @@
+use super::*;
+
+fn proposal(sequence: u64) -> Proposal {
+    let command = Command::RetireSubjects { space: "s".into(), below: 1 };
+    Proposal { session: SessionId(3), sequence: Sequence(sequence), command }
+}
+
+#[test]
+fn each_caller_gets_one_answer_that_says_whether_its_proposal_may_yet_be_decided() {
+    let mut pending = PendingRequests::new(3, 10);
+    pending.add_proposal(Ticket(1), proposal(1), Ticks(0), Ticks(50));
+    pending.add_proposal(Ticket(2), proposal(2), Ticks(0), Ticks(50));
+    pending.add_proposal(Ticket(3), proposal(2), Ticks(0), Ticks(90));
+    pending.add_read(Ticket(4), Ticks(20));
+    assert_eq!(pending.take_answers(), [(Ticket(4), Answer::Busy)]);
+    assert_eq!(pending.due_proposals(Ticks(0)).len(), 3);
+    assert!(pending.due_proposals(Ticks(9)).is_empty());
+    pending.mark_forwarded(Ticket(2));
+    pending.expire(Ticks(50));
+    assert_eq!(
+        pending.take_answers(),
+        [(Ticket(1), Answer::NotProposed), (Ticket(2), Answer::Indeterminate)]
+    );
+    pending.complete(ProposalKey::of(&proposal(2)), &Reply::Done);
+    pending.complete(ProposalKey::of(&proposal(2)), &Reply::Done);
+    assert_eq!(pending.take_answers(), [(Ticket(3), Answer::Applied(Reply::Done))]);
+    assert_eq!((pending.len(), pending.tickets_by_key.len()), (0, 0));
+}
+
+#[test]
+fn a_read_is_answered_by_a_round_that_began_after_it_and_once_enough_is_applied() {
+    let mut pending = PendingRequests::new(9, 10);
+    pending.add_read(Ticket(1), Ticks(100));
+    let first = pending.begin_read_round(Ticks(0), || vec![1]).unwrap();
+    pending.add_read(Ticket(2), Ticks(100));
+    assert_eq!(pending.begin_read_round(Ticks(1), || vec![2]), None, "one round at a time");
+    pending.confirm_read_round(&[9], 1);
+    pending.confirm_read_round(&first, 7);
+    pending.answer_reads_up_to(6);
+    assert!(pending.take_answers().is_empty());
+    pending.answer_reads_up_to(7);
+    assert_eq!(pending.take_answers(), [(Ticket(1), Answer::ReadReady)]);
+    let second = pending.begin_read_round(Ticks(2), || vec![2]).unwrap();
+    assert_eq!(
+        pending.begin_read_round(Ticks(12), || vec![3]),
+        Some(vec![3]),
+        "a round without an answer begins anew"
+    );
+    pending.confirm_read_round(&second, 7);
+    pending.answer_reads_up_to(7);
+    assert!(pending.take_answers().is_empty(), "the old round's answer counts for nothing");
+    pending.expire(Ticks(100));
+    assert_eq!(pending.take_answers(), [(Ticket(2), Answer::ReadTimedOut)]);
+}
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -1,5 +1,5 @@
-//! The log in memory, as the library reads it: what the store holds plus a tail that the snapshot covers already,
-//! kept so that an instance a little behind needs no snapshot.
+//! The log in memory, as the Raft library reads it: what the store holds, and some entries before it that the
+//! snapshot covers already. They are retained so that a follower a little behind needs no snapshot.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,32 +10,41 @@
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot, SnapshotMetadata};
 use raft::{GetEntriesContext, RaftState, StorageError};
 
+use crate::ids::Index;
+use crate::raft_node::RaftNodeError;
+
+/// The store's numbers of the kinds of entries.
+const KIND_NORMAL: u8 = 0;
+const KIND_CONF_CHANGE: u8 = 1;
+const KIND_CONF_CHANGE_V2: u8 = 2;
+
 /// An entry in the store's form.
 pub(crate) fn to_record(entry: &Entry) -> store::Record {
     store::Record {
         index: entry.index,
         term: entry.term,
         kind: match entry.get_entry_type() {
-            EntryType::EntryNormal => 0,
-            EntryType::EntryConfChange => 1,
-            EntryType::EntryConfChangeV2 => 2,
+            EntryType::EntryNormal => KIND_NORMAL,
+            EntryType::EntryConfChange => KIND_CONF_CHANGE,
+            EntryType::EntryConfChangeV2 => KIND_CONF_CHANGE_V2,
         },
         data: entry.data.to_vec(),
         context: entry.context.to_vec(),
     }
 }
 
-fn to_entry(record: store::Record) -> Option<Entry> {
+fn to_entry(record: store::Record) -> Result<Entry, RaftNodeError> {
+    let kind = match record.kind {
+        KIND_NORMAL => EntryType::EntryNormal,
+        KIND_CONF_CHANGE => EntryType::EntryConfChange,
+        KIND_CONF_CHANGE_V2 => EntryType::EntryConfChangeV2,
+        kind => return Err(RaftNodeError::UnknownEntryKind { index: Index(record.index), kind }),
+    };
     let mut entry = Entry { index: record.index, term: record.term, ..Entry::default() };
-    entry.set_entry_type(match record.kind {
-        0 => EntryType::EntryNormal,
-        1 => EntryType::EntryConfChange,
-        2 => EntryType::EntryConfChangeV2,
-        _ => return None,
-    });
+    entry.set_entry_type(kind);
     entry.data = record.data.into();
     entry.context = record.context.into();
-    Some(entry)
+    Ok(entry)
 }
 
 /// A snapshot in the store's form.
@@ -49,127 +58,163 @@
     }
 }
 
+fn from_stored(stored: store::Snapshot) -> Result<Snapshot, RaftNodeError> {
+    let index = Index(stored.index);
+    let mut conf_state = ConfState::default();
+    conf_state
+        .merge_from_bytes(&stored.members)
+        .map_err(|source| RaftNodeError::UnreadableMembers { index, source })?;
+    Ok(new_snapshot(EntryId { index: stored.index, term: stored.term }, conf_state, stored.data))
+}
+
+fn new_snapshot(last: EntryId, conf_state: ConfState, data: Vec<u8>) -> Snapshot {
+    let mut metadata = SnapshotMetadata { index: last.index, term: last.term, ..SnapshotMetadata::default() };
+    metadata.set_conf_state(conf_state);
+    let mut snapshot = Snapshot::default();
+    snapshot.set_metadata(metadata);
+    snapshot.data = data.into();
+    snapshot
+}
+
+/// What tells one entry from every other.
+#[derive(Debug, Clone, Copy, Default)]
+struct EntryId {
+    index: u64,
+    term: u64,
+}
+
 #[derive(Debug, Default)]
-struct Inner {
+struct LogState {
     hard: HardState,
     snapshot: Snapshot,
-    /// Entries after `before`, without a gap.
+    /// Entries after `before_first`, without a gap.
     entries: VecDeque<Entry>,
-    /// Index and term of the entry before the first one held.
-    before: (u64, u64),
+    /// The entry before the first one in memory.
+    before_first: EntryId,
 }
 
-impl Inner {
-    fn first(&self) -> u64 {
-        self.before.0 + 1
+impl LogState {
+    fn first_index(&self) -> u64 {
+        self.before_first.index + 1
     }
 
-    fn last(&self) -> u64 {
-        self.before.0 + self.entries.len() as u64
+    fn last_index(&self) -> u64 {
+        self.before_first.index + self.entries.len() as u64
     }
 
     fn term(&self, index: u64) -> Result<u64, StorageError> {
-        if index == self.before.0 {
-            return Ok(self.before.1);
+        if index == self.before_first.index {
+            return Ok(self.before_first.term);
         }
-        if index < self.before.0 {
+        if index < self.before_first.index {
             return Err(StorageError::Compacted);
         }
-        let at = (index - self.first()) as usize;
-        self.entries.get(at).map(|e| e.term).ok_or(StorageError::Unavailable)
+        let position = (index - self.first_index()) as usize;
+        match self.entries.get(position) {
+            Some(entry) => Ok(entry.term),
+            None => Err(StorageError::Unavailable),
+        }
     }
 }
 
 /// The log in memory. Clones are the same log: the library owns one, the node the other.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct RaftLog(Rc<RefCell<Inner>>);
+pub(crate) struct RaftLog(Rc<RefCell<LogState>>);
 
 impl RaftLog {
-    /// What the store holds; none if it is of a form that this program can't read.
-    pub(crate) fn restore(loaded: store::Loaded) -> Option<Self> {
-        let mut inner = Inner {
+    /// The log that the store holds.
+    ///
+    /// # Errors
+    /// An entry is of an unknown kind, or the snapshot's members can't be decoded.
+    pub(crate) fn restore(loaded: store::Loaded) -> Result<Self, RaftNodeError> {
+        let mut state = LogState {
             hard: HardState {
                 term: loaded.hard.term,
                 vote: loaded.hard.vote,
                 commit: loaded.hard.commit,
                 ..HardState::default()
             },
-            ..Inner::default()
+            ..LogState::default()
         };
-        if let Some(held) = loaded.snapshot {
-            let mut metadata =
-                SnapshotMetadata { index: held.index, term: held.term, ..SnapshotMetadata::default() };
-            let mut conf = ConfState::default();
-            conf.merge_from_bytes(&held.members).ok()?;
-            metadata.set_conf_state(conf);
-            inner.before = (held.index, held.term);
-            inner.snapshot.set_metadata(metadata);
-            inner.snapshot.data = held.data.into();
+        if let Some(stored) = loaded.snapshot {
+            state.before_first = EntryId { index: stored.index, term: stored.term };
+            state.snapshot = from_stored(stored)?;
         }
         // The commit index is written with the entries that it covers; the snapshot alone may be further on.
-        inner.hard.commit = inner.hard.commit.max(inner.before.0);
-        inner.entries = loaded.entries.into_iter().map(to_entry).collect::<Option<_>>()?;
-        Some(Self(Rc::new(RefCell::new(inner))))
+        state.hard.commit = state.hard.commit.max(state.before_first.index);
+        state.entries = loaded.entries.into_iter().map(to_entry).collect::<Result<_, _>>()?;
+        Ok(Self(Rc::new(RefCell::new(state))))
     }
 
+    /// Voters and learners as of the snapshot.
     pub(crate) fn conf_state(&self) -> ConfState {
         self.0.borrow().snapshot.get_metadata().get_conf_state().clone()
     }
 
-    /// Index and bytes of the snapshot held.
+    /// Index of the snapshot; 0 if there is none.
+    pub(crate) fn snapshot_index(&self) -> u64 {
+        self.0.borrow().snapshot.get_metadata().index
+    }
+
+    /// Index and bytes of the snapshot.
     pub(crate) fn snapshot_data(&self) -> (u64, Vec<u8>) {
-        let inner = self.0.borrow();
-        (inner.snapshot.get_metadata().index, inner.snapshot.data.to_vec())
+        let state = self.0.borrow();
+        (state.snapshot.get_metadata().index, state.snapshot.data.to_vec())
     }
 
+    /// Entries in memory.
     pub(crate) fn len(&self) -> usize {
         self.0.borrow().entries.len()
     }
 
-    pub(crate) fn last(&self) -> u64 {
-        self.0.borrow().last()
+    /// The last entry's index.
+    pub(crate) fn last_index(&self) -> u64 {
+        self.0.borrow().last_index()
     }
 
-    pub(crate) fn set_hard(&self, hard: HardState) {
+    pub(crate) fn set_hard_state(&self, hard: HardState) {
         self.0.borrow_mut().hard = hard;
     }
 
-    /// A snapshot from the leader takes the place of everything held.
+    /// Replaces everything by a snapshot from the leader.
     pub(crate) fn install(&self, snapshot: Snapshot) {
-        let mut inner = self.0.borrow_mut();
-        let (index, term) = (snapshot.get_metadata().index, snapshot.get_metadata().term);
-        inner.entries.clear();
-        inner.before = (index, term);
-        inner.hard.commit = inner.hard.commit.max(index);
-        inner.hard.term = inner.hard.term.max(term);
-        inner.snapshot = snapshot;
+        let mut state = self.0.borrow_mut();
+        let last = EntryId { index: snapshot.get_metadata().index, term: snapshot.get_metadata().term };
+        state.entries.clear();
+        state.before_first = last;
+        state.hard.commit = state.hard.commit.max(last.index);
+        state.hard.term = state.hard.term.max(last.term);
+        state.snapshot = snapshot;
     }
 
-    /// Entries take the place of whatever is held from the first one's index on.
+    /// Appends entries; they replace whatever the log has from the first one's index on.
     pub(crate) fn append(&self, entries: &[Entry]) {
-        let mut inner = self.0.borrow_mut();
         let Some(first) = entries.first() else { return };
-        let keep = first.index.saturating_sub(inner.first()) as usize;
-        inner.entries.truncate(keep);
-        inner.entries.extend(entries.iter().cloned());
-    }
-
-    /// A snapshot of ours at `index`; `keep` entries before it stay for those who are behind.
-    pub(crate) fn fold(&self, index: u64, conf: ConfState, data: Vec<u8>, keep: u64) -> Option<Snapshot> {
-        let mut inner = self.0.borrow_mut();
-        let term = inner.term(index).ok()?;
-        let mut metadata = SnapshotMetadata { index, term, ..SnapshotMetadata::default() };
-        metadata.set_conf_state(conf);
-        let mut snapshot = Snapshot::default();
-        snapshot.set_metadata(metadata);
-        snapshot.data = data.into();
-        inner.snapshot = snapshot.clone();
-        let before = index.saturating_sub(keep);
-        if before > inner.before.0 {
-            let term = inner.term(before).ok()?;
-            let gone = (before - inner.before.0) as usize;
-            inner.entries.drain(..gone);
-            inner.before = (before, term);
+        let mut state = self.0.borrow_mut();
+        let kept = first.index.saturating_sub(state.first_index()) as usize;
+        state.entries.truncate(kept);
+        state.entries.extend(entries.iter().cloned());
+    }
+
+    /// Compacts the log into a snapshot of this instance's state at `index`; `retained` entries before it stay for
+    /// followers that are behind. None if the log has no entry at `index`.
+    pub(crate) fn compact(
+        &self,
+        index: u64,
+        conf_state: ConfState,
+        data: Vec<u8>,
+        retained: u64,
+    ) -> Option<Snapshot> {
+        let mut state = self.0.borrow_mut();
+        let term = state.term(index).ok()?;
+        let snapshot = new_snapshot(EntryId { index, term }, conf_state, data);
+        state.snapshot = snapshot.clone();
+        let last_dropped = index.saturating_sub(retained);
+        if last_dropped > state.before_first.index {
+            let term = state.term(last_dropped).ok()?;
+            let dropped = (last_dropped - state.before_first.index) as usize;
+            state.entries.drain(..dropped);
+            state.before_first = EntryId { index: last_dropped, term };
         }
         Some(snapshot)
     }
@@ -177,9 +222,9 @@
 
 impl raft::Storage for RaftLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let inner = self.0.borrow();
-        let conf = inner.snapshot.get_metadata().get_conf_state().clone();
-        Ok(RaftState::new(inner.hard.clone(), conf))
+        let state = self.0.borrow();
+        let conf_state = state.snapshot.get_metadata().get_conf_state().clone();
+        Ok(RaftState::new(state.hard.clone(), conf_state))
     }
 
     fn entries(
@@ -189,20 +234,21 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        let inner = self.0.borrow();
-        if low < inner.first() {
+        let state = self.0.borrow();
+        if low < state.first_index() {
             return Err(StorageError::Compacted.into());
         }
-        if high > inner.last() + 1 {
+        if high > state.last_index() + 1 {
             return Err(StorageError::Unavailable.into());
         }
-        let range = (low - inner.first()) as usize..(high - inner.first()) as usize;
-        let most = max_size.into().unwrap_or(u64::MAX);
-        let (mut found, mut size) = (Vec::new(), 0u64);
-        // One at the least, whatever its size, or nothing would ever move on.
-        for entry in inner.entries.range(range) {
-            size += u64::from(entry.compute_size());
-            if size > most && !found.is_empty() {
+        let range = (low - state.first_index()) as usize..(high - state.first_index()) as usize;
+        let max_bytes = max_size.into().unwrap_or(u64::MAX);
+        let mut found = Vec::new();
+        let mut found_bytes = 0;
+        for entry in state.entries.range(range) {
+            found_bytes += u64::from(entry.compute_size());
+            // The first entry goes whatever its size, or a large one would never be sent.
+            if found_bytes > max_bytes && !found.is_empty() {
                 break;
             }
             found.push(entry.clone());
@@ -215,18 +261,18 @@
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.0.borrow().first())
+        Ok(self.0.borrow().first_index())
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.0.borrow().last())
+        Ok(self.0.borrow().last_index())
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<Snapshot> {
-        let inner = self.0.borrow();
-        if inner.snapshot.get_metadata().index < request_index {
+        let state = self.0.borrow();
+        if state.snapshot.get_metadata().index < request_index {
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
-        Ok(inner.snapshot.clone())
+        Ok(state.snapshot.clone())
     }
 }
--- /dev/null
+++ b/crates/consensus/src/replicated_state/notices.rs
@@ -0,0 +1,61 @@
+//! Notices: what each member last published on a topic. A member's present view, not a decision.
+
+use serde::{Deserialize, Serialize};
+
+use super::command::Reply;
+use super::{MAX_VALUE_BYTES, ReplicatedState};
+use crate::ids::{Index, InstanceId};
+
+/// Greatest number of topics with a notice.
+pub const MAX_TOPICS: usize = 64;
+/// Longest name of a topic, in bytes.
+const MAX_TOPIC_BYTES: usize = 64;
+
+/// What a member has published on a topic.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Notice {
+    /// What it says.
+    pub value: Vec<u8>,
+    /// The index at which it was last published.
+    #[serde(rename = "posted")]
+    pub published_at: Index,
+}
+
+impl ReplicatedState {
+    /// The members' notices on a topic, in order of the members' ids.
+    pub fn notices(&self, topic: &str) -> impl Iterator<Item = (InstanceId, &Notice)> {
+        self.notices.get(topic).into_iter().flatten().map(|(id, notice)| (*id, notice))
+    }
+
+    pub(super) fn publish_notice(
+        &mut self,
+        index: Index,
+        from: InstanceId,
+        topic: &str,
+        value: Option<&[u8]>,
+    ) -> Result<Reply, Reply> {
+        self.require_member(from)?;
+        let is_long = value.is_some_and(|value| value.len() > MAX_VALUE_BYTES);
+        if is_long || topic.len() > MAX_TOPIC_BYTES {
+            return Err(Reply::Rejected(format!(
+                "a notice has {MAX_VALUE_BYTES} bytes at the most, a board's name {MAX_TOPIC_BYTES}"
+            )));
+        }
+        if !self.notices.contains_key(topic) && self.notices.len() >= MAX_TOPICS {
+            return Err(Reply::CapacityExceeded);
+        }
+        let notices = self.notices.entry(topic.to_owned()).or_default();
+        match value {
+            Some(value) => {
+                notices.insert(from, Notice { value: value.to_vec(), published_at: index });
+            }
+            None => {
+                notices.remove(&from);
+            }
+        }
+        if notices.is_empty() {
+            self.notices.remove(topic);
+        }
+        Ok(Reply::Done)
+    }
+}
--- a/crates/consensus/tests/handover.rs
+++ b/crates/consensus/tests/handover.rs
@@ -3,7 +3,7 @@
 
 #[path = "../examples/handover/disk.rs"]
 mod disk;
-#[path = "../examples/handover/world.rs"]
+#[path = "../examples/handover/world/mod.rs"]
 mod world;
 
 use disk::Kind;
--- /dev/null
+++ b/crates/consensus/tests/proposal_queue.rs
@@ -0,0 +1,64 @@
+//! A command keeps its sequence number over every attempt, and the queue tells what became of it.
+
+use garnetcrank_consensus::ids::SessionId;
+use garnetcrank_consensus::pending_requests::Answer;
+use garnetcrank_consensus::proposal_queue::{NextProposal, ProposalOutcome, ProposalQueue};
+use garnetcrank_consensus::replicated_state::{Command, Reply};
+
+fn retire(below: u64) -> Command {
+    Command::RetireSubjects { space: "s".into(), below }
+}
+
+fn opened(p: &mut ProposalQueue<u8>) {
+    assert_eq!(p.next_proposal(), Some(NextProposal::OpenSession));
+    assert_eq!(p.on_answer(Answer::Applied(Reply::SessionOpened(SessionId(5)))), None);
+}
+
+fn sequence(p: &mut ProposalQueue<u8>) -> u64 {
+    match p.next_proposal() {
+        Some(NextProposal::Propose(proposal)) => proposal.sequence.0,
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn a_command_keeps_its_number_until_it_is_answered() {
+    let mut p = ProposalQueue::new(2, 9);
+    assert_eq!(p.next_proposal(), None, "no session without a command");
+    p.submit(1, retire(1)).unwrap();
+    p.submit(2, retire(2)).unwrap();
+    assert_eq!(p.submit(3, retire(3)), Err(3));
+    opened(&mut p);
+    assert_eq!(sequence(&mut p), 1);
+    assert_eq!(p.next_proposal(), None, "one at a time");
+    assert_eq!(p.on_answer(Answer::Indeterminate), None);
+    assert_eq!(sequence(&mut p), 1);
+    assert_eq!(p.on_answer(Answer::Applied(Reply::Done)), Some((1, ProposalOutcome::Applied(Reply::Done))));
+    assert_eq!(p.on_answer(Answer::Applied(Reply::Done)), None, "an answer to nothing");
+    assert_eq!(sequence(&mut p), 2);
+}
+
+#[test]
+fn with_the_session_lost_a_command_is_unknown_and_the_next_opens_another() {
+    let mut p = ProposalQueue::new(2, 9);
+    p.submit(1, retire(1)).unwrap();
+    p.submit(2, retire(2)).unwrap();
+    opened(&mut p);
+    sequence(&mut p);
+    assert_eq!(p.on_answer(Answer::Applied(Reply::SessionExpired)), Some((1, ProposalOutcome::Unknown)));
+    opened(&mut p);
+    assert_eq!(sequence(&mut p), 1);
+}
+
+#[test]
+fn one_that_is_given_up_is_overtaken_by_the_next() {
+    let mut p = ProposalQueue::new(2, 2);
+    p.submit(1, retire(1)).unwrap();
+    p.submit(2, retire(2)).unwrap();
+    opened(&mut p);
+    assert_eq!(sequence(&mut p), 1);
+    assert_eq!(p.on_answer(Answer::NotProposed), None);
+    assert_eq!(sequence(&mut p), 1);
+    assert_eq!(p.on_answer(Answer::Indeterminate), Some((1, ProposalOutcome::Abandoned)));
+    assert_eq!(sequence(&mut p), 2);
+}
