--- a/crates/consensus/src/chunking.rs
+++ b/crates/consensus/src/chunking.rs
@@ -1,95 +1,102 @@
-//! Messages that are too long for one frame, such as snapshots, in pieces: short messages pass between them, and
-//! whoever joins them holds one at a time, of a bounded size.
+//! Messages that are too long for one frame, such as snapshots, in chunks: short messages pass between them, and the
+//! receiver assembles one message at a time, of a bounded size.
 
 use serde::{Deserialize, Serialize};
 
-/// Longest piece, in bytes.
+/// Longest chunk, in bytes.
 pub const CHUNK_BYTES: usize = 64 * 1024;
-/// Longest message that is put together, in bytes.
+/// Longest message that is assembled, in bytes.
 pub const MAX_MESSAGE_BYTES: u64 = 256 * 1024 * 1024;
 
 /// A part of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Which message of this sender's.
+    /// Which message of this sender it belongs to.
     pub transfer: u64,
-    /// Where it begins, in bytes.
+    /// Where in the message it begins, in bytes.
     #[serde(rename = "at")]
     pub offset: u64,
-    /// How long the whole is, in bytes.
+    /// Length of the message, in bytes.
     #[serde(rename = "whole")]
     pub total_len: u64,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
 
-/// The pieces of a message, in order.
+/// The chunks of a message, in order.
 pub fn split(transfer: u64, message: &[u8]) -> impl Iterator<Item = Chunk> {
-    let whole = message.len() as u64;
-    message.chunks(CHUNK_BYTES).enumerate().map(move |(n, bytes)| Chunk {
+    let total_len = message.len() as u64;
+    message.chunks(CHUNK_BYTES).enumerate().map(move |(position, bytes)| Chunk {
         transfer,
-        offset: (n * CHUNK_BYTES) as u64,
-        total_len: whole,
+        offset: (position * CHUNK_BYTES) as u64,
+        total_len,
         bytes: bytes.to_vec(),
     })
 }
 
-/// Why pieces don't make a message.
+/// Why chunks don't make a message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    /// One is missing in front of this one.
-    #[error("a piece at {found} where {expected} was to come")]
+    /// A chunk before this one is missing.
+    #[error("a chunk at {found} where one at {expected} was expected")]
     Gap {
-        /// Where it begins.
+        /// Where this chunk begins.
         found: u64,
-        /// Where it should.
+        /// Where the next one should begin.
         expected: u64,
     },
-    /// The sizes contradict one another or the limits.
-    #[error("a message of {0} bytes with a piece that does not fit")]
+    /// The sizes contradict one another or the limit.
+    #[error("a message of {0} bytes, {MAX_MESSAGE_BYTES} at the most, with a chunk that does not fit")]
     TooLarge(u64),
 }
 
-/// Puts one sender's pieces together.
+/// Assembles one sender's chunks.
 #[derive(Debug, Default)]
 pub struct ChunkAssembler {
     transfer: u64,
-    whole: u64,
-    buffered_bytes: Vec<u8>,
+    total_len: u64,
+    buffer: Vec<u8>,
 }
 
 impl ChunkAssembler {
-    /// One more piece; the message, if it was the last. A new transfer ends an unfinished one: its sender has
-    /// given it up.
+    /// One more chunk; the message, if it was the last. A new transfer ends an unfinished one: its sender has given
+    /// it up.
     ///
     /// # Errors
-    /// A gap or a size that makes no sense; what was held is dropped.
-    pub fn push(&mut self, piece: Chunk) -> Result<Option<Vec<u8>>, ChunkError> {
-        if piece.transfer != self.transfer || piece.offset == 0 {
-            *self = Self { transfer: piece.transfer, whole: piece.total_len, buffered_bytes: Vec::new() };
+    /// A chunk is missing or its size is invalid; what was buffered is dropped.
+    pub fn push(&mut self, chunk: Chunk) -> Result<Option<Vec<u8>>, ChunkError> {
+        if chunk.transfer != self.transfer || chunk.offset == 0 {
+            *self = Self { transfer: chunk.transfer, total_len: chunk.total_len, buffer: Vec::new() };
         }
-        let end = piece.offset.checked_add(piece.bytes.len() as u64);
-        let fits = end.is_some_and(|end| end <= piece.total_len);
-        if !fits || piece.total_len != self.whole || self.whole > MAX_MESSAGE_BYTES || piece.bytes.is_empty()
-        {
+        if !self.fits(&chunk) {
             *self = Self::default();
-            return Err(ChunkError::TooLarge(piece.total_len));
+            return Err(ChunkError::TooLarge(chunk.total_len));
         }
-        let expected = self.buffered_bytes.len() as u64;
-        if piece.offset != expected {
+        let expected = self.buffer.len() as u64;
+        if chunk.offset != expected {
             *self = Self::default();
-            return Err(ChunkError::Gap { found: piece.offset, expected });
+            return Err(ChunkError::Gap { found: chunk.offset, expected });
         }
         // Grown by what has come, never by what was announced: an announced length costs nothing.
-        self.buffered_bytes.extend_from_slice(&piece.bytes);
-        if self.buffered_bytes.len() as u64 == self.whole {
-            return Ok(Some(std::mem::take(self).buffered_bytes));
+        self.buffer.extend_from_slice(&chunk.bytes);
+        let buffered = self.buffer.len() as u64;
+        if buffered < self.total_len {
+            return Ok(None);
         }
-        Ok(None)
+        let message = std::mem::take(self).buffer;
+        Ok(Some(message))
     }
 
-    /// Bytes held.
+    fn fits(&self, chunk: &Chunk) -> bool {
+        let Some(end) = chunk.offset.checked_add(chunk.bytes.len() as u64) else { return false };
+        end <= chunk.total_len
+            && chunk.total_len == self.total_len
+            && self.total_len <= MAX_MESSAGE_BYTES
+            && !chunk.bytes.is_empty()
+    }
+
+    /// Bytes of an unfinished message.
     pub fn buffered_bytes(&self) -> usize {
-        self.buffered_bytes.len()
+        self.buffer.len()
     }
 }
--- a/crates/consensus/src/fencing.rs
+++ b/crates/consensus/src/fencing.rs
@@ -1,9 +1,9 @@
-//! The gate: what stands in front of whatever a grant allows. It keeps the newest epoch that it was shown for each
-//! role and refuses older ones, so a holder that froze and wakes does nothing more, whatever any clock says.
+//! The fencing gate: what stands in front of whatever a lease allows. It keeps the newest epoch that it has observed
+//! for each role and rejects older ones, so a holder that froze and wakes does nothing more, whatever any clock says.
 //!
-//! What it has let through it remembers until the ledger has settled it and its epoch is over: the next holder asks
-//! it which orders in doubt ran, and a copy of an old message may come minutes late. Its state must survive its own
-//! crashes at least as well as the effects behind it do.
+//! It remembers what it has admitted until the replicated state has resolved the order and its epoch is over: the
+//! next holder asks it which orders in doubt were executed, and a copy of an old message may come minutes late. Its
+//! state must survive its own crashes at least as well as the effects behind it do.
 
 use std::collections::BTreeMap;
 
@@ -11,72 +11,75 @@
 
 use crate::ids::{Epoch, Role, Subject};
 
-/// Orders remembered for each role; beyond that nothing more is let through until some are settled and the role
-/// has a new epoch (a holder may pass the role on to itself).
+/// Orders remembered for each role. Beyond that no more is admitted until some are resolved and the role has a new
+/// epoch (a holder may pass the lease on to itself).
 pub const MAX_ORDERS: usize = 65_536;
 
-/// What the gate says to an act.
+/// What the gate says to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FencingDecision {
-    /// Go: the effect may happen, now and once.
+    /// The effect may happen, now and once.
     #[serde(rename = "Open")]
     Admit,
-    /// An older epoch than one shown before: refused for good.
+    /// An older epoch than one observed before: rejected for good.
     #[serde(rename = "Stale")]
     StaleEpoch {
-        /// The newest epoch shown.
+        /// The newest epoch observed.
         newest: Epoch,
     },
-    /// This order went through before.
+    /// This order was admitted before.
     #[serde(rename = "Repeat")]
     Duplicate {
         /// Under this epoch.
         epoch: Epoch,
     },
-    /// It remembers as many orders as it may.
+    /// The gate remembers as many orders as it may.
     Full,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Watched {
-    newest: Epoch,
-    let_through: BTreeMap<Subject, Through>,
+struct RoleFence {
+    #[serde(rename = "newest")]
+    newest_epoch: Epoch,
+    #[serde(rename = "let_through")]
+    admitted: BTreeMap<Subject, AdmittedOrder>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Through {
+struct AdmittedOrder {
     epoch: Epoch,
-    settled: bool,
+    #[serde(rename = "settled")]
+    resolved: bool,
 }
 
-impl Watched {
-    /// An order may be forgotten once it is settled and no message of its epoch can pass any more: until then a
-    /// late copy of the message that let it through would let it through again.
-    fn forget_what_is_over(&mut self) {
-        let newest = self.newest;
-        self.let_through.retain(|_, through| !through.settled || through.epoch == newest);
+impl RoleFence {
+    /// Forgets orders that are resolved and of an older epoch. Until no message of its epoch can pass any more, a
+    /// late copy of the message that an order was admitted with would have it admitted again.
+    fn forget_finished_orders(&mut self) {
+        let newest = self.newest_epoch;
+        self.admitted.retain(|_, order| !order.resolved || order.epoch == newest);
     }
 }
 
 /// The gate's whole state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingGate {
-    roles: BTreeMap<Role, Watched>,
+    roles: BTreeMap<Role, RoleFence>,
 }
 
 impl FencingGate {
-    /// A holder shows its epoch, before it acts for the first time. From here on no older one passes.
+    /// A holder shows its epoch, before it acts for the first time. From here on no older one is admitted.
     ///
     /// # Errors
-    /// The newest epoch shown, if that is a later one.
+    /// The newest epoch observed, if that is a later one.
     pub fn observe_epoch(&mut self, role: &Role, epoch: Epoch) -> Result<(), Epoch> {
-        let watched = self.roles.entry(role.clone()).or_default();
-        if epoch < watched.newest {
-            return Err(watched.newest);
+        let fence = self.roles.entry(role.clone()).or_default();
+        if epoch < fence.newest_epoch {
+            return Err(fence.newest_epoch);
         }
-        if epoch > watched.newest {
-            watched.newest = epoch;
-            watched.forget_what_is_over();
+        if epoch > fence.newest_epoch {
+            fence.newest_epoch = epoch;
+            fence.forget_finished_orders();
         }
         Ok(())
     }
@@ -86,43 +89,41 @@
         if let Err(newest) = self.observe_epoch(role, epoch) {
             return FencingDecision::StaleEpoch { newest };
         }
-        let watched = self.roles.entry(role.clone()).or_default();
-        if let Some(through) = watched.let_through.get(order) {
-            return FencingDecision::Duplicate { epoch: through.epoch };
+        let fence = self.roles.entry(role.clone()).or_default();
+        if let Some(admitted) = fence.admitted.get(order) {
+            return FencingDecision::Duplicate { epoch: admitted.epoch };
         }
-        if watched.let_through.len() >= MAX_ORDERS {
+        if fence.admitted.len() >= MAX_ORDERS {
             return FencingDecision::Full;
         }
-        watched.let_through.insert(order.clone(), Through { epoch, settled: false });
+        fence.admitted.insert(order.clone(), AdmittedOrder { epoch, resolved: false });
         FencingDecision::Admit
     }
 
-    /// Whether an order went through, asked under an epoch that the gate has been shown: the answer is final for
-    /// every older one.
+    /// Whether an order was admitted, asked under an epoch that the gate has observed: the answer is final for every
+    /// older one.
     ///
     /// # Errors
-    /// The newest epoch shown, if it is not the one that asks.
+    /// The newest epoch observed, if it is not the one that asks.
     pub fn was_executed(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, Epoch> {
         let newest = self.current_epoch(role);
         if epoch != newest {
             return Err(newest);
         }
-        Ok(self.roles.get(role).is_some_and(|watched| watched.let_through.contains_key(order)))
+        Ok(self.roles.get(role).is_some_and(|fence| fence.admitted.contains_key(order)))
     }
 
-    /// The ledger has settled this order as one that ran: it is handed out no more, and need not be remembered
+    /// The replicated state has resolved this order as executed: it is dispatched no more, and need not be remembered
     /// beyond its epoch.
     pub fn mark_resolved(&mut self, role: &Role, order: &Subject) {
-        if let Some(watched) = self.roles.get_mut(role)
-            && let Some(through) = watched.let_through.get_mut(order)
-        {
-            through.settled = true;
-            watched.forget_what_is_over();
-        }
+        let Some(fence) = self.roles.get_mut(role) else { return };
+        let Some(admitted) = fence.admitted.get_mut(order) else { return };
+        admitted.resolved = true;
+        fence.forget_finished_orders();
     }
 
-    /// The newest epoch shown for a role; 0 if none was.
+    /// The newest epoch observed for a role; 0 if none was.
     pub fn current_epoch(&self, role: &Role) -> Epoch {
-        self.roles.get(role).map_or(Epoch(0), |watched| watched.newest)
+        self.roles.get(role).map_or(Epoch(0), |fence| fence.newest_epoch)
     }
 }
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers and names that must not be taken for one another.
+//! Numbers and names that must not be confused with one another.
 
 use std::fmt;
 
@@ -20,25 +20,25 @@
 }
 
 ids! {
-    /// An instance, by the number that its store was made with. A store made anew is another instance.
+    /// An instance, by the id that its store was created with. A store created anew is another instance.
     InstanceId;
-    /// A place in the log, from 1.
+    /// An entry's place in the log, from 1; 0 is before the first entry.
     Index;
     /// A term: at most one leader in each.
     Term;
-    /// How many times a role has changed hands. A higher one deposes all lower ones for good.
+    /// How many times a role's lease has changed hands. A higher one deposes all lower ones for good.
     Epoch;
-    /// A proposer's session, by the index at which it was opened.
+    /// A proposer's session, by the index of the entry that opened it.
     SessionId;
     /// A proposal's place in its session, from 1.
     Sequence;
-    /// What a caller of one instance waits for; the caller numbers them.
+    /// A request of a caller at one instance; the caller numbers them.
     Ticket;
-    /// Ticks of one instance's own time. They are for speed only: nothing is safe because of them.
+    /// Ticks of one instance's own time. They decide only how soon something happens: nothing is safe because of them.
     Ticks;
 }
 
-/// A task that one instance at a time does, by name.
+/// A task that one instance at a time does, by name. Its lease says which instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Role(pub String);
@@ -49,7 +49,10 @@
     }
 }
 
-/// What is decided: a number in a space, such as a build among condemned ones.
+/// Longest name of a space that a caller may give, in bytes.
+const MAX_SPACE_BYTES: usize = 64;
+
+/// What is decided: a number in a space, such as a build among the condemned ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Subject {
     /// The space.
@@ -59,7 +62,7 @@
 }
 
 impl Subject {
-    /// A subject.
+    /// The subject with this number in this space.
     pub fn new(space: &str, number: u64) -> Self {
         Self { space: space.to_owned(), number }
     }
@@ -71,7 +74,7 @@
     }
 }
 
-/// A subject that can't be read, with what was given.
+/// A text that is no subject.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("\"{0}\" is no subject: SPACE/NUMBER is wanted, such as condemned/42")]
 pub struct ParseSubjectError(String);
@@ -80,12 +83,18 @@
     type Err = ParseSubjectError;
 
     fn from_str(text: &str) -> Result<Self, ParseSubjectError> {
-        let bad = || ParseSubjectError(text.to_owned());
-        let (space, number) = text.rsplit_once('/').ok_or_else(bad)?;
-        let usable = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if space.is_empty() || space.len() > 64 || !space.chars().all(usable) {
-            return Err(bad());
+        let invalid = || ParseSubjectError(text.to_owned());
+        let (space, number) = text.rsplit_once('/').ok_or_else(invalid)?;
+        let number = number.parse().map_err(|_| invalid())?;
+        if !is_valid_space(space) {
+            return Err(invalid());
         }
-        Ok(Subject { space: space.to_owned(), number: number.parse().map_err(|_| bad())? })
+        Ok(Subject { space: space.to_owned(), number })
     }
 }
+
+/// Whether a caller may name a space so: ASCII letters, digits, `-`, `_` and `.`.
+fn is_valid_space(space: &str) -> bool {
+    let is_valid_char = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    !space.is_empty() && space.len() <= MAX_SPACE_BYTES && space.chars().all(is_valid_char)
+}
--- a/crates/consensus/src/lease_client.rs
+++ b/crates/consensus/src/lease_client.rs
@@ -1,49 +1,76 @@
-//! The clerk: when this instance takes a role, renews it, acts under it and leaves it. Its ticks decide only how
-//! soon; that no deposed holder acts is the ledger's and the gate's work.
+//! The lease client: when this instance acquires a role's lease, renews it, acts under it and stops. Its ticks decide
+//! only how soon; that no deposed holder acts is the work of the replicated state and the fencing gate.
 
 use crate::ids::{Epoch, Index, InstanceId, Role, Ticks};
 use crate::pending_requests::Answer;
 use crate::replicated_state::{Command, Lease, Reply};
 
-/// What the clerk asks for.
+/// A renewal, and a question to the gate without an answer, are due after this part of the lease's ttl: two may be
+/// lost before the lease lapses.
+const RENEWALS_PER_TTL: u64 = 3;
+/// A renewal that failed is proposed again after this part of the ttl, and one tick at the least.
+const RETRIES_PER_TTL: u64 = 10;
+
+/// What a lease client asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Propose this; tell [`Clerk::answered`] what came of it.
+    /// Propose this, and call [`LeaseClient::on_answer`] with what came of it.
     Propose(Command),
-    /// Show this epoch to the gate; tell [`Clerk::shown`] or [`Clerk::deposed`] what it said.
+    /// Show this epoch to the fencing gate, and call [`LeaseClient::on_epoch_observed`] or
+    /// [`LeaseClient::on_newer_epoch`] with its answer.
     ObserveEpoch(Epoch),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
-    /// Another holds it, or nobody.
-    Watching,
-    /// A take is under way.
-    Taking,
-    /// Held; the gate has not been shown the epoch yet.
-    Showing { epoch: Epoch, since: Ticks, asked: Option<Ticks> },
-    /// Held and shown. `until`: to act beyond it takes a renewal.
-    Holding { epoch: Epoch, until: Ticks, renew: Ticks, under_way: Option<Ticks> },
+enum LeaseState {
+    /// Another instance holds the lease, or nobody.
+    NotHeld,
+    /// A proposal to acquire it is in flight.
+    Acquiring,
+    /// Held; the fencing gate has not observed the epoch yet.
+    AwaitingGate { epoch: Epoch, acquired_at: Ticks, asked_at: Option<Ticks> },
+    /// Held and observed by the gate. To act from `valid_until` on takes a renewal.
+    Held { epoch: Epoch, valid_until: Ticks, renew_at: Ticks, renewal_sent_at: Option<Ticks> },
+}
+
+impl LeaseState {
+    /// The epoch under which the lease is held here.
+    fn epoch(self) -> Option<Epoch> {
+        match self {
+            LeaseState::NotHeld | LeaseState::Acquiring => None,
+            LeaseState::AwaitingGate { epoch, .. } | LeaseState::Held { epoch, .. } => Some(epoch),
+        }
+    }
+}
+
+/// The lease as the replicated state last showed it here.
+#[derive(Debug, Clone, Copy)]
+struct ObservedLease {
+    epoch: Epoch,
+    renewed: Index,
+    /// Since when it looks so, by this instance's own ticks: no clock is shared.
+    since: Ticks,
 }
 
-/// One role's clerk at one instance.
+/// One role's lease client at one instance.
 #[derive(Debug)]
 pub struct LeaseClient {
     role: Role,
-    me: InstanceId,
-    life: u64,
-    state: State,
-    /// The grant as last seen, and since when it looks so.
-    seen: (Epoch, Index, Ticks),
-    patience: u64,
+    id: InstanceId,
+    /// Ticks that a holder may go on without a renewal.
+    ttl: u64,
+    /// More ticks that this instance waits before it acquires the lease.
+    stagger: u64,
+    state: LeaseState,
+    observed: ObservedLease,
 }
 
 impl LeaseClient {
-    /// A clerk for `role`. `life`: ticks that a holder goes on without renewal; `stagger`: more ticks that this
-    /// instance waits before it takes a role over, so that not all try at once.
-    pub fn new(role: Role, me: InstanceId, life: u64, stagger: u64) -> Self {
-        let seen = (Epoch(0), Index(0), Ticks(0));
-        Self { role, me, life, state: State::Watching, seen, patience: life + stagger }
+    /// A client for `role`. `ttl`: ticks that a holder may go on without a renewal; `stagger`: more ticks that this
+    /// instance waits before it acquires the lease, so that not all instances try at once.
+    pub fn new(role: Role, id: InstanceId, ttl: u64, stagger: u64) -> Self {
+        let observed = ObservedLease { epoch: Epoch(0), renewed: Index(0), since: Ticks(0) };
+        Self { role, id, ttl, stagger, state: LeaseState::NotHeld, observed }
     }
 
     /// The role.
@@ -51,115 +78,126 @@
         &self.role
     }
 
-    /// The epoch under which this instance may act now. Whatever acts on it shows it to the gate as well.
+    /// The epoch under which this instance may act now. Whatever acts on it shows it to the fencing gate as well.
     pub fn valid_epoch(&self, now: Ticks) -> Option<Epoch> {
         match self.state {
-            State::Holding { epoch, until, .. } if now < until => Some(epoch),
+            LeaseState::Held { epoch, valid_until, .. } if now < valid_until => Some(epoch),
             _ => None,
         }
     }
 
-    /// What is to be done now, by the ledger as this instance has it.
-    pub fn poll(&mut self, now: Ticks, grant: Option<&Lease>) -> Option<LeaseAction> {
-        let (epoch, renewed) = grant.map_or((Epoch(0), Index(0)), |g| (g.epoch, g.renewed));
-        if (epoch, renewed) != (self.seen.0, self.seen.1) {
-            self.seen = (epoch, renewed, now);
-        }
-        let held = match self.state {
-            State::Showing { epoch, .. } | State::Holding { epoch, .. } => Some(epoch),
-            State::Watching | State::Taking => None,
-        };
-        if held.is_some_and(|held| held < epoch) {
-            self.state = State::Watching;
-        }
-        match &mut self.state {
-            State::Taking => None,
-            State::Watching => self.watch(now, grant),
-            State::Showing { epoch, asked, .. } => {
-                if asked.is_some_and(|at| now.0 < at.0 + self.life / 3) {
+    /// What is to be done now, by the lease as the replicated state here has it.
+    pub fn poll(&mut self, now: Ticks, lease: Option<&Lease>) -> Option<LeaseAction> {
+        self.observe(now, lease);
+        match self.state {
+            LeaseState::Acquiring => None,
+            LeaseState::NotHeld => self.acquire_if_due(now, lease),
+            LeaseState::AwaitingGate { epoch, acquired_at, asked_at } => {
+                if asked_at.is_some_and(|asked_at| now < self.renewal_due(asked_at)) {
                     return None;
                 }
-                *asked = Some(now);
-                Some(LeaseAction::ObserveEpoch(*epoch))
+                self.state = LeaseState::AwaitingGate { epoch, acquired_at, asked_at: Some(now) };
+                Some(LeaseAction::ObserveEpoch(epoch))
             }
-            State::Holding { epoch, renew, under_way, .. } => {
-                if now < *renew || under_way.is_some() {
+            LeaseState::Held { epoch, valid_until, renew_at, renewal_sent_at } => {
+                if now < renew_at || renewal_sent_at.is_some() {
                     return None;
                 }
-                *under_way = Some(now);
-                Some(LeaseAction::Propose(Command::RenewLease { role: self.role.clone(), epoch: *epoch }))
+                self.state = LeaseState::Held { epoch, valid_until, renew_at, renewal_sent_at: Some(now) };
+                Some(LeaseAction::Propose(Command::RenewLease { role: self.role.clone(), epoch }))
             }
         }
     }
 
-    fn watch(&mut self, now: Ticks, grant: Option<&Lease>) -> Option<LeaseAction> {
-        // Held by this instance in the ledger and not here: an earlier run of it, whose acts may still be on their
-        // way. It starts under a new epoch like anyone else, but need not wait for itself.
-        let mine = grant.is_some_and(|g| g.holder == Some(self.me));
-        let free = grant.is_none_or(|g| g.holder.is_none());
-        let waited = now.0.saturating_sub(self.seen.2.0);
-        let wait = if mine || free { self.patience - self.life } else { self.patience };
+    fn observe(&mut self, now: Ticks, lease: Option<&Lease>) {
+        let (epoch, renewed) = match lease {
+            Some(lease) => (lease.epoch, lease.renewed),
+            None => (Epoch(0), Index(0)),
+        };
+        if epoch != self.observed.epoch || renewed != self.observed.renewed {
+            self.observed = ObservedLease { epoch, renewed, since: now };
+        }
+        self.on_newer_epoch(epoch);
+    }
+
+    fn acquire_if_due(&mut self, now: Ticks, lease: Option<&Lease>) -> Option<LeaseAction> {
+        // Held by this instance in the replicated state and not here: by an earlier incarnation, whose acts may still
+        // be on their way. This one starts under a new epoch like any other, but need not wait for itself.
+        let wait = match lease.and_then(|lease| lease.holder) {
+            Some(holder) if holder != self.id => self.ttl + self.stagger,
+            _ => self.stagger,
+        };
+        let waited = now.0.saturating_sub(self.observed.since.0);
         if waited < wait {
             return None;
         }
-        self.state = State::Taking;
-        let life = u32::try_from(self.life).unwrap_or(u32::MAX);
+        self.state = LeaseState::Acquiring;
         Some(LeaseAction::Propose(Command::AcquireLease {
             role: self.role.clone(),
-            holder: self.me,
-            expected_epoch: self.seen.0,
-            ttl: life,
+            holder: self.id,
+            expected_epoch: self.observed.epoch,
+            ttl: u32::try_from(self.ttl).unwrap_or(u32::MAX),
         }))
     }
 
-    /// What became of the proposal that was asked for.
+    /// What became of the command that [`LeaseAction::Propose`] asked for.
     pub fn on_answer(&mut self, now: Ticks, answer: &Answer) {
-        self.state = match (self.state, answer) {
-            (State::Taking, Answer::Applied(Reply::LeaseAcquired(epoch))) => {
-                State::Showing { epoch: *epoch, since: now, asked: None }
-            }
-            (State::Taking, _) => {
-                self.seen.2 = now;
-                State::Watching
-            }
-            (State::Holding { epoch, under_way: Some(at), .. }, Answer::Applied(Reply::Done)) => {
-                // Counted from when it was proposed: the ledger may have let it lapse from any moment after that.
-                State::Holding {
-                    epoch,
-                    until: Ticks(at.0 + self.life),
-                    renew: self.renewal(at),
-                    under_way: None,
-                }
-            }
-            (State::Holding { .. }, Answer::Applied(Reply::StaleEpoch { .. })) => State::Watching,
-            (State::Holding { epoch, until, .. }, _) => {
-                State::Holding { epoch, until, renew: Ticks(now.0 + 1 + self.life / 10), under_way: None }
+        match self.state {
+            LeaseState::Acquiring => self.on_acquire_answer(now, answer),
+            LeaseState::Held { .. } => self.on_renewal_answer(now, answer),
+            LeaseState::NotHeld | LeaseState::AwaitingGate { .. } => {}
+        }
+    }
+
+    fn on_acquire_answer(&mut self, now: Ticks, answer: &Answer) {
+        if let Answer::Applied(Reply::LeaseAcquired(epoch)) = answer {
+            self.state = LeaseState::AwaitingGate { epoch: *epoch, acquired_at: now, asked_at: None };
+        } else {
+            self.observed.since = now;
+            self.state = LeaseState::NotHeld;
+        }
+    }
+
+    fn on_renewal_answer(&mut self, now: Ticks, answer: &Answer) {
+        let LeaseState::Held { epoch, valid_until, renewal_sent_at, .. } = self.state else { return };
+        self.state = match (answer, renewal_sent_at) {
+            (Answer::Applied(Reply::Done), Some(sent_at)) => self.held_from(epoch, sent_at),
+            (Answer::Applied(Reply::StaleEpoch { .. }), _) => LeaseState::NotHeld,
+            _ => {
+                let renew_at = Ticks(now.0 + 1 + self.ttl / RETRIES_PER_TTL);
+                LeaseState::Held { epoch, valid_until, renew_at, renewal_sent_at: None }
             }
-            (state, _) => state,
         };
     }
 
-    fn renewal(&self, from: Ticks) -> Ticks {
-        Ticks(from.0 + self.life / 3)
+    /// Held for a ttl that counts from when the lease was proposed: others may take it for lapsed from any moment
+    /// after that.
+    fn held_from(&self, epoch: Epoch, start: Ticks) -> LeaseState {
+        LeaseState::Held {
+            epoch,
+            valid_until: Ticks(start.0 + self.ttl),
+            renew_at: self.renewal_due(start),
+            renewal_sent_at: None,
+        }
+    }
+
+    fn renewal_due(&self, start: Ticks) -> Ticks {
+        Ticks(start.0 + self.ttl / RENEWALS_PER_TTL)
     }
 
-    /// The gate has taken this epoch as the newest.
-    pub fn on_epoch_observed(&mut self, shown: Epoch) {
-        if let State::Showing { epoch, since, .. } = self.state
-            && epoch == shown
+    /// The fencing gate has taken this epoch as the newest.
+    pub fn on_epoch_observed(&mut self, observed: Epoch) {
+        if let LeaseState::AwaitingGate { epoch, acquired_at, .. } = self.state
+            && epoch == observed
         {
-            let until = Ticks(since.0 + self.life);
-            self.state = State::Holding { epoch, until, renew: self.renewal(since), under_way: None };
+            self.state = self.held_from(epoch, acquired_at);
         }
     }
 
-    /// The gate, or anyone, knows of this later epoch.
+    /// The fencing gate, or anyone, knows of this later epoch: whoever holds an older one stops.
     pub fn on_newer_epoch(&mut self, newest: Epoch) {
-        match self.state {
-            State::Showing { epoch, .. } | State::Holding { epoch, .. } if epoch < newest => {
-                self.state = State::Watching;
-            }
-            _ => {}
+        if self.state.epoch().is_some_and(|epoch| epoch < newest) {
+            self.state = LeaseState::NotHeld;
         }
     }
 }
--- a/crates/consensus/src/proposal_queue.rs
+++ b/crates/consensus/src/proposal_queue.rs
@@ -1,5 +1,5 @@
-//! A proposer: one session, one command under way at a time, each sent again under the same number until it is
-//! answered, so that it counts once whichever instance it reaches and however often.
+//! A proposer: one session, one command in flight at a time, each sent again under the same sequence number until it
+//! is answered, so that it counts once whichever instance it reaches and however often.
 
 use std::collections::VecDeque;
 
@@ -7,6 +7,9 @@
 use crate::pending_requests::Answer;
 use crate::replicated_state::{Command, Proposal, Reply};
 
+/// The sequence number of a session's first proposal.
+const FIRST_SEQUENCE: Sequence = Sequence(1);
+
 /// What to send now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextProposal {
@@ -21,99 +24,110 @@
 pub enum ProposalOutcome {
     /// Applied once, with this reply.
     Applied(Reply),
-    /// The session was lost: it may have been applied once or not at all, and won't be from here on.
+    /// The session was lost: the command may have been applied once or not at all, and won't be from here on.
     Unknown,
-    /// Given up; it is not applied after any later command of this proposer.
+    /// Given up after too many attempts; it is not applied after any later command of this proposer.
     Abandoned,
-    /// Refused without effect, and why.
+    /// Rejected without effect, and why.
     Rejected(String),
 }
 
 #[derive(Debug)]
-struct Queued<K> {
+struct QueuedCommand<K> {
     key: K,
     command: Command,
-    tries: u32,
+    attempts: u32,
 }
 
 /// A session and the commands that wait for it. `K` tells commands apart for the caller.
 #[derive(Debug)]
 pub struct ProposalQueue<K> {
     session: Option<SessionId>,
+    /// The sequence number of the first command in the queue.
     sequence: Sequence,
-    queue: VecDeque<Queued<K>>,
-    under_way: bool,
-    most: usize,
-    tries: u32,
+    queue: VecDeque<QueuedCommand<K>>,
+    /// Whether a session was asked for or the first command sent, and no answer has come.
+    in_flight: bool,
+    max_queued: usize,
+    max_attempts: u32,
 }
 
 impl<K> ProposalQueue<K> {
-    /// A proposer that holds `most` commands and sends each at most `tries` times.
-    pub fn new(most: usize, tries: u32) -> Self {
-        Self { session: None, sequence: Sequence(1), queue: VecDeque::new(), under_way: false, most, tries }
+    /// A proposer that holds `max_queued` commands and sends each at most `max_attempts` times.
+    pub fn new(max_queued: usize, max_attempts: u32) -> Self {
+        Self {
+            session: None,
+            sequence: FIRST_SEQUENCE,
+            queue: VecDeque::new(),
+            in_flight: false,
+            max_queued,
+            max_attempts,
+        }
     }
 
     /// One more command, unless too many wait.
     ///
     /// # Errors
-    /// The key, if there is no room.
+    /// The key, if the queue is full.
     pub fn submit(&mut self, key: K, command: Command) -> Result<(), K> {
-        if self.queue.len() >= self.most {
+        if self.queue.len() >= self.max_queued {
             return Err(key);
         }
-        self.queue.push_back(Queued { key, command, tries: 0 });
+        self.queue.push_back(QueuedCommand { key, command, attempts: 0 });
         Ok(())
     }
 
-    /// Commands that wait, the one under way among them.
+    /// Commands that wait, the one in flight included.
     pub fn pending(&self) -> usize {
         self.queue.len()
     }
 
-    /// What to send now, if anything; its answer goes to [`Proposer::answered`].
+    /// What to send now, if anything; its answer goes to [`ProposalQueue::on_answer`].
     pub fn next_proposal(&mut self) -> Option<NextProposal> {
-        if self.under_way {
+        if self.in_flight {
             return None;
         }
         let first = self.queue.front_mut()?;
-        self.under_way = true;
+        self.in_flight = true;
         let Some(session) = self.session else { return Some(NextProposal::OpenSession) };
-        first.tries += 1;
-        Some(NextProposal::Propose(Proposal {
-            session,
-            sequence: self.sequence,
-            command: first.command.clone(),
-        }))
-    }
-
-    fn end(&mut self, outcome: ProposalOutcome) -> Option<(K, ProposalOutcome)> {
-        self.sequence.0 += 1;
-        self.queue.pop_front().map(|queued| (queued.key, outcome))
+        first.attempts += 1;
+        let proposal = Proposal { session, sequence: self.sequence, command: first.command.clone() };
+        Some(NextProposal::Propose(proposal))
     }
 
     /// The answer to what was sent; what became of a command, if that is known now.
     pub fn on_answer(&mut self, answer: Answer) -> Option<(K, ProposalOutcome)> {
-        if !std::mem::take(&mut self.under_way) {
+        if !self.in_flight {
             return None;
         }
+        self.in_flight = false;
         match answer {
             Answer::Applied(Reply::SessionOpened(session)) => {
                 self.session = Some(session);
-                self.sequence = Sequence(1);
+                self.sequence = FIRST_SEQUENCE;
                 None
             }
             Answer::Applied(Reply::SessionExpired) => {
-                // Even one that was sent once: its instance hands a proposal on again when a leader goes, and an
-                // earlier copy may have come before the session's end.
+                // Unknown even if it was sent once: its instance forwards a proposal again when the leader changes,
+                // and an earlier copy may have been applied before the session's end.
                 self.session = None;
-                self.end(ProposalOutcome::Unknown)
-            }
-            Answer::Applied(reply) => self.end(ProposalOutcome::Applied(reply)),
-            Answer::Rejected(why) => self.end(ProposalOutcome::Rejected(why)),
-            _ if self.queue.front().is_some_and(|first| first.tries >= self.tries) => {
-                self.end(ProposalOutcome::Abandoned)
+                self.finish_first(ProposalOutcome::Unknown)
             }
+            Answer::Applied(reply) => self.finish_first(ProposalOutcome::Applied(reply)),
+            Answer::Rejected(why) => self.finish_first(ProposalOutcome::Rejected(why)),
+            _ if self.attempts_are_spent() => self.finish_first(ProposalOutcome::Abandoned),
             _ => None,
         }
     }
+
+    fn attempts_are_spent(&self) -> bool {
+        self.queue.front().is_some_and(|first| first.attempts >= self.max_attempts)
+    }
+
+    /// Ends the first command. The next one's higher sequence number keeps late copies of it from being applied.
+    fn finish_first(&mut self, outcome: ProposalOutcome) -> Option<(K, ProposalOutcome)> {
+        self.sequence.0 += 1;
+        let finished = self.queue.pop_front()?;
+        Some((finished.key, outcome))
+    }
 }
--- a/crates/consensus/tests/chunking.rs
+++ b/crates/consensus/tests/chunking.rs
@@ -3,27 +3,27 @@
 use garnetcrank_consensus::chunking::{Chunk, ChunkAssembler, ChunkError, MAX_MESSAGE_BYTES, split};
 
 #[test]
-fn pieces_make_the_message_again_and_nothing_else_does() {
+fn chunks_make_the_message_again_and_nothing_else_does() {
     let message: Vec<u8> = (0..200_000u32).map(|n| n as u8).collect();
-    let pieces: Vec<Chunk> = split(7, &message).collect();
-    assert_eq!(pieces.len(), 4);
-    let mut joiner = ChunkAssembler::default();
-    for piece in &pieces[..3] {
-        assert_eq!(joiner.push(piece.clone()), Ok(None));
+    let chunks: Vec<Chunk> = split(7, &message).collect();
+    assert_eq!(chunks.len(), 4);
+    let mut assembler = ChunkAssembler::default();
+    for chunk in &chunks[..3] {
+        assert_eq!(assembler.push(chunk.clone()), Ok(None));
     }
-    assert_eq!(joiner.push(pieces[3].clone()), Ok(Some(message.clone())));
-    assert_eq!(joiner.buffered_bytes(), 0);
+    assert_eq!(assembler.push(chunks[3].clone()), Ok(Some(message.clone())));
+    assert_eq!(assembler.buffered_bytes(), 0);
 
-    assert_eq!(joiner.push(pieces[0].clone()), Ok(None));
-    assert!(matches!(joiner.push(pieces[2].clone()), Err(ChunkError::Gap { .. })));
-    assert_eq!(joiner.push(pieces[0].clone()), Ok(None));
-    for piece in split(8, b"short") {
-        assert_eq!(joiner.push(piece), Ok(Some(b"short".to_vec())), "a new transfer ends the old one");
+    assert_eq!(assembler.push(chunks[0].clone()), Ok(None));
+    assert!(matches!(assembler.push(chunks[2].clone()), Err(ChunkError::Gap { .. })));
+    assert_eq!(assembler.push(chunks[0].clone()), Ok(None));
+    for chunk in split(8, b"short") {
+        assert_eq!(assembler.push(chunk), Ok(Some(b"short".to_vec())), "a new transfer ends the old one");
     }
     let long = Chunk { transfer: 9, offset: 0, total_len: MAX_MESSAGE_BYTES + 1, bytes: vec![1] };
-    assert!(matches!(joiner.push(long), Err(ChunkError::TooLarge(_))));
+    assert!(matches!(assembler.push(long), Err(ChunkError::TooLarge(_))));
     let beyond = Chunk { transfer: 9, offset: 0, total_len: 1, bytes: vec![1, 2] };
-    assert!(matches!(joiner.push(beyond), Err(ChunkError::TooLarge(_))));
+    assert!(matches!(assembler.push(beyond), Err(ChunkError::TooLarge(_))));
     let wrapped = Chunk { transfer: 9, offset: u64::MAX, total_len: u64::MAX, bytes: vec![1] };
-    assert!(joiner.push(wrapped).is_err());
+    assert!(assembler.push(wrapped).is_err());
 }
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -12,7 +12,7 @@
     assert_eq!(
         gate.was_executed(&role, Epoch(2), &order(1)),
         Err(Epoch(1)),
-        "no word before the epoch is shown"
+        "no answer before the epoch is observed"
     );
     gate.observe_epoch(&role, Epoch(2)).unwrap();
     assert_eq!(gate.was_executed(&role, Epoch(2), &order(2)), Ok(false));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_it_remembers_is_bounded_and_room_comes_back() {
+fn what_it_remembers_is_bounded_and_capacity_comes_back() {
     let (mut gate, role) = (FencingGate::default(), Role("orders".into()));
     for n in 0..MAX_ORDERS as u64 {
         assert_eq!(gate.admit(&role, Epoch(1), &Subject::new("order", n)), FencingDecision::Admit);
--- a/crates/consensus/tests/proposal_queue.rs
+++ b/crates/consensus/tests/proposal_queue.rs
@@ -9,13 +9,13 @@
     Command::RetireSubjects { space: "s".into(), below }
 }
 
-fn opened(p: &mut ProposalQueue<u8>) {
-    assert_eq!(p.next_proposal(), Some(NextProposal::OpenSession));
-    assert_eq!(p.on_answer(Answer::Applied(Reply::SessionOpened(SessionId(5)))), None);
+fn open_session(queue: &mut ProposalQueue<u8>) {
+    assert_eq!(queue.next_proposal(), Some(NextProposal::OpenSession));
+    assert_eq!(queue.on_answer(Answer::Applied(Reply::SessionOpened(SessionId(5)))), None);
 }
 
-fn sequence(p: &mut ProposalQueue<u8>) -> u64 {
-    match p.next_proposal() {
+fn next_sequence(queue: &mut ProposalQueue<u8>) -> u64 {
+    match queue.next_proposal() {
         Some(NextProposal::Propose(proposal)) => proposal.sequence.0,
         other => panic!("{other:?}"),
     }
@@ -23,42 +23,45 @@
 
 #[test]
 fn a_command_keeps_its_number_until_it_is_answered() {
-    let mut p = ProposalQueue::new(2, 9);
-    assert_eq!(p.next_proposal(), None, "no session without a command");
-    p.submit(1, retire(1)).unwrap();
-    p.submit(2, retire(2)).unwrap();
-    assert_eq!(p.submit(3, retire(3)), Err(3));
-    opened(&mut p);
-    assert_eq!(sequence(&mut p), 1);
-    assert_eq!(p.next_proposal(), None, "one at a time");
-    assert_eq!(p.on_answer(Answer::Indeterminate), None);
-    assert_eq!(sequence(&mut p), 1);
-    assert_eq!(p.on_answer(Answer::Applied(Reply::Done)), Some((1, ProposalOutcome::Applied(Reply::Done))));
-    assert_eq!(p.on_answer(Answer::Applied(Reply::Done)), None, "an answer to nothing");
-    assert_eq!(sequence(&mut p), 2);
+    let mut queue = ProposalQueue::new(2, 9);
+    assert_eq!(queue.next_proposal(), None, "no session without a command");
+    queue.submit(1, retire(1)).unwrap();
+    queue.submit(2, retire(2)).unwrap();
+    assert_eq!(queue.submit(3, retire(3)), Err(3));
+    open_session(&mut queue);
+    assert_eq!(next_sequence(&mut queue), 1);
+    assert_eq!(queue.next_proposal(), None, "one at a time");
+    assert_eq!(queue.on_answer(Answer::Indeterminate), None);
+    assert_eq!(next_sequence(&mut queue), 1);
+    assert_eq!(
+        queue.on_answer(Answer::Applied(Reply::Done)),
+        Some((1, ProposalOutcome::Applied(Reply::Done)))
+    );
+    assert_eq!(queue.on_answer(Answer::Applied(Reply::Done)), None, "an answer to nothing");
+    assert_eq!(next_sequence(&mut queue), 2);
 }
 
 #[test]
 fn with_the_session_lost_a_command_is_unknown_and_the_next_opens_another() {
-    let mut p = ProposalQueue::new(2, 9);
-    p.submit(1, retire(1)).unwrap();
-    p.submit(2, retire(2)).unwrap();
-    opened(&mut p);
-    sequence(&mut p);
-    assert_eq!(p.on_answer(Answer::Applied(Reply::SessionExpired)), Some((1, ProposalOutcome::Unknown)));
-    opened(&mut p);
-    assert_eq!(sequence(&mut p), 1);
+    let mut queue = ProposalQueue::new(2, 9);
+    queue.submit(1, retire(1)).unwrap();
+    queue.submit(2, retire(2)).unwrap();
+    open_session(&mut queue);
+    next_sequence(&mut queue);
+    assert_eq!(queue.on_answer(Answer::Applied(Reply::SessionExpired)), Some((1, ProposalOutcome::Unknown)));
+    open_session(&mut queue);
+    assert_eq!(next_sequence(&mut queue), 1);
 }
 
 #[test]
-fn one_that_is_given_up_is_overtaken_by_the_next() {
-    let mut p = ProposalQueue::new(2, 2);
-    p.submit(1, retire(1)).unwrap();
-    p.submit(2, retire(2)).unwrap();
-    opened(&mut p);
-    assert_eq!(sequence(&mut p), 1);
-    assert_eq!(p.on_answer(Answer::NotProposed), None);
-    assert_eq!(sequence(&mut p), 1);
-    assert_eq!(p.on_answer(Answer::Indeterminate), Some((1, ProposalOutcome::Abandoned)));
-    assert_eq!(sequence(&mut p), 2);
+fn an_abandoned_command_is_superseded_by_the_next() {
+    let mut queue = ProposalQueue::new(2, 2);
+    queue.submit(1, retire(1)).unwrap();
+    queue.submit(2, retire(2)).unwrap();
+    open_session(&mut queue);
+    assert_eq!(next_sequence(&mut queue), 1);
+    assert_eq!(queue.on_answer(Answer::NotProposed), None);
+    assert_eq!(next_sequence(&mut queue), 1);
+    assert_eq!(queue.on_answer(Answer::Indeterminate), Some((1, ProposalOutcome::Abandoned)));
+    assert_eq!(next_sequence(&mut queue), 2);
 }
--- a/crates/consensus/tests/replicated_state.rs
+++ b/crates/consensus/tests/replicated_state.rs
@@ -1,4 +1,4 @@
-//! Random commands, copies and late copies of them, against the ledger's promises.
+//! Random commands, copies and late copies of them, against the state's promises.
 
 use std::collections::BTreeMap;
 
@@ -57,14 +57,14 @@
     prop::collection::vec((0usize..3, command(), prop::option::weighted(0.3, 0usize..4)), 1..80)
 }
 
-fn founded() -> ReplicatedState {
+fn initial_state() -> ReplicatedState {
     let member = |id| Member { id: InstanceId(id), name: format!("n{id}"), address: String::new() };
-    let mut ledger = ReplicatedState::with_members((1..=3).map(member));
+    let mut state = ReplicatedState::with_members((1..=3).map(member));
     for index in 1..=3 {
         let command = Command::OpenSession { nonce: index };
-        ledger.apply(Index(index), &Proposal { session: SessionId(0), sequence: Sequence(0), command });
+        state.apply(Index(index), &Proposal { session: SessionId(0), sequence: Sequence(0), command });
     }
-    ledger
+    state
 }
 
 proptest! {
@@ -76,71 +76,71 @@
     })]
 
     #[test]
-    fn decisions_stand_epochs_grow_and_copies_change_nothing(steps in steps()) {
-        let (mut ledger, mut twin) = (founded(), founded());
+    fn decisions_are_final_epochs_grow_and_copies_change_nothing(steps in steps()) {
+        let (mut state, mut replica) = (initial_state(), initial_state());
         let mut sent: [Vec<(Proposal, Reply)>; 3] = Default::default();
         let mut decided: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
-        let (mut floors, mut handed_under): (BTreeMap<String, u64>, BTreeMap<u64, Epoch>) = Default::default();
+        let (mut retired_below, mut dispatched_under): (BTreeMap<String, u64>, BTreeMap<u64, Epoch>) = Default::default();
         let mut index = 3;
         for (session, command, copy_of) in steps {
             index += 1;
-            let before = ledger.clone();
-            let epoch_before = ledger.lease(&role()).map_or(Epoch(0), |g| g.epoch);
+            let before = state.clone();
+            let epoch_before = state.lease(&role()).map_or(Epoch(0), |g| g.epoch);
             if let Some(back) = copy_of {
                 let Some(at) = sent[session].len().checked_sub(back + 1) else { continue };
                 let (proposal, first) = sent[session][at].clone();
-                let reply = ledger.apply(Index(index), &proposal);
-                twin.apply(Index(index), &proposal);
+                let reply = state.apply(Index(index), &proposal);
+                replica.apply(Index(index), &proposal);
                 // The last one's copy gets its reply, older ones' are told that they come too late.
                 prop_assert_eq!(&reply, if back == 0 { &first } else { &Reply::Superseded });
-                prop_assert_eq!(ledger.lease(&role()), before.lease(&role()));
-                prop_assert!(ledger.subjects_after(None).eq(before.subjects_after(None)));
-                prop_assert!(ledger.notices("board").eq(before.notices("board")));
+                prop_assert_eq!(state.lease(&role()), before.lease(&role()));
+                prop_assert!(state.subjects_after(None).eq(before.subjects_after(None)));
+                prop_assert!(state.notices("board").eq(before.notices("board")));
                 continue;
             }
             let sequence = Sequence(sent[session].len() as u64 + 1);
             let proposal = Proposal { session: SessionId(session as u64 + 1), sequence, command: command.clone() };
-            let reply = ledger.apply(Index(index), &proposal);
-            prop_assert_eq!(&reply, &twin.apply(Index(index), &proposal), "the same on every instance");
+            let reply = state.apply(Index(index), &proposal);
+            prop_assert_eq!(&reply, &replica.apply(Index(index), &proposal), "the same on every instance");
             sent[session].push((proposal, reply.clone()));
 
-            let epoch = ledger.lease(&role()).map_or(Epoch(0), |g| g.epoch);
+            let epoch = state.lease(&role()).map_or(Epoch(0), |g| g.epoch);
             prop_assert!(epoch == epoch_before || epoch.0 == epoch_before.0 + 1);
             match (&command, &reply) {
                 (Command::Decide { subject, value }, Reply::Decided { value: held, first }) => {
                     let known = decided.entry(subject.number).or_insert_with(|| value.clone());
                     prop_assert_eq!(&*known, held);
                     prop_assert!(!first || value == held);
-                    prop_assert!(subject.number >= floors.get("subject").copied().unwrap_or(0));
+                    prop_assert!(subject.number >= retired_below.get("subject").copied().unwrap_or(0));
                 }
                 (Command::DispatchOrder { epoch: shown, order, .. }, Reply::Dispatched(under)) => {
-                    prop_assert_eq!((*shown, *under), (epoch, epoch), "only the present holder hands out");
+                    prop_assert_eq!((*shown, *under), (epoch, epoch), "only the current holder dispatches");
                     // Again only under a later epoch than before: the gate lets the older one through no more.
-                    prop_assert!(handed_under.insert(order.number, *under).is_none_or(|older| older < *under));
+                    prop_assert!(dispatched_under.insert(order.number, *under).is_none_or(|older| older < *under));
                 }
                 (Command::AcquireLease { expected_epoch: expect, .. }, Reply::LeaseAcquired(under)) => {
                     prop_assert_eq!((*expect, *under), (epoch_before, epoch));
                 }
                 (Command::RetireSubjects { space, below }, Reply::Done) => {
-                    let floor = floors.entry(space.clone()).or_default();
-                    *floor = (*floor).max(*below);
+                    let below_bound = retired_below.entry(space.clone()).or_default();
+                    *below_bound = (*below_bound).max(*below);
                 }
                 _ => {}
             }
-            for (subject, standing) in ledger.subjects_after(None) {
-                prop_assert!(subject.number >= floors.get(&subject.space).copied().unwrap_or(0));
-                if let SubjectState::Decided(value) = standing {
+            for (subject, subject_state) in state.subjects_after(None) {
+                prop_assert!(subject.number >= retired_below.get(&subject.space).copied().unwrap_or(0));
+                if let SubjectState::Decided(value) = subject_state {
                     prop_assert_eq!(decided.get(&subject.number), Some(value));
                 }
                 if let Some(SubjectState::Executed(_)) = before.subject_state(subject) {
-                    prop_assert!(matches!(standing, SubjectState::Executed(_)), "what ran has run");
+                    prop_assert!(matches!(subject_state, SubjectState::Executed(_)), "an executed order stays executed");
                 }
             }
         }
         // What a snapshot carries is all there is.
-        let bytes = postcard::to_stdvec(&ledger).expect("bytes");
-        let back: ReplicatedState = postcard::from_bytes(&bytes).expect("a ledger");
-        prop_assert_eq!(&back, &ledger);
-        prop_assert_eq!(&twin, &ledger);
+        let bytes = postcard::to_stdvec(&state).expect("bytes");
+        let back: ReplicatedState = postcard::from_bytes(&bytes).expect("a state");
+        prop_assert_eq!(&back, &state);
+        prop_assert_eq!(&replica, &state);
     }
 }
