--- a/crates/consensus/examples/handover/disk.rs
+++ b/crates/consensus/examples/handover/disk.rs
@@ -1,12 +1,12 @@
 //! Disks of simulated instances: a fast model of the store, or the store itself on a disk whose power can be cut.
 
 use garnetcrank_consensus::ids::InstanceId;
-use garnetcrank_store::{Batch, Identity, Loaded, Store};
+use garnetcrank_store::{Batch, Identity, Loaded, Store, StoreError};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
 /// Which disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum DiskKind {
     /// A model that keeps whole batches, synced or not.
     Model,
     /// The store itself.
@@ -15,35 +15,38 @@
 
 /// An instance's disk.
 pub enum SimDisk {
-    /// See [`Kind::Model`].
+    /// See [`DiskKind::Model`].
     Model { durable: Loaded, unsynced: Vec<Batch>, ignore_syncs: bool },
-    /// See [`Kind::Store`].
+    /// See [`DiskKind::Store`].
     Real { disk: FaultyDisk, store: Option<Store>, identity: Identity },
 }
 
+/// What the store would hold after this batch.
 fn apply(held: &mut Loaded, batch: &Batch) {
     if let Some(hard) = batch.hard {
         held.hard = hard;
     }
     if let Some(snapshot) = &batch.snapshot {
-        let runs_on = held.entries.iter().any(|e| (e.index, e.term) == (snapshot.index, snapshot.term));
-        held.entries.retain(|e| runs_on && e.index > snapshot.index);
+        // Entries behind the snapshot stay only if the log has the entry that it ends with.
+        let last = (snapshot.index, snapshot.term);
+        let continues_log = held.entries.iter().any(|entry| (entry.index, entry.term) == last);
+        held.entries.retain(|entry| continues_log && entry.index > snapshot.index);
         held.snapshot = Some(snapshot.clone());
     }
     if let Some(first) = batch.entries.first() {
-        held.entries.retain(|e| e.index < first.index);
+        held.entries.retain(|entry| entry.index < first.index);
         held.entries.extend(batch.entries.iter().cloned());
     }
 }
 
 impl SimDisk {
     /// An empty disk.
-    pub fn new(kind: Kind, id: InstanceId, _seed: u64) -> Self {
+    pub fn new(kind: DiskKind, id: InstanceId) -> Self {
         match kind {
-            Kind::Model => {
+            DiskKind::Model => {
                 Self::Model { durable: Loaded::default(), unsynced: Vec::new(), ignore_syncs: false }
             }
-            Kind::Store => {
+            DiskKind::Store => {
                 let identity = Identity { cluster: "sim".into(), name: format!("i{id}"), id: id.0 };
                 let disk = FaultyDisk::new();
                 let store = Store::open_on(disk.clone(), &identity).ok();
@@ -53,19 +56,14 @@
     }
 
     /// Which it is.
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> DiskKind {
         match self {
-            Self::Model { .. } => Kind::Model,
-            Self::Real { .. } => Kind::Store,
+            Self::Model { .. } => DiskKind::Model,
+            Self::Real { .. } => DiskKind::Store,
         }
     }
 
-    /// The first state, synced whatever is switched off later.
-    pub fn found(&mut self, batch: &Batch) {
-        self.write(batch);
-    }
-
-    /// From now on syncs are not what they say.
+    /// Whether syncs are ignored from now on: the disk says that it has synced and has not.
     pub fn set_ignore_syncs(&mut self, ignore: bool) {
         match self {
             Self::Model { ignore_syncs, .. } => *ignore_syncs = ignore,
@@ -91,12 +89,12 @@
         }
     }
 
-    /// The power goes: of what was not synced some first part stays.
+    /// The power goes: of what was not synced, some first part stays.
     pub fn crash(&mut self, seed: u64) {
         match self {
             Self::Model { durable, unsynced, .. } => {
-                let stays = seed as usize % (unsynced.len() + 1);
-                for batch in unsynced.drain(..).take(stays) {
+                let kept = seed as usize % (unsynced.len() + 1);
+                for batch in unsynced.drain(..).take(kept) {
                     apply(durable, &batch);
                 }
             }
@@ -109,15 +107,20 @@
     }
 
     /// What is held at a start.
-    pub fn load(&mut self) -> Result<Loaded, String> {
+    ///
+    /// # Errors
+    /// The store can't be opened or read.
+    pub fn load(&mut self) -> Result<Loaded, StoreError> {
         match self {
             Self::Model { durable, .. } => Ok(durable.clone()),
             Self::Real { disk, store, identity } => {
-                if store.is_none() {
-                    *store = Some(Store::open_on(disk.clone(), identity).map_err(|e| e.to_string())?);
-                }
-                let Some(store) = store else { return Err("no store".to_owned()) };
-                store.load().map_err(|e| e.to_string())
+                let opened = match store.take() {
+                    Some(opened) => opened,
+                    None => Store::open_on(disk.clone(), identity)?,
+                };
+                let loaded = opened.load();
+                *store = Some(opened);
+                loaded
             }
         }
     }
--- a/crates/consensus/examples/handover/main.rs
+++ b/crates/consensus/examples/handover/main.rs
@@ -1,4 +1,4 @@
-//! Rounds of pause, wake, split, crash and heal over 3 and 5 simulated instances in virtual time.
+//! Rounds of pause, wake, partition, crash and heal over 3 and 5 simulated instances in virtual time.
 //!
 //! `--seed S --rounds N [--without gate|sync] [--store]`: ends with one line of figures and exit 0; at the first
 //! violation it prints the seed and the shortest schedule found, and ends with 1.
@@ -6,69 +6,141 @@
 mod disk;
 mod world;
 
+use std::num::ParseIntError;
 use std::process::ExitCode;
 
-use disk::Kind;
-use world::{Outcomes, Planned, Without, World, schedule};
+use disk::DiskKind;
+use world::checks::RunReport;
+use world::faults::{PlannedFault, schedule};
+use world::{DisabledProtection, World};
 
 struct Options {
     seed: u64,
     rounds: u64,
-    without: Without,
-    kind: Kind,
+    disabled: DisabledProtection,
+    disk_kind: DiskKind,
 }
 
-fn options() -> Result<Options, String> {
-    let mut options = Options { seed: 1, rounds: 1000, without: Without::Nothing, kind: Kind::Model };
-    let mut args = std::env::args().skip(1);
-    while let Some(arg) = args.next() {
-        let mut value = || args.next().ok_or(format!("{arg} needs a value"));
-        match arg.as_str() {
-            "--seed" => options.seed = value()?.parse().map_err(|e| format!("--seed: {e}"))?,
-            "--rounds" => options.rounds = value()?.parse().map_err(|e| format!("--rounds: {e}"))?,
-            "--store" => options.kind = Kind::Store,
-            "--without" => {
-                options.without = match value()?.as_str() {
-                    "gate" => Without::Gate,
-                    "sync" => Without::Sync,
-                    other => return Err(format!("--without {other}: gate or sync")),
-                }
+#[derive(Debug, thiserror::Error)]
+enum OptionsError {
+    #[error("{0} needs a value")]
+    MissingValue(String),
+    #[error("{option}: {source}")]
+    InvalidNumber { option: String, source: ParseIntError },
+    #[error("--without {0}: gate or sync")]
+    UnknownProtection(String),
+    #[error("{0}: --seed, --rounds, --without and --store are known")]
+    UnknownOption(String),
+}
+
+impl Options {
+    fn parse(mut args: impl Iterator<Item = String>) -> Result<Self, OptionsError> {
+        let mut options =
+            Options { seed: 1, rounds: 1000, disabled: DisabledProtection::None, disk_kind: DiskKind::Model };
+        while let Some(option) = args.next() {
+            match option.as_str() {
+                "--seed" => options.seed = number(&option, &mut args)?,
+                "--rounds" => options.rounds = number(&option, &mut args)?,
+                "--store" => options.disk_kind = DiskKind::Store,
+                "--without" => options.disabled = protection(value(&option, &mut args)?)?,
+                _ => return Err(OptionsError::UnknownOption(option)),
             }
-            other => return Err(format!("{other}: --seed, --rounds, --without and --store are known")),
         }
+        Ok(options)
     }
-    Ok(options)
 }
 
-/// A run; a panic of the library's own checks is a violation like any other.
-fn play(seed: u64, instances: usize, options: &Options, plan: &[Planned]) -> Outcomes {
-    let (without, kind) = (options.without, options.kind);
-    let run = || World::new(seed, instances, without, kind).run(plan);
-    std::panic::catch_unwind(run).unwrap_or_else(|panic| {
-        let text = panic.downcast_ref::<String>().cloned();
-        let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned())).unwrap_or_default();
-        Outcomes { lost: vec![format!("panic: {text}")], ..Outcomes::default() }
-    })
+fn value(option: &str, args: &mut impl Iterator<Item = String>) -> Result<String, OptionsError> {
+    args.next().ok_or_else(|| OptionsError::MissingValue(option.to_owned()))
+}
+
+fn number(option: &str, args: &mut impl Iterator<Item = String>) -> Result<u64, OptionsError> {
+    let text = value(option, args)?;
+    text.parse().map_err(|source| OptionsError::InvalidNumber { option: option.to_owned(), source })
 }
 
-/// Leaves faults out as long as the run still goes wrong.
-fn shortest(seed: u64, instances: usize, options: &Options, mut plan: Vec<Planned>) -> Vec<Planned> {
-    let mut at = 0;
-    while at < plan.len() {
-        let mut less = plan.clone();
-        less.remove(at);
-        if play(seed, instances, options, &less).sound() {
-            at += 1;
-        } else {
-            plan = less;
-            at = 0;
+fn protection(name: String) -> Result<DisabledProtection, OptionsError> {
+    match name.as_str() {
+        "gate" => Ok(DisabledProtection::FencingGate),
+        "sync" => Ok(DisabledProtection::DiskSync),
+        _ => Err(OptionsError::UnknownProtection(name)),
+    }
+}
+
+/// One round: a seed, a number of instances and what is switched off.
+struct Round {
+    seed: u64,
+    instances: usize,
+    disabled: DisabledProtection,
+    disk_kind: DiskKind,
+}
+
+impl Round {
+    fn new(options: &Options, number: u64) -> Self {
+        Self {
+            seed: options.seed.wrapping_mul(1_000_003).wrapping_add(number),
+            instances: if number.is_multiple_of(2) { 3 } else { 5 },
+            disabled: options.disabled,
+            disk_kind: options.disk_kind,
         }
     }
-    plan
+
+    /// Plays a schedule. A panic of the library's own checks is a violation like any other.
+    fn play(&self, plan: &[PlannedFault]) -> RunReport {
+        let run = || World::new(self.seed, self.instances, self.disabled, self.disk_kind).run(plan);
+        match std::panic::catch_unwind(run) {
+            Ok(report) => report,
+            Err(panic) => {
+                let violation = format!("panic: {}", panic_text(panic.as_ref()));
+                RunReport { lost: vec![violation], ..RunReport::default() }
+            }
+        }
+    }
+
+    /// Leaves faults out as long as the run still goes wrong.
+    fn shortest_failing(&self, mut plan: Vec<PlannedFault>) -> Vec<PlannedFault> {
+        let mut position = 0;
+        while position < plan.len() {
+            let mut shorter = plan.clone();
+            shorter.remove(position);
+            if self.play(&shorter).is_sound() {
+                position += 1;
+            } else {
+                plan = shorter;
+                position = 0;
+            }
+        }
+        plan
+    }
+}
+
+fn panic_text(panic: &(dyn std::any::Any + Send)) -> &str {
+    if let Some(text) = panic.downcast_ref::<String>() {
+        text
+    } else if let Some(text) = panic.downcast_ref::<&str>() {
+        text
+    } else {
+        ""
+    }
+}
+
+fn print_violation(number: u64, round: &Round, plan: Vec<PlannedFault>) {
+    let plan = round.shortest_failing(plan);
+    let report = round.play(&plan);
+    println!(
+        "violation in round {number}, {} instances, seed {}; shortest schedule found:",
+        round.instances, round.seed
+    );
+    for PlannedFault { at, fault } in plan {
+        println!("  step {at}: {fault:?}");
+    }
+    for violation in report.duplicates.iter().chain(&report.lost).chain(&report.other) {
+        println!("  {violation}");
+    }
 }
 
 fn main() -> ExitCode {
-    let options = match options() {
+    let options = match Options::parse(std::env::args().skip(1)) {
         Ok(options) => options,
         Err(error) => {
             eprintln!("{error}");
@@ -76,32 +148,22 @@
         }
     };
     std::panic::set_hook(Box::new(|_| {}));
-    let mut total = Outcomes::default();
-    for round in 0..options.rounds {
-        let seed = options.seed.wrapping_mul(1_000_003).wrapping_add(round);
-        let instances = if round % 2 == 0 { 3 } else { 5 };
-        let plan = schedule(seed, instances);
-        let outcomes = play(seed, instances, &options, &plan);
-        if !outcomes.sound() {
-            let plan = shortest(seed, instances, &options, plan);
-            let shown = play(seed, instances, &options, &plan);
-            println!(
-                "violation in round {round}, {instances} instances, seed {seed}; shortest schedule found:"
-            );
-            for (at, fault) in plan {
-                println!("  step {at}: {fault:?}");
-            }
-            for what in shown.double.iter().chain(&shown.lost).chain(&shown.other) {
-                println!("  {what}");
-            }
+    let mut decisions = 0;
+    let mut stale_rejected = 0;
+    for number in 0..options.rounds {
+        let round = Round::new(&options, number);
+        let plan = schedule(round.seed, round.instances);
+        let report = round.play(&plan);
+        if !report.is_sound() {
+            print_violation(number, &round, plan);
             return ExitCode::FAILURE;
         }
-        total.decisions += outcomes.decisions;
-        total.stale_refused += outcomes.stale_refused;
+        decisions += report.decisions;
+        stale_rejected += report.stale_rejected;
     }
     println!(
-        "rounds {} decisions {} double 0 lost 0 stale-acts-refused {}",
-        options.rounds, total.decisions, total.stale_refused
+        "rounds {} decisions {decisions} double 0 lost 0 stale-acts-refused {stale_rejected}",
+        options.rounds
     );
     ExitCode::SUCCESS
 }
