--- a/crates/consensus/examples/handover/world/checks.rs
+++ b/crates/consensus/examples/handover/world/checks.rs
@@ -145,7 +145,7 @@
 
     fn describe_unsettled(&self) -> String {
         let clients: Vec<_> =
-            self.clients.iter().map(|client| (&client.activity, client.operations_left)).collect();
+            self.clients.iter().map(|client| (&client.activity, client.operations_remaining)).collect();
         let processes = self.instances.iter().filter_map(|instance| instance.process.as_ref());
         let nodes: Vec<_> = processes.map(|process| process.node.status()).collect();
         let replacements = &self.replacements;
--- a/crates/consensus/examples/handover/world/clients.rs
+++ b/crates/consensus/examples/handover/world/clients.rs
@@ -37,7 +37,7 @@
     sequence: u64,
     pub(super) activity: Activity,
     request: Option<SentRequest>,
-    pub(super) operations_left: u32,
+    pub(super) operations_remaining: u32,
     /// The present operation's number in the history.
     operation: usize,
 }
@@ -49,13 +49,13 @@
             sequence: 0,
             activity: Activity::OpeningSession,
             request: None,
-            operations_left: OPERATIONS,
+            operations_remaining: OPERATIONS,
             operation: 0,
         }
     }
 
     pub(super) fn is_done(&self) -> bool {
-        self.activity == Activity::Idle && self.operations_left == 0
+        self.activity == Activity::Idle && self.operations_remaining == 0
     }
 
     /// The subject that it reads at the moment.
@@ -93,7 +93,7 @@
             return;
         }
         if client.activity == Activity::Idle {
-            if client.operations_left == 0 || self.rng.u8(..4) != 0 {
+            if client.operations_remaining == 0 || self.rng.u8(..4) != 0 {
                 return;
             }
             self.begin_operation(position);
@@ -104,7 +104,7 @@
     fn begin_operation(&mut self, position: usize) {
         let now = self.now;
         let client = &mut self.clients[position];
-        client.operations_left -= 1;
+        client.operations_remaining -= 1;
         let number = self.rng.u64(..SUBJECTS);
         if self.rng.bool() {
             client.sequence += 1;
--- a/crates/consensus/examples/handover/world/faults.rs
+++ b/crates/consensus/examples/handover/world/faults.rs
@@ -34,7 +34,7 @@
     SlowDisk { instance: usize, write_steps: u64, steps: u64 },
     /// The disk takes only what must be kept to stay safe.
     FullDisk { instance: usize, steps: u64 },
-    /// Of a hundred messages so many are lost, duplicated or very late.
+    /// Of a hundred messages so many are lost, duplicated or much delayed.
     Noise { noise: Noise, steps: u64 },
     /// Leadership is transferred.
     Transfer { to: usize },
@@ -80,8 +80,8 @@
         13 => {
             let lost = rng.u8(0..40);
             let duplicated = rng.u8(0..30);
-            let late = rng.u8(0..20);
-            Fault::Noise { noise: Noise { lost, duplicated, late }, steps }
+            let delayed = rng.u8(0..20);
+            Fault::Noise { noise: Noise { lost, duplicated, delayed }, steps }
         }
         _ if rng.bool() => Fault::Transfer { to: instance },
         _ => Fault::Wipe { instance, steps },
--- a/crates/consensus/examples/handover/world/network.rs
+++ b/crates/consensus/examples/handover/world/network.rs
@@ -70,15 +70,15 @@
     }
 }
 
-/// Of a hundred messages so many are lost, duplicated or very late.
+/// Of a hundred messages so many are lost, duplicated or much delayed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Noise {
     /// Lost.
     pub lost: u8,
     /// Duplicated.
     pub duplicated: u8,
-    /// Very late.
-    pub late: u8,
+    /// Delayed beyond an election, a lease's ttl and a transfer of leadership.
+    pub delayed: u8,
 }
 
 /// Instances whose bits differ in `side` can't reach one another.
@@ -159,10 +159,10 @@
     }
 }
 
-/// Steps that a packet takes beyond the first. Some minutes late at a hundredth of a second a step would be beyond
-/// any run: late is beyond an election, a lease's ttl and a transfer of leadership.
+/// Steps that a packet takes beyond the first. Some minutes at a hundredth of a second a step would be beyond
+/// any run: a delayed one is beyond an election, a lease's ttl and a transfer of leadership.
 fn delay(rng: &mut Rng, noise: Option<Noise>) -> u64 {
-    if noise.is_some_and(|noise| rng.u8(..100) < noise.late) { rng.u64(20..250) } else { rng.u64(0..3) }
+    if noise.is_some_and(|noise| rng.u8(..100) < noise.delayed) { rng.u64(20..250) } else { rng.u64(0..3) }
 }
 
 /// An act waits between its check and its sending as long as the scheduler likes.
--- a/crates/consensus/examples/handover/world/operator.rs
+++ b/crates/consensus/examples/handover/world/operator.rs
@@ -16,7 +16,7 @@
 struct Replacement {
     change: MembershipChange,
     /// When it was last asked for, unless it was answered.
-    asked_at: Option<u64>,
+    requested_at: Option<u64>,
 }
 
 /// Changes of membership that are left to make, in order.
@@ -25,7 +25,7 @@
 
 impl Replacements {
     pub(super) fn new(changes: [MembershipChange; 2]) -> Self {
-        Self(changes.map(|change| Replacement { change, asked_at: None }).into())
+        Self(changes.map(|change| Replacement { change, requested_at: None }).into())
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -34,10 +34,10 @@
 
     pub(super) fn on_answer(&mut self, answer: &Answer) {
         let Some(first) = self.0.first_mut() else { return };
-        if *answer == Answer::MembershipChanged && first.asked_at.is_some() {
+        if *answer == Answer::MembershipChanged && first.requested_at.is_some() {
             self.0.remove(0);
         } else {
-            first.asked_at = None;
+            first.requested_at = None;
         }
     }
 }
@@ -47,7 +47,7 @@
     pub(super) fn operator_turn(&mut self) {
         let now = self.now;
         let Some(next) = self.replacements.0.first_mut() else { return };
-        if next.asked_at.is_some_and(|asked_at| now < asked_at + RETRY_STEPS) {
+        if next.requested_at.is_some_and(|requested_at| now < requested_at + RETRY_STEPS) {
             return;
         }
         for instance in &mut self.instances {
@@ -55,7 +55,7 @@
             if process.node.is_leader() && instance.frozen_until <= now {
                 let ticket = process.new_ticket(TicketOwner::Operator);
                 process.node.change_membership(ticket, next.change.clone(), REQUEST_TICKS);
-                next.asked_at = Some(now);
+                next.requested_at = Some(now);
                 return;
             }
         }
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -10,12 +10,36 @@
 use garnetcrank_consensus::pending_requests::Answer;
 use garnetcrank_consensus::raft_node::{self, Message, RaftNode, RaftSettings};
 use garnetcrank_consensus::replicated_state::{Command, Member, Proposal, Reply};
-use garnetcrank_store::{Batch, HardState, Identity, Record, Store};
+use garnetcrank_store::{Batch, HardState, Identity, Loaded, Record, Store};
+
+const KIB_PER_MIB: f64 = 1024.0;
+const BYTES_PER_MIB: f64 = 1_048_576.0;
+/// Entries in one write when a store is filled.
+const ENTRIES_PER_BATCH: u64 = 5_000;
+/// An hour, ten milliseconds a tick.
+const TICKS_PER_HOUR: u64 = 360_000;
+const TICKS_PER_MINUTE: u64 = 6_000;
+const MINUTES_PER_LINE: u64 = 10;
+/// Ticks that a proposal waits for its answer.
+const PROPOSAL_TICKS: u64 = 500;
+/// Every so many proposals old subjects are retired; so many stay.
+const RETIRE_EVERY: u64 = 100;
+const SUBJECTS_RETAINED: u64 = 2_000;
+const SPACE: &str = "measured";
 
 fn resident_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+    let kib = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
+    kib.unwrap_or(0.0) / KIB_PER_MIB
+}
+
+fn milliseconds(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
+}
+
+fn identity() -> Identity {
+    Identity { cluster: "measure".into(), name: "n1".into(), id: 1 }
 }
 
 fn member(id: u64) -> Member {
@@ -27,129 +51,189 @@
 }
 
 fn decide(number: u64) -> Command {
-    Command::Decide { subject: Subject::new("measured", number), value: number.to_le_bytes().to_vec() }
+    Command::Decide { subject: Subject::new(SPACE, number), value: number.to_le_bytes().to_vec() }
 }
 
-/// A store whose log holds so many entries behind the founding snapshot.
-fn filled(path: &Path, entries: u64) {
-    let identity = Identity { cluster: "measure".into(), name: "n1".into(), id: 1 };
-    let mut store = Store::open(path, &identity).expect("a store");
+/// The entry at `index` of a log whose first entry opens a session and whose others decide a subject each.
+fn record(index: u64) -> Record {
+    let proposal = match index {
+        2 => proposal(0, 0, Command::OpenSession { nonce: 1 }),
+        _ => proposal(2, index, decide(index)),
+    };
+    let data = postcard::to_stdvec(&proposal).expect("bytes");
+    Record { index, term: 1, kind: 0, data, context: Vec::new() }
+}
+
+/// Fills a store whose log holds so many entries behind the first snapshot.
+fn fill_store(path: &Path, entries: u64) {
+    let mut store = Store::open(path, &identity()).expect("a store");
     store.commit(&raft_node::initial_state(&[member(1)])).expect("a first state");
     let last = entries + 1;
-    let record = |index: u64| {
-        let proposal = match index {
-            2 => proposal(0, 0, Command::OpenSession { nonce: 1 }),
-            _ => proposal(2, index, decide(index)),
-        };
-        let data = postcard::to_stdvec(&proposal).expect("bytes");
-        Record { index, term: 1, kind: 0, data, context: Vec::new() }
-    };
-    for first in (2..=last).step_by(5000) {
-        let entries = (first..=last.min(first + 4999)).map(record).collect();
+    for first in (2..=last).step_by(ENTRIES_PER_BATCH as usize) {
+        let last_of_batch = last.min(first + ENTRIES_PER_BATCH - 1);
+        let entries = (first..=last_of_batch).map(record).collect();
         store.commit(&Batch { entries, ..Batch::default() }).expect("entries");
     }
     let hard = Some(HardState { term: 1, vote: 1, commit: last });
     store.commit(&Batch { hard, ..Batch::default() }).expect("the hard state");
 }
 
-fn recover(path: &Path) -> (Duration, Duration, Duration, u64) {
-    let identity = Identity { cluster: "measure".into(), name: "n1".into(), id: 1 };
-    let begun = Instant::now();
-    let store = Store::open(path, &identity).expect("a store");
-    let opened = begun.elapsed();
+/// What one recovery took.
+struct Recovery {
+    open: Duration,
+    read: Duration,
+    apply: Duration,
+    applied: u64,
+}
+
+fn recover(path: &Path) -> Recovery {
+    let start = Instant::now();
+    let store = Store::open(path, &identity()).expect("a store");
+    let opened = start.elapsed();
     let loaded = store.load().expect("what is held");
-    let read = begun.elapsed();
+    let read = start.elapsed();
     let settings = RaftSettings { compact_every: u64::MAX / 2, ..RaftSettings::default() };
     let mut node = RaftNode::start(settings, InstanceId(1), store.starts(), loaded).expect("a node");
-    while node.ready().expect("work").is_some() {
-        node.on_persisted().expect("written");
+    while node.ready().expect("its work").is_some() {
+        node.on_persisted().expect("a write");
+    }
+    Recovery {
+        open: opened,
+        read: read - opened,
+        apply: start.elapsed() - read,
+        applied: node.state().applied().0,
     }
-    (opened, read - opened, begun.elapsed() - read, node.state().applied().0)
 }
 
-fn recovery() {
+fn measure_recovery() {
     println!("| entries | file, MiB | open, ms | read, ms | apply, ms | all, ms | resident, MiB |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for entries in [1_000, 100_000, 1_000_000] {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("store");
-        filled(&path, entries);
-        let file = std::fs::metadata(&path).map_or(0, |m| m.len()) as f64 / 1048576.0;
-        let (open, read, apply, applied) = recover(&path);
+        fill_store(&path, entries);
+        let file_mib = std::fs::metadata(&path).map_or(0, |metadata| metadata.len()) as f64 / BYTES_PER_MIB;
+        let Recovery { open, read, apply, applied } = recover(&path);
         assert!(applied > entries, "all is applied");
-        let ms = |span: Duration| span.as_secs_f64() * 1e3;
         println!(
-            "| {entries} | {file:.1} | {:.1} | {:.1} | {:.1} | {:.1} | {:.0} |",
-            ms(open),
-            ms(read),
-            ms(apply),
-            ms(open + read + apply),
+            "| {entries} | {file_mib:.1} | {:.1} | {:.1} | {:.1} | {:.1} | {:.0} |",
+            milliseconds(open),
+            milliseconds(read),
+            milliseconds(apply),
+            milliseconds(open + read + apply),
             resident_mib()
         );
     }
 }
 
-/// Three instances in virtual time, ten milliseconds a tick, a proposal a tick; old subjects are retired.
-fn an_hour() {
-    let members: Vec<Member> = (1..=3).map(member).collect();
-    let settings = RaftSettings { compact_every: 1_000, retained_entries: 100, ..RaftSettings::default() };
-    let loaded = || {
-        let founding = raft_node::initial_state(&members);
-        garnetcrank_store::Loaded {
-            hard: founding.hard.unwrap_or_default(),
-            snapshot: founding.snapshot,
-            entries: Vec::new(),
+/// Three instances in virtual time that give one another their messages at the next tick.
+struct Cluster {
+    nodes: BTreeMap<u64, RaftNode>,
+    in_transit: Vec<Message>,
+    session: Option<SessionId>,
+    sequence: u64,
+    decided: u64,
+}
+
+impl Cluster {
+    fn new() -> Self {
+        let members: Vec<Member> = (1..=3).map(member).collect();
+        let settings =
+            RaftSettings { compact_every: 1_000, retained_entries: 100, ..RaftSettings::default() };
+        let start = |id: u64| {
+            let initial = raft_node::initial_state(&members);
+            let loaded = Loaded {
+                hard: initial.hard.unwrap_or_default(),
+                snapshot: initial.snapshot,
+                entries: Vec::new(),
+            };
+            RaftNode::start(settings.clone(), InstanceId(id), 1, loaded).expect("a node")
+        };
+        Self {
+            nodes: (1..=3).map(|id| (id, start(id))).collect(),
+            in_transit: Vec::new(),
+            session: None,
+            sequence: 0,
+            decided: 0,
         }
-    };
-    let start = |id: u64| RaftNode::start(settings.clone(), InstanceId(id), 1, loaded()).expect("a node");
-    let mut nodes: BTreeMap<u64, RaftNode> = (1..=3).map(|id| (id, start(id))).collect();
-    let (mut mail, mut session, mut sequence, mut decided) = (Vec::<Message>::new(), 0, 0u64, 0u64);
-    println!("| virtual minutes | decided | entries held | resident, MiB |");
-    println!("| --- | --- | --- | --- |");
-    for tick in 0..360_000u64 {
-        let letters = std::mem::take(&mut mail);
-        for letter in letters {
-            if let Some(node) = nodes.get_mut(&letter.to) {
-                node.receive(letter);
+    }
+
+    fn tick(&mut self, tick: u64) {
+        for message in std::mem::take(&mut self.in_transit) {
+            if let Some(node) = self.nodes.get_mut(&message.to) {
+                node.receive(message);
             }
         }
-        if let Some(node) = nodes.get_mut(&(tick % 3 + 1)) {
-            if session == 0 && tick % 100 == 50 {
-                node.open_session(Ticket(tick), 500);
-            } else if session > 0 {
-                sequence += 1;
-                let retire = Command::RetireSubjects {
-                    space: "measured".into(),
-                    below: sequence.saturating_sub(2_000),
-                };
-                let command = if sequence.is_multiple_of(100) { retire } else { decide(sequence) };
-                node.propose(Ticket(tick), proposal(session, sequence, command), 500);
-            }
+        self.propose(tick);
+        for id in 1..=3 {
+            self.advance(id);
         }
-        for node in nodes.values_mut() {
-            node.tick();
-            while let Some(work) = node.ready().expect("work") {
-                mail.extend(work.messages);
-                node.on_persisted().expect("written");
+    }
+
+    /// A proposal a tick, at each instance in turn.
+    fn propose(&mut self, tick: u64) {
+        let Some(node) = self.nodes.get_mut(&(tick % 3 + 1)) else { return };
+        let Some(session) = self.session else {
+            if tick % 100 == 50 {
+                node.open_session(Ticket(tick), PROPOSAL_TICKS);
             }
-            for (_, answer) in node.take_answers() {
-                match answer {
-                    Answer::Applied(Reply::SessionOpened(opened)) if session == 0 => session = opened.0,
-                    Answer::Applied(_) => decided += 1,
-                    _ => {}
+            return;
+        };
+        self.sequence += 1;
+        let command = if self.sequence.is_multiple_of(RETIRE_EVERY) {
+            let below = self.sequence.saturating_sub(SUBJECTS_RETAINED);
+            Command::RetireSubjects { space: SPACE.into(), below }
+        } else {
+            decide(self.sequence)
+        };
+        node.propose(Ticket(tick), proposal(session.0, self.sequence, command), PROPOSAL_TICKS);
+    }
+
+    fn advance(&mut self, id: u64) {
+        let Some(node) = self.nodes.get_mut(&id) else { return };
+        node.tick();
+        while let Some(ready) = node.ready().expect("its work") {
+            self.in_transit.extend(ready.messages);
+            node.on_persisted().expect("a write");
+        }
+        for (_, answer) in node.take_answers() {
+            match answer {
+                Answer::Applied(Reply::SessionOpened(opened)) if self.session.is_none() => {
+                    self.session = Some(opened);
                 }
+                Answer::Applied(_) => self.decided += 1,
+                _ => {}
             }
-            node.take_applied();
         }
-        if (tick + 1) % 60_000 == 0 {
-            let held: usize = nodes.values().map(|node| node.status().log_entries).sum();
-            println!("| {} | {decided} | {held} | {:.1} |", (tick + 1) / 6_000, resident_mib());
+        node.take_applied();
+    }
+
+    fn log_entries(&self) -> usize {
+        self.nodes.values().map(|node| node.status().log_entries).sum()
+    }
+}
+
+fn measure_memory() {
+    let mut cluster = Cluster::new();
+    println!("| virtual minutes | decided | entries held | resident, MiB |");
+    println!("| --- | --- | --- | --- |");
+    for tick in 0..TICKS_PER_HOUR {
+        cluster.tick(tick);
+        let ticks = tick + 1;
+        if ticks.is_multiple_of(MINUTES_PER_LINE * TICKS_PER_MINUTE) {
+            println!(
+                "| {} | {} | {} | {:.1} |",
+                ticks / TICKS_PER_MINUTE,
+                cluster.decided,
+                cluster.log_entries(),
+                resident_mib()
+            );
         }
     }
 }
 
 fn main() {
-    an_hour();
+    measure_memory();
     println!();
-    recovery();
+    measure_recovery();
 }
--- a/crates/consensus/src/lease_client.rs
+++ b/crates/consensus/src/lease_client.rs
@@ -24,21 +24,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseState {
     /// Another instance holds the lease, or nobody.
-    NotHeld,
+    NoLease,
     /// A proposal to acquire it is in flight.
     Acquiring,
     /// Held; the fencing gate has not observed the epoch yet.
-    AwaitingGate { epoch: Epoch, acquired_at: Ticks, asked_at: Option<Ticks> },
+    AwaitingFencing { epoch: Epoch, acquired_at: Ticks, requested_at: Option<Ticks> },
     /// Held and observed by the gate. To act from `valid_until` on takes a renewal.
-    Held { epoch: Epoch, valid_until: Ticks, renew_at: Ticks, renewal_sent_at: Option<Ticks> },
+    Active { epoch: Epoch, valid_until: Ticks, renew_at: Ticks, renewal_sent_at: Option<Ticks> },
 }
 
 impl LeaseState {
     /// The epoch under which the lease is held here.
     fn epoch(self) -> Option<Epoch> {
         match self {
-            LeaseState::NotHeld | LeaseState::Acquiring => None,
-            LeaseState::AwaitingGate { epoch, .. } | LeaseState::Held { epoch, .. } => Some(epoch),
+            LeaseState::NoLease | LeaseState::Acquiring => None,
+            LeaseState::AwaitingFencing { epoch, .. } | LeaseState::Active { epoch, .. } => Some(epoch),
         }
     }
 }
@@ -70,7 +70,7 @@
     /// instance waits before it acquires the lease, so that not all instances try at once.
     pub fn new(role: Role, id: InstanceId, ttl: u64, stagger: u64) -> Self {
         let observed = ObservedLease { epoch: Epoch(0), renewed: Index(0), since: Ticks(0) };
-        Self { role, id, ttl, stagger, state: LeaseState::NotHeld, observed }
+        Self { role, id, ttl, stagger, state: LeaseState::NoLease, observed }
     }
 
     /// The role.
@@ -81,7 +81,7 @@
     /// The epoch under which this instance may act now. Whatever acts on it shows it to the fencing gate as well.
     pub fn valid_epoch(&self, now: Ticks) -> Option<Epoch> {
         match self.state {
-            LeaseState::Held { epoch, valid_until, .. } if now < valid_until => Some(epoch),
+            LeaseState::Active { epoch, valid_until, .. } if now < valid_until => Some(epoch),
             _ => None,
         }
     }
@@ -91,19 +91,19 @@
         self.observe(now, lease);
         match self.state {
             LeaseState::Acquiring => None,
-            LeaseState::NotHeld => self.acquire_if_due(now, lease),
-            LeaseState::AwaitingGate { epoch, acquired_at, asked_at } => {
-                if asked_at.is_some_and(|asked_at| now < self.renewal_due(asked_at)) {
+            LeaseState::NoLease => self.acquire_if_due(now, lease),
+            LeaseState::AwaitingFencing { epoch, acquired_at, requested_at } => {
+                if requested_at.is_some_and(|requested_at| now < self.renewal_due(requested_at)) {
                     return None;
                 }
-                self.state = LeaseState::AwaitingGate { epoch, acquired_at, asked_at: Some(now) };
+                self.state = LeaseState::AwaitingFencing { epoch, acquired_at, requested_at: Some(now) };
                 Some(LeaseAction::ObserveEpoch(epoch))
             }
-            LeaseState::Held { epoch, valid_until, renew_at, renewal_sent_at } => {
+            LeaseState::Active { epoch, valid_until, renew_at, renewal_sent_at } => {
                 if now < renew_at || renewal_sent_at.is_some() {
                     return None;
                 }
-                self.state = LeaseState::Held { epoch, valid_until, renew_at, renewal_sent_at: Some(now) };
+                self.state = LeaseState::Active { epoch, valid_until, renew_at, renewal_sent_at: Some(now) };
                 Some(LeaseAction::Propose(Command::RenewLease { role: self.role.clone(), epoch }))
             }
         }
@@ -144,36 +144,36 @@
     pub fn on_answer(&mut self, now: Ticks, answer: &Answer) {
         match self.state {
             LeaseState::Acquiring => self.on_acquire_answer(now, answer),
-            LeaseState::Held { .. } => self.on_renewal_answer(now, answer),
-            LeaseState::NotHeld | LeaseState::AwaitingGate { .. } => {}
+            LeaseState::Active { .. } => self.on_renewal_answer(now, answer),
+            LeaseState::NoLease | LeaseState::AwaitingFencing { .. } => {}
         }
     }
 
     fn on_acquire_answer(&mut self, now: Ticks, answer: &Answer) {
         if let Answer::Applied(Reply::LeaseAcquired(epoch)) = answer {
-            self.state = LeaseState::AwaitingGate { epoch: *epoch, acquired_at: now, asked_at: None };
+            self.state = LeaseState::AwaitingFencing { epoch: *epoch, acquired_at: now, requested_at: None };
         } else {
             self.observed.since = now;
-            self.state = LeaseState::NotHeld;
+            self.state = LeaseState::NoLease;
         }
     }
 
     fn on_renewal_answer(&mut self, now: Ticks, answer: &Answer) {
-        let LeaseState::Held { epoch, valid_until, renewal_sent_at, .. } = self.state else { return };
+        let LeaseState::Active { epoch, valid_until, renewal_sent_at, .. } = self.state else { return };
         self.state = match (answer, renewal_sent_at) {
-            (Answer::Applied(Reply::Done), Some(sent_at)) => self.held_from(epoch, sent_at),
-            (Answer::Applied(Reply::StaleEpoch { .. }), _) => LeaseState::NotHeld,
+            (Answer::Applied(Reply::Done), Some(sent_at)) => self.active_from(epoch, sent_at),
+            (Answer::Applied(Reply::StaleEpoch { .. }), _) => LeaseState::NoLease,
             _ => {
                 let renew_at = Ticks(now.0 + 1 + self.ttl / RETRIES_PER_TTL);
-                LeaseState::Held { epoch, valid_until, renew_at, renewal_sent_at: None }
+                LeaseState::Active { epoch, valid_until, renew_at, renewal_sent_at: None }
             }
         };
     }
 
-    /// Held for a ttl that counts from when the lease was proposed: others may take it for lapsed from any moment
+    /// Active for a ttl that counts from when the lease was proposed: others may take it for lapsed from any moment
     /// after that.
-    fn held_from(&self, epoch: Epoch, start: Ticks) -> LeaseState {
-        LeaseState::Held {
+    fn active_from(&self, epoch: Epoch, start: Ticks) -> LeaseState {
+        LeaseState::Active {
             epoch,
             valid_until: Ticks(start.0 + self.ttl),
             renew_at: self.renewal_due(start),
@@ -187,17 +187,17 @@
 
     /// The fencing gate has taken this epoch as the newest.
     pub fn on_epoch_observed(&mut self, observed: Epoch) {
-        if let LeaseState::AwaitingGate { epoch, acquired_at, .. } = self.state
+        if let LeaseState::AwaitingFencing { epoch, acquired_at, .. } = self.state
             && epoch == observed
         {
-            self.state = self.held_from(epoch, acquired_at);
+            self.state = self.active_from(epoch, acquired_at);
         }
     }
 
     /// The fencing gate, or anyone, knows of this later epoch: whoever holds an older one stops.
     pub fn on_newer_epoch(&mut self, newest: Epoch) {
         if self.state.epoch().is_some_and(|epoch| epoch < newest) {
-            self.state = LeaseState::NotHeld;
+            self.state = LeaseState::NoLease;
         }
     }
 }
--- a/crates/consensus/src/replicated_state/lease.rs
+++ b/crates/consensus/src/replicated_state/lease.rs
@@ -9,7 +9,7 @@
 /// Greatest number of roles. A role is kept for good, since its epoch must never fall.
 pub const MAX_ROLES: usize = 256;
 /// The epoch of a role that was never held.
-const NEVER_HELD: Epoch = Epoch(0);
+const UNASSIGNED_EPOCH: Epoch = Epoch(0);
 
 /// Who holds a role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
         match self.leases.get_mut(role) {
             Some(lease) if lease.epoch == epoch && lease.holder.is_some() => Ok(lease),
             Some(lease) => Err(Reply::StaleEpoch { current: lease.epoch }),
-            None => Err(Reply::StaleEpoch { current: NEVER_HELD }),
+            None => Err(Reply::StaleEpoch { current: UNASSIGNED_EPOCH }),
         }
     }
 
@@ -65,11 +65,11 @@
         ttl: u32,
     ) -> Result<Reply, Reply> {
         self.require_member(holder)?;
-        let current = self.leases.get(role).map_or(NEVER_HELD, |lease| lease.epoch);
+        let current = self.leases.get(role).map_or(UNASSIGNED_EPOCH, |lease| lease.epoch);
         if current != expected_epoch {
             return Err(Reply::StaleEpoch { current });
         }
-        if current == NEVER_HELD && self.leases.len() >= MAX_ROLES {
+        if current == UNASSIGNED_EPOCH && self.leases.len() >= MAX_ROLES {
             return Err(Reply::CapacityExceeded);
         }
         let epoch = Epoch(current.0 + 1);
--- a/crates/consensus/tests/handover.rs
+++ b/crates/consensus/tests/handover.rs
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn messages_lost_duplicated_reordered_and_very_late() {
+fn messages_lost_duplicated_reordered_and_much_delayed() {
     assert_all_sound(3, |_| {
-        vec![at(20, Fault::Noise { noise: Noise { lost: 30, duplicated: 30, late: 25 }, steps: 200 })]
+        vec![at(20, Fault::Noise { noise: Noise { lost: 30, duplicated: 30, delayed: 25 }, steps: 200 })]
     });
     assert_all_sound(5, |_| {
         vec![
-            at(20, Fault::Noise { noise: Noise { lost: 20, duplicated: 50, late: 40 }, steps: 200 }),
+            at(20, Fault::Noise { noise: Noise { lost: 20, duplicated: 50, delayed: 40 }, steps: 200 }),
             at(90, Fault::Freeze { instance: 0, steps: 50 }),
             at(100, Fault::Freeze { instance: 1, steps: 70 }),
         ]
--- a/crates/consensus/tests/linearizability.rs
+++ b/crates/consensus/tests/linearizability.rs
@@ -21,54 +21,85 @@
     }
 }
 
-/// Proposal or read, its beginning, and what it heard after how long.
-type Made = (Option<u8>, u64, Option<(Option<u8>, u64)>);
-
-fn made() -> impl Strategy<Value = Made> {
-    let heard = prop::option::weighted(0.8, (prop::option::of(0u8..2), 0u64..5));
-    // A proposal is never answered with nothing, and the quick check need not know better.
-    (prop::option::of(0u8..2), 0u64..10, heard).prop_map(|(proposes, begun, heard)| {
-        (proposes, begun, heard.map(|(value, after)| (value.or(proposes), after)))
+/// How an operation ended: with a value or with none, after so many steps.
+#[derive(Debug, Clone, Copy)]
+struct Returned {
+    value: Option<u8>,
+    after: u64,
+}
+
+/// A proposal of a value, or a read.
+#[derive(Debug, Clone, Copy)]
+struct Operation {
+    proposes: Option<u8>,
+    begun: u64,
+    returned: Option<Returned>,
+}
+
+fn operation() -> impl Strategy<Value = Operation> {
+    let returned = prop::option::weighted(0.8, (prop::option::of(0u8..2), 0u64..5));
+    (prop::option::of(0u8..2), 0u64..10, returned).prop_map(|(proposes, begun, returned)| {
+        // A proposal is never answered with nothing, and the quick check need not know better.
+        let returned = returned.map(|(value, after)| Returned { value: value.or(proposes), after });
+        Operation { proposes, begun, returned }
     })
 }
 
-fn general(ops: &[Made]) -> bool {
+/// The order of kinds is that of events in one step: what begins in the step in which another ends runs beside it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum EventKind {
+    Begin,
+    End,
+}
+
+struct Event {
+    at: u64,
+    kind: EventKind,
+    thread: usize,
+    value: Option<u8>,
+}
+
+fn general(operations: &[Operation]) -> bool {
     let mut tester = LinearizabilityTester::new(Once::default());
     let mut events = Vec::new();
-    for (thread, (proposes, begun, heard)) in ops.iter().enumerate() {
-        // What begins in the step in which another ends runs beside it.
-        events.push((*begun, 0, thread, *proposes));
-        if let Some((value, after)) = heard {
-            events.push((begun + after, 1, thread, *value));
+    for (thread, operation) in operations.iter().enumerate() {
+        let Operation { proposes, begun, returned } = *operation;
+        events.push(Event { at: begun, kind: EventKind::Begin, thread, value: proposes });
+        if let Some(Returned { value, after }) = returned {
+            events.push(Event { at: begun + after, kind: EventKind::End, thread, value });
         }
     }
-    events.sort_by_key(|(at, kind, thread, _)| (*at, *kind, *thread));
-    for (_, kind, thread, value) in events {
-        let recorded =
-            if kind == 0 { tester.on_invoke(thread, value) } else { tester.on_return(thread, value) };
+    events.sort_by_key(|event| (event.at, event.kind, event.thread));
+    for Event { kind, thread, value, .. } in events {
+        let recorded = match kind {
+            EventKind::Begin => tester.on_invoke(thread, value),
+            EventKind::End => tester.on_return(thread, value),
+        };
         recorded.expect("each operation begins and ends once");
     }
     tester.is_consistent()
 }
 
-fn history(ops: &[Made]) -> History {
+fn history(operations: &[Operation]) -> History {
     let mut history = History::default();
-    for (proposes, begun, heard) in ops {
-        let op = match proposes {
-            Some(value) => history.begin_decide(1, vec![*value], *begun),
-            None => history.begin_read(1, *begun),
+    for operation in operations {
+        let begun = operation.begun;
+        let id = match operation.proposes {
+            Some(value) => history.begin_decide(1, vec![value], begun),
+            None => history.begin_read(1, begun),
         };
-        match (proposes, heard) {
-            (Some(_), Some((Some(value), after))) => history.end_decide(op, vec![*value], begun + after),
-            (None, Some((value, after))) => history.end_read(op, value.map(|v| vec![v]), begun + after),
-            (_, None) | (Some(_), Some((None, _))) => {}
+        let Some(Returned { value, after }) = operation.returned else { continue };
+        match (operation.proposes, value) {
+            (Some(_), Some(value)) => history.end_decide(id, vec![value], begun + after),
+            (Some(_), None) => {}
+            (None, value) => history.end_read(id, value.map(|value| vec![value]), begun + after),
         }
     }
     history
 }
 
-fn quick(ops: &[Made]) -> bool {
-    history(ops).not_linearizable().is_empty()
+fn quick(operations: &[Operation]) -> bool {
+    history(operations).not_linearizable().is_empty()
 }
 
 proptest! {
@@ -80,17 +111,25 @@
     })]
 
     #[test]
-    fn both_say_the_same(ops in prop::collection::vec(made(), 1..6)) {
-        prop_assert_eq!(quick(&ops), general(&ops), "{:?}", ops);
+    fn both_checks_agree(operations in prop::collection::vec(operation(), 1..6)) {
+        prop_assert_eq!(quick(&operations), general(&operations), "{:?}", operations);
     }
 }
 
+fn proposal(value: u8, begun: u64, returned: u8, after: u64) -> Operation {
+    Operation { proposes: Some(value), begun, returned: Some(Returned { value: Some(returned), after }) }
+}
+
+fn read(begun: u64, returned: Option<u8>) -> Operation {
+    Operation { proposes: None, begun, returned: Some(Returned { value: returned, after: 1 }) }
+}
+
 #[test]
 fn a_read_that_goes_back_in_time_is_found() {
-    let decided = (Some(1), 0, Some((Some(1), 2)));
+    let decided = proposal(1, 0, 1, 2);
     assert_eq!(history(&[decided]).acknowledged(), [(1, vec![1])]);
-    assert!(quick(&[decided, (None, 2, Some((Some(1), 1)))]));
-    assert!(!quick(&[decided, (None, 3, Some((None, 1)))]));
-    assert!(!quick(&[decided, (Some(0), 9, Some((Some(0), 1)))]));
-    assert!(!quick(&[(None, 3, Some((Some(1), 1)))]), "nobody proposed it");
+    assert!(quick(&[decided, read(2, Some(1))]));
+    assert!(!quick(&[decided, read(3, None)]));
+    assert!(!quick(&[decided, proposal(0, 9, 0, 1)]));
+    assert!(!quick(&[read(3, Some(1))]), "nobody proposed it");
 }
--- a/crates/consensus/tests/replicated_state.rs
+++ b/crates/consensus/tests/replicated_state.rs
@@ -52,9 +52,18 @@
     ]
 }
 
-/// A command of one of three sessions: new, or a copy of the one so many before.
-fn steps() -> impl Strategy<Value = Vec<(usize, Command, Option<usize>)>> {
-    prop::collection::vec((0usize..3, command(), prop::option::weighted(0.3, 0usize..4)), 1..80)
+/// What one of three sessions sends next.
+#[derive(Debug, Clone)]
+struct Step {
+    session: usize,
+    command: Command,
+    /// Instead of the command, a copy of the proposal so many before the last one.
+    copy_of: Option<usize>,
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    let copy_of = prop::option::weighted(0.3, 0usize..4);
+    (0usize..3, command(), copy_of).prop_map(|(session, command, copy_of)| Step { session, command, copy_of })
 }
 
 fn initial_state() -> ReplicatedState {
@@ -67,6 +76,130 @@
     state
 }
 
+/// A replicated state, a replica of it, and what must hold of them.
+struct Run {
+    state: ReplicatedState,
+    replica: ReplicatedState,
+    index: u64,
+    sent: [Vec<(Proposal, Reply)>; 3],
+    decided: BTreeMap<u64, Vec<u8>>,
+    retired_below: BTreeMap<String, u64>,
+    dispatched_under: BTreeMap<u64, Epoch>,
+}
+
+impl Run {
+    fn new() -> Self {
+        Self {
+            state: initial_state(),
+            replica: initial_state(),
+            index: 3,
+            sent: Default::default(),
+            decided: BTreeMap::new(),
+            retired_below: BTreeMap::new(),
+            dispatched_under: BTreeMap::new(),
+        }
+    }
+
+    fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
+        self.index += 1;
+        match step.copy_of {
+            Some(back) => self.send_copy(step.session, back),
+            None => self.send_new(step.session, step.command),
+        }
+    }
+
+    fn epoch(&self) -> Epoch {
+        self.state.lease(&role()).map_or(Epoch(0), |lease| lease.epoch)
+    }
+
+    fn send_copy(&mut self, session: usize, back: usize) -> Result<(), TestCaseError> {
+        let Some(position) = self.sent[session].len().checked_sub(back + 1) else { return Ok(()) };
+        let (proposal, first) = self.sent[session][position].clone();
+        let before = self.state.clone();
+        let reply = self.state.apply(Index(self.index), &proposal);
+        self.replica.apply(Index(self.index), &proposal);
+        // The last one's copy gets its reply, older ones' are told that they come too late.
+        prop_assert_eq!(&reply, if back == 0 { &first } else { &Reply::Superseded });
+        prop_assert_eq!(self.state.lease(&role()), before.lease(&role()));
+        prop_assert!(self.state.subjects_after(None).eq(before.subjects_after(None)));
+        prop_assert!(self.state.notices("board").eq(before.notices("board")));
+        Ok(())
+    }
+
+    fn send_new(&mut self, session: usize, command: Command) -> Result<(), TestCaseError> {
+        let before = self.state.clone();
+        let epoch_before = self.epoch();
+        let sequence = Sequence(self.sent[session].len() as u64 + 1);
+        let session_id = SessionId(session as u64 + 1);
+        let proposal = Proposal { session: session_id, sequence, command: command.clone() };
+        let reply = self.state.apply(Index(self.index), &proposal);
+        let replica_reply = self.replica.apply(Index(self.index), &proposal);
+        prop_assert_eq!(&reply, &replica_reply, "the same on every instance");
+        self.sent[session].push((proposal, reply.clone()));
+        let epoch = self.epoch();
+        prop_assert!(epoch == epoch_before || epoch.0 == epoch_before.0 + 1);
+        self.check_reply(&command, &reply, epoch_before)?;
+        self.check_subjects(&before)
+    }
+
+    fn check_reply(
+        &mut self,
+        command: &Command,
+        reply: &Reply,
+        epoch_before: Epoch,
+    ) -> Result<(), TestCaseError> {
+        let epoch = self.epoch();
+        match (command, reply) {
+            (Command::Decide { subject, value }, Reply::Decided { value: held, first }) => {
+                let known = self.decided.entry(subject.number).or_insert_with(|| value.clone());
+                prop_assert_eq!(&*known, held);
+                prop_assert!(!first || value == held);
+                let below = self.retired_below.get("subject").copied().unwrap_or(0);
+                prop_assert!(subject.number >= below);
+            }
+            (Command::DispatchOrder { epoch: shown, order, .. }, Reply::Dispatched(under)) => {
+                prop_assert_eq!((*shown, *under), (epoch, epoch), "only the current holder dispatches");
+                // Again only under a later epoch than before: the gate admits the older one no more.
+                let older = self.dispatched_under.insert(order.number, *under);
+                prop_assert!(older.is_none_or(|older| older < *under));
+            }
+            (Command::AcquireLease { expected_epoch, .. }, Reply::LeaseAcquired(under)) => {
+                prop_assert_eq!((*expected_epoch, *under), (epoch_before, epoch));
+            }
+            (Command::RetireSubjects { space, below }, Reply::Done) => {
+                let known = self.retired_below.entry(space.clone()).or_default();
+                *known = (*known).max(*below);
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn check_subjects(&self, before: &ReplicatedState) -> Result<(), TestCaseError> {
+        for (subject, subject_state) in self.state.subjects_after(None) {
+            let below = self.retired_below.get(&subject.space).copied().unwrap_or(0);
+            prop_assert!(subject.number >= below);
+            if let SubjectState::Decided(value) = subject_state {
+                prop_assert_eq!(self.decided.get(&subject.number), Some(value));
+            }
+            if let Some(SubjectState::Executed(_)) = before.subject_state(subject) {
+                let is_executed = matches!(subject_state, SubjectState::Executed(_));
+                prop_assert!(is_executed, "an executed order stays executed");
+            }
+        }
+        Ok(())
+    }
+
+    /// What a snapshot carries is all there is.
+    fn check_snapshot(&self) -> Result<(), TestCaseError> {
+        let bytes = postcard::to_stdvec(&self.state).expect("bytes");
+        let decoded: ReplicatedState = postcard::from_bytes(&bytes).expect("a state");
+        prop_assert_eq!(&decoded, &self.state);
+        prop_assert_eq!(&self.replica, &self.state);
+        Ok(())
+    }
+}
+
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 400,
@@ -76,71 +209,11 @@
     })]
 
     #[test]
-    fn decisions_are_final_epochs_grow_and_copies_change_nothing(steps in steps()) {
-        let (mut state, mut replica) = (initial_state(), initial_state());
-        let mut sent: [Vec<(Proposal, Reply)>; 3] = Default::default();
-        let mut decided: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
-        let (mut retired_below, mut dispatched_under): (BTreeMap<String, u64>, BTreeMap<u64, Epoch>) = Default::default();
-        let mut index = 3;
-        for (session, command, copy_of) in steps {
-            index += 1;
-            let before = state.clone();
-            let epoch_before = state.lease(&role()).map_or(Epoch(0), |g| g.epoch);
-            if let Some(back) = copy_of {
-                let Some(at) = sent[session].len().checked_sub(back + 1) else { continue };
-                let (proposal, first) = sent[session][at].clone();
-                let reply = state.apply(Index(index), &proposal);
-                replica.apply(Index(index), &proposal);
-                // The last one's copy gets its reply, older ones' are told that they come too late.
-                prop_assert_eq!(&reply, if back == 0 { &first } else { &Reply::Superseded });
-                prop_assert_eq!(state.lease(&role()), before.lease(&role()));
-                prop_assert!(state.subjects_after(None).eq(before.subjects_after(None)));
-                prop_assert!(state.notices("board").eq(before.notices("board")));
-                continue;
-            }
-            let sequence = Sequence(sent[session].len() as u64 + 1);
-            let proposal = Proposal { session: SessionId(session as u64 + 1), sequence, command: command.clone() };
-            let reply = state.apply(Index(index), &proposal);
-            prop_assert_eq!(&reply, &replica.apply(Index(index), &proposal), "the same on every instance");
-            sent[session].push((proposal, reply.clone()));
-
-            let epoch = state.lease(&role()).map_or(Epoch(0), |g| g.epoch);
-            prop_assert!(epoch == epoch_before || epoch.0 == epoch_before.0 + 1);
-            match (&command, &reply) {
-                (Command::Decide { subject, value }, Reply::Decided { value: held, first }) => {
-                    let known = decided.entry(subject.number).or_insert_with(|| value.clone());
-                    prop_assert_eq!(&*known, held);
-                    prop_assert!(!first || value == held);
-                    prop_assert!(subject.number >= retired_below.get("subject").copied().unwrap_or(0));
-                }
-                (Command::DispatchOrder { epoch: shown, order, .. }, Reply::Dispatched(under)) => {
-                    prop_assert_eq!((*shown, *under), (epoch, epoch), "only the current holder dispatches");
-                    // Again only under a later epoch than before: the gate lets the older one through no more.
-                    prop_assert!(dispatched_under.insert(order.number, *under).is_none_or(|older| older < *under));
-                }
-                (Command::AcquireLease { expected_epoch: expect, .. }, Reply::LeaseAcquired(under)) => {
-                    prop_assert_eq!((*expect, *under), (epoch_before, epoch));
-                }
-                (Command::RetireSubjects { space, below }, Reply::Done) => {
-                    let below_bound = retired_below.entry(space.clone()).or_default();
-                    *below_bound = (*below_bound).max(*below);
-                }
-                _ => {}
-            }
-            for (subject, subject_state) in state.subjects_after(None) {
-                prop_assert!(subject.number >= retired_below.get(&subject.space).copied().unwrap_or(0));
-                if let SubjectState::Decided(value) = subject_state {
-                    prop_assert_eq!(decided.get(&subject.number), Some(value));
-                }
-                if let Some(SubjectState::Executed(_)) = before.subject_state(subject) {
-                    prop_assert!(matches!(subject_state, SubjectState::Executed(_)), "an executed order stays executed");
-                }
-            }
+    fn decisions_are_final_epochs_grow_and_copies_change_nothing(steps in prop::collection::vec(step(), 1..80)) {
+        let mut run = Run::new();
+        for step in steps {
+            run.play(step)?;
         }
-        // What a snapshot carries is all there is.
-        let bytes = postcard::to_stdvec(&state).expect("bytes");
-        let back: ReplicatedState = postcard::from_bytes(&bytes).expect("a state");
-        prop_assert_eq!(&back, &state);
-        prop_assert_eq!(&replica, &state);
+        run.check_snapshot()?;
     }
 }
