--- a/crates/consensus/examples/handover/world/checks.rs
+++ b/crates/consensus/examples/handover/world/checks.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Decisions that a client was told of and that an instance does not hold: any instance once all have settled,
+    /// Decisions that were acknowledged to a client and that an instance does not hold: any instance once all have settled,
     /// else one that has applied the most.
     fn lost_decisions(&self, settled: bool) -> Vec<String> {
         let states = self.states();
--- a/crates/consensus/src/fencing.rs
+++ b/crates/consensus/src/fencing.rs
@@ -1,4 +1,4 @@
-//! The fencing gate: what stands in front of whatever a lease allows. It keeps the newest epoch that it has observed
+//! The fencing gate, in front of whatever a lease allows. It keeps the newest epoch that it has observed
 //! for each role and rejects older ones, so a holder that froze and wakes does nothing more, whatever any clock says.
 //!
 //! It remembers what it has admitted until the replicated state has resolved the order and its epoch is over: the
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -1,5 +1,6 @@
 //! Proposals and reads of one instance's callers, from their arrival to their one answer. They are bounded, and each
-//! has a deadline: without a quorum a caller is told so in time, and whether its proposal may yet be decided.
+//! has a deadline: without a quorum a caller gets its answer in time, and it says whether the
+//! proposal may yet be decided.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/consensus/src/pending_requests/tests.rs
+++ b/crates/consensus/src/pending_requests/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use super::{Answer, PendingRequests, ProposalKey};
+use crate::ids::{Sequence, SessionId, Ticket, Ticks};
+use crate::replicated_state::{Command, Proposal, Reply};
 
 fn proposal(sequence: u64) -> Proposal {
     let command = Command::RetireSubjects { space: "s".into(), below: 1 };
--- a/crates/consensus/tests/commands.rs
+++ b/crates/consensus/tests/commands.rs
@@ -100,7 +100,7 @@
     assert_eq!(
         run.propose(acquire(2, 0)),
         Reply::StaleEpoch { current: Epoch(1) },
-        "two who both saw nobody: one wins"
+        "two that both saw no holder: one wins"
     );
     assert_eq!(run.propose(acquire(2, 1)), Reply::LeaseAcquired(Epoch(2)));
     assert_eq!(run.propose(dispatch(1, 6)), Reply::StaleEpoch { current: Epoch(2) });
--- a/crates/consensus/tests/replicated_state.rs
+++ b/crates/consensus/tests/replicated_state.rs
@@ -44,7 +44,7 @@
         }),
         (instance, prop::option::of(any::<u8>())).prop_map(|(from, value)| Command::PublishNotice {
             from: InstanceId(from),
-            topic: "board".into(),
+            topic: "topic".into(),
             value: value.map(|v| vec![v]),
         }),
         (prop_oneof![Just("subject"), Just("order")], number)
@@ -118,11 +118,11 @@
         let before = self.state.clone();
         let reply = self.state.apply(Index(self.index), &proposal);
         self.replica.apply(Index(self.index), &proposal);
-        // The last one's copy gets its reply, older ones' are told that they come too late.
+        // The last one's copy gets its reply, those of older ones are superseded.
         prop_assert_eq!(&reply, if back == 0 { &first } else { &Reply::Superseded });
         prop_assert_eq!(self.state.lease(&role()), before.lease(&role()));
         prop_assert!(self.state.subjects_after(None).eq(before.subjects_after(None)));
-        prop_assert!(self.state.notices("board").eq(before.notices("board")));
+        prop_assert!(self.state.notices("topic").eq(before.notices("topic")));
         Ok(())
     }
 
