--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,5 +1,5 @@
-//! Consensus among several instances. No I/O, no clock, no threads: ticks, messages and the news that a write is
-//! durable come in; writes, messages and answers go out.
+//! Consensus among several instances. No I/O, no clock, no threads: ticks, messages and completed writes come
+//! in; writes, messages and answers go out.
 //!
 //! In reading order:
 //!
