--- /dev/null
+++ b/crates/policy/src/engine.rs
@@ -0,0 +1,141 @@
+//! [`Policy`]: takes events, calls the module that is concerned, and does the periodic work.
+
+use std::collections::BTreeMap;
+
+use fastrand::Rng;
+
+use crate::admission::{ConcurrencyLimit, TrafficByGroup};
+use crate::api::{Action, Build, ClassId, Config, EndpointId, Event, Micros, Outcome, RequestId};
+use crate::build_health::{BuildRecord, OutcomeSample};
+use crate::endpoints::{EndpointPoll, EndpointTable};
+use crate::exposure::Exposure;
+use crate::load_balancing::LatencyEstimates;
+use crate::request_lifecycle::InFlightRequest;
+use crate::retry::RetryBudget;
+use crate::rollout_state::RolloutState;
+use crate::rollout_vote::VoteState;
+use crate::slow_start::ServedLoads;
+use crate::units::MILLISECOND;
+
+/// Period of housekeeping: assessment of the build, votes, the concurrency limit.
+pub(crate) const TICK: Micros = 25 * MILLISECOND;
+
+/// Instances, on average, that log what all instances of the tier see alike.
+const SHARED_EVENT_LOGGERS: f64 = 8.0;
+
+/// The decisions of one instance: a state machine over events and the clock that comes with them.
+///
+/// It keeps nothing but its own state: the same seed, settings and events bring the same actions.
+pub struct Policy {
+    pub(crate) config: Config,
+    pub(crate) rng: Rng,
+    /// The time of the event that is being handled.
+    pub(crate) now: Micros,
+    /// What the event that is being handled has brought so far.
+    pub(crate) actions: Vec<Action>,
+    started: bool,
+    logs_shared_events: bool,
+    pub(crate) endpoints: EndpointTable,
+    pub(crate) endpoint_poll: EndpointPoll,
+    pub(crate) rollout: RolloutState,
+    pub(crate) builds: BTreeMap<Build, BuildRecord>,
+    pub(crate) exposure: Exposure,
+    pub(crate) votes: VoteState,
+    pub(crate) requests: BTreeMap<RequestId, InFlightRequest>,
+    pub(crate) retry_budget: RetryBudget,
+    pub(crate) concurrency: ConcurrencyLimit,
+    pub(crate) traffic: TrafficByGroup,
+    pub(crate) latency: LatencyEstimates,
+    pub(crate) served_loads: ServedLoads,
+}
+
+impl Policy {
+    /// A new instance that knows nothing but its settings. `seed` determines all of its random choices.
+    pub fn new(seed: u64, config: Config) -> Self {
+        let mut rng = Rng::with_seed(seed);
+        let logs_shared_events = rng.f64() * f64::from(config.instance_count) < SHARED_EVENT_LOGGERS;
+        Policy {
+            rng,
+            now: 0,
+            actions: Vec::new(),
+            started: false,
+            logs_shared_events,
+            endpoints: EndpointTable::default(),
+            endpoint_poll: EndpointPoll::new(config.poll_endpoints),
+            rollout: RolloutState::default(),
+            builds: BTreeMap::new(),
+            exposure: Exposure::new(&config),
+            votes: VoteState::new(),
+            requests: BTreeMap::new(),
+            retry_budget: RetryBudget::new(),
+            concurrency: ConcurrencyLimit::new(),
+            traffic: TrafficByGroup::new(config.classes.len(), config.tenants.len()),
+            latency: LatencyEstimates::default(),
+            served_loads: ServedLoads::default(),
+            config,
+        }
+    }
+
+    /// Takes one event at the time `now` and appends what is to be done to `out`.
+    ///
+    /// `now` must not decrease from one call to the next. The first call asks for a timer; whoever delivers
+    /// each [`Event::Timer`] keeps the periodic work going.
+    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+        self.now = now;
+        if !self.started {
+            self.started = true;
+            self.set_timer();
+        }
+        match event {
+            Event::EndpointsUpdated(update) => self.on_endpoints_updated(update),
+            Event::Request(request) => self.on_request(request),
+            Event::ResponseStarted { id, .. } => self.on_response_started(id),
+            Event::AttemptCompleted(result) => self.on_attempt_completed(&result),
+            Event::ClientDisconnected(id) => self.finish_request(id),
+            Event::Timer(_) => self.housekeeping(),
+            Event::RolloutUpdated(status) => self.on_rollout_updated(status),
+            Event::VoteCompleted(result, status) => self.on_vote_completed(result, status),
+            Event::AnswerFlagged { endpoint, class, age } => self.on_answer_flagged(endpoint, class, age),
+            // Understood on the interface, but no measurement has asked for their use so far.
+            Event::Tally { .. } | Event::HealthCheckCompleted { .. } | Event::GossipReceived { .. } => {}
+        }
+        out.append(&mut self.actions);
+    }
+
+    /// A client found an answer wrong that looked good: one more failed outcome of the endpoint's build.
+    fn on_answer_flagged(&mut self, endpoint: EndpointId, class: ClassId, age: Micros) {
+        let Some(build) = self.endpoints.get(endpoint).map(|e| e.record.build) else { return };
+        let sample =
+            OutcomeSample { at: self.now, outcome: Outcome::Error, slowdown: None, excess: None, endpoint };
+        let sent = self.now.saturating_sub(age);
+        self.build_record(build).add(class, sample, sent);
+    }
+
+    fn housekeeping(&mut self) {
+        self.set_timer();
+        self.update_served_loads();
+        self.assess_newest_build();
+        self.cast_vote();
+        self.poll_endpoints();
+        self.count_late_attempts();
+        let endpoint_count = self.endpoints.active_count();
+        self.concurrency.update(endpoint_count, self.config.instance_count);
+        self.drop_oldest_build_record();
+    }
+
+    fn set_timer(&mut self) {
+        self.actions.push(Action::SetTimer { after: TICK, token: 0 });
+    }
+
+    /// Logs what this instance alone has seen or decided.
+    pub(crate) fn log(&mut self, line: String) {
+        self.actions.push(Action::Log(line));
+    }
+
+    /// Logs what all instances of the tier see alike: only a few of them do.
+    pub(crate) fn log_shared_event(&mut self, line: impl FnOnce() -> String) {
+        if self.logs_shared_events {
+            self.log(line());
+        }
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,25 @@
-//! Decisions of a balancer that routes requests and votes on staged releases.
+//! The decisions of a balancer that routes requests and votes on staged releases.
 //!
-//! [`api`] holds the types that go in and out, [`brain`] every decision.
+//! [`Policy`] is a deterministic state machine: it takes [`Event`](api::Event)s together with the caller's
+//! clock and returns [`Action`](api::Action)s. It does no I/O, reads no clock and keeps no global state; equal
+//! seeds, settings and events bring equal actions. [`api`] holds the types that go in and out; each of the
+//! other modules holds one concern with its constants and its state.
 
+mod admission;
 pub mod api;
-pub mod brain;
-mod state;
+mod attempt_outcome;
+mod build_health;
+mod endpoints;
+mod engine;
+mod exposure;
+mod load_balancing;
+mod outlier_detection;
+mod request_lifecycle;
+mod retry;
+mod rollout_state;
+mod rollout_vote;
+mod slow_start;
+mod units;
+mod window;
 
-pub use brain::Policy;
+pub use engine::Policy;
--- /dev/null
+++ b/crates/policy/src/load_balancing.rs
@@ -0,0 +1,129 @@
+//! Load balancing: which endpoint an attempt goes to.
+
+mod latency;
+
+use crate::api::{Class, EndpointId, Idempotency};
+use crate::endpoints::Endpoint;
+use crate::engine::Policy;
+use crate::request_lifecycle::InFlightRequest;
+
+pub(crate) use latency::{BaselineUpdate, LatencyEstimates, Slowdown};
+
+/// Endpoints drawn for an attempt: enough to tell whether most are in good health.
+const CANDIDATES_DRAWN: usize = 8;
+/// Logarithm by which a zone must be slower of late than another to be left out.
+const ZONE_SLOWDOWN_MAX: f64 = 0.8;
+/// How much heavier an endpoint in another zone counts where crossing zones has a price.
+const CROSS_ZONE_FACTOR: f64 = 2.5;
+/// Ratings below this count as this: the load is divided by them.
+const MIN_RATING: f64 = 0.01;
+
+/// What health says of an endpoint that the rules allow.
+enum CandidateHealth {
+    Good,
+    /// Advised against.
+    Poor,
+    /// Could not be reached of late.
+    Unreachable,
+}
+
+/// The endpoints drawn for an attempt, by health.
+#[derive(Default)]
+struct Candidates {
+    good: Vec<EndpointId>,
+    poor: Vec<EndpointId>,
+    unreachable: Vec<EndpointId>,
+}
+
+impl Policy {
+    /// Power of two choices by requests in flight, for size, latency and zone, among a few endpoints drawn.
+    /// Those that health advises against are left out unless they are most; unreachable ones are used for want
+    /// of any other.
+    pub(crate) fn choose_endpoint(&mut self, request: &InFlightRequest) -> Option<EndpointId> {
+        let Candidates { mut good, poor, unreachable } = self.draw_candidates(request);
+        if good.len() < poor.len() {
+            good.extend(poor);
+        }
+        self.drop_slow_zones(&mut good);
+        let mut candidates = if good.is_empty() { unreachable } else { good };
+        self.rng.shuffle(&mut candidates);
+        // Now and then one is drawn alone: an endpoint that loses every comparison is still tried.
+        let alone = self.rng.usize(0..self.endpoints.active_count().max(1)) == 0;
+        candidates.truncate(if alone { 1 } else { 2 });
+        candidates.into_iter().min_by(|a, b| self.load(*a).total_cmp(&self.load(*b)))
+    }
+
+    fn draw_candidates(&mut self, request: &InFlightRequest) -> Candidates {
+        let mut candidates = Candidates::default();
+        for position in 0..self.endpoints.active_count() {
+            if position >= CANDIDATES_DRAWN && candidates.good.len() > 1 {
+                break;
+            }
+            let id = self.endpoints.draw(position, &mut self.rng);
+            match self.candidate_health(request, id) {
+                Some(CandidateHealth::Good) => candidates.good.push(id),
+                Some(CandidateHealth::Poor) => candidates.poor.push(id),
+                Some(CandidateHealth::Unreachable) => candidates.unreachable.push(id),
+                None => {}
+            }
+        }
+        candidates
+    }
+
+    /// Danger: the way to a zone is slow and lossy; an instance meets each endpoint there too rarely to know.
+    /// What else: a zone that is overloaded or cut off. Harm: the other zones carry its load.
+    fn drop_slow_zones(&self, candidates: &mut Vec<EndpointId>) {
+        let fastest = candidates.iter().map(|id| self.zone_slowdown(*id)).fold(f64::INFINITY, f64::min);
+        candidates.retain(|id| self.zone_slowdown(*id) <= fastest + ZONE_SLOWDOWN_MAX);
+    }
+
+    /// What health says of an endpoint that the rules allow for this request; none: a rule forbids it.
+    fn candidate_health(&mut self, request: &InFlightRequest, id: EndpointId) -> Option<CandidateHealth> {
+        let endpoint = self.endpoints.get(id)?;
+        let record = endpoint.record;
+        let ejected = endpoint.health.is_ejected(self.now);
+        let unreachable = endpoint.health.is_unreachable();
+        let fault_ratio = endpoint.health.fault_ratio();
+        let allowed = self.exposure_allows(record.build, request.request.class)
+            && self.key_allows(request.request.key, record.build)
+            && self.retry_allows(request, &record)
+            && self.slow_start_allows(id, &request.request);
+        if !allowed {
+            return None;
+        }
+        let suspect = self.is_only_attempt(request) && self.is_suspect(fault_ratio, record.build);
+        let poor = request.was_sent_to(id) || ejected || suspect || self.is_avoided(record.build);
+        Some(match (poor, ejected && unreachable) {
+            (false, _) => CandidateHealth::Good,
+            (true, true) => CandidateHealth::Unreachable,
+            (true, false) => CandidateHealth::Poor,
+        })
+    }
+
+    /// Whether a request must not run twice, where requests of other classes may. It is no means to try an
+    /// endpoint that failed of late, where others can be.
+    fn is_only_attempt(&self, request: &InFlightRequest) -> bool {
+        let once = |class: &Class| class.idempotency == Idempotency::NonIdempotent;
+        let classes = &self.config.classes;
+        once(&classes[request.request.class.0]) && !classes.iter().all(once)
+    }
+
+    fn zone_slowdown(&self, id: EndpointId) -> f64 {
+        self.endpoints.get(id).map_or(0.0, |e| self.latency.zone_slowdown(self.now, e.record.zone))
+    }
+
+    fn load(&self, id: EndpointId) -> f64 {
+        self.endpoints.get(id).map_or(f64::INFINITY, |endpoint| self.load_of(endpoint))
+    }
+
+    /// Requests in flight with one more, weighed by latency, size and zone.
+    fn load_of(&self, endpoint: &Endpoint) -> f64 {
+        let other_zone = endpoint.record.zone != self.config.zone;
+        let zone_factor =
+            if other_zone && self.config.cross_zone_price > 0.0 { CROSS_ZONE_FACTOR } else { 1.0 };
+        let warmth = self.warmth(&endpoint.record).unwrap_or(1.0);
+        let size = endpoint.record.rating.max(MIN_RATING) * warmth;
+        let slowdown = endpoint.health.slowdown(self.now);
+        f64::from(endpoint.in_flight + 1) * slowdown.exp() / size * zone_factor
+    }
+}
--- /dev/null
+++ b/crates/policy/src/request_lifecycle.rs
@@ -0,0 +1,238 @@
+//! A request from its arrival to its final answer.
+
+use crate::api::{
+    Action, AttemptResult, Build, Class, EndpointId, Idempotency, KeyScope, Micros, Outcome, Request,
+    RequestId,
+};
+use crate::engine::Policy;
+use crate::units::MILLISECOND;
+
+/// Share of the latency objective after which a rejected client should retry, on average: the answer must
+/// still be worth something then.
+const RETRY_AFTER_SHARE: f64 = 0.2;
+
+/// One sending of a request.
+pub(crate) struct Attempt {
+    pub(crate) endpoint: EndpointId,
+    pub(crate) build: Build,
+    pub(crate) sent: Micros,
+    /// Of its endpoint when it was sent, if that was warming up.
+    pub(crate) warmth: Option<f64>,
+    /// Open for longer than the latency objective, which was counted then.
+    pub(crate) counted_late: bool,
+    pub(crate) outcome: Option<Outcome>,
+}
+
+impl Attempt {
+    pub(crate) fn is_open(&self) -> bool {
+        self.outcome.is_none()
+    }
+
+    pub(crate) fn may_have_run(&self) -> bool {
+        self.outcome.is_none_or(Outcome::may_have_run)
+    }
+}
+
+/// Whether a request still needs its answer.
+#[derive(PartialEq)]
+enum RequestState {
+    Unanswered,
+    /// Its answer has begun and belongs to the client.
+    Responding,
+    /// Remembered until its attempts have ended.
+    Finished,
+}
+
+/// A request that is owed an answer, or has attempts open.
+pub(crate) struct InFlightRequest {
+    pub(crate) request: Request,
+    arrived: Micros,
+    pub(crate) attempts: Vec<Attempt>,
+    state: RequestState,
+}
+
+impl InFlightRequest {
+    fn new(request: Request, arrived: Micros) -> Self {
+        InFlightRequest { request, arrived, attempts: Vec::new(), state: RequestState::Unanswered }
+    }
+
+    pub(crate) fn has_open_attempt(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_open)
+    }
+
+    pub(crate) fn was_sent_to(&self, endpoint: EndpointId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.endpoint == endpoint)
+    }
+
+    fn may_have_run(&self) -> bool {
+        self.attempts.iter().any(Attempt::may_have_run)
+    }
+
+    /// Marks the attempts that are open for longer than the objective: how many were not marked before.
+    fn mark_late(&mut self, now: Micros, latency_objective: Micros) -> i32 {
+        let mut newly_late = 0;
+        for attempt in &mut self.attempts {
+            if attempt.is_open() && !attempt.counted_late && now >= attempt.sent + latency_objective {
+                attempt.counted_late = true;
+                newly_late += 1;
+            }
+        }
+        newly_late
+    }
+}
+
+/// What follows the end of an attempt.
+enum NextStep {
+    Finish,
+    Wait,
+    Retry,
+    GiveUp,
+}
+
+impl Policy {
+    pub(crate) fn on_request(&mut self, request: Request) {
+        self.exposure.requests.add(self.now, request.class);
+        self.latency.add_request(self.now, &request);
+        self.retry_budget.earn();
+        self.traffic.record_request(request.class, request.tenant);
+        let id = request.id;
+        let admitted = self.admits(&request);
+        self.requests.insert(id, InFlightRequest::new(request, self.now));
+        if admitted {
+            self.forward(id);
+        } else {
+            self.give_up(id);
+        }
+    }
+
+    pub(crate) fn on_response_started(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.state = RequestState::Responding;
+        }
+    }
+
+    pub(crate) fn on_attempt_completed(&mut self, result: &AttemptResult) {
+        let id = result.id;
+        let Some(mut request) = self.requests.remove(&id) else { return };
+        if let Some(attempt) = request.attempts.get_mut(result.attempt).filter(|a| a.is_open()) {
+            attempt.outcome = Some(result.outcome);
+            self.record_outcome(&request.request, attempt, result.outcome, result.latency);
+        }
+        let next_step = self.next_step(&request, result.request_finished);
+        self.requests.insert(id, request);
+        match next_step {
+            NextStep::Finish => self.finish_request(id),
+            NextStep::Wait => {}
+            NextStep::Retry => {
+                self.retry_budget.spend();
+                self.forward(id);
+            }
+            NextStep::GiveUp => self.give_up(id),
+        }
+    }
+
+    fn next_step(&self, request: &InFlightRequest, finished: bool) -> NextStep {
+        if finished || request.state == RequestState::Finished {
+            return NextStep::Finish;
+        }
+        if request.has_open_attempt() || request.state == RequestState::Responding {
+            return NextStep::Wait;
+        }
+        let objective = self.config.classes[request.request.class.0].latency_objective;
+        let useful_until = request.request.deadline.min(request.arrived + objective);
+        let in_time = self.now + self.config.resolution < useful_until;
+        let attempts_left = request.attempts.len() < self.config.max_attempts;
+        if attempts_left && in_time && self.retry_budget.allows_retry() {
+            NextStep::Retry
+        } else {
+            NextStep::GiveUp
+        }
+    }
+
+    /// Starts an attempt at an eligible endpoint; without one the request gets its answer at once.
+    fn forward(&mut self, id: RequestId) {
+        let Some(mut request) = self.requests.remove(&id) else { return };
+        let choice = self.choose_endpoint(&request);
+        if let Some(endpoint) = choice {
+            self.start_attempt(&mut request, endpoint);
+        }
+        self.requests.insert(id, request);
+        if choice.is_none() {
+            self.give_up(id);
+        }
+    }
+
+    fn start_attempt(&mut self, request: &mut InFlightRequest, id: EndpointId) {
+        let Some(record) = self.endpoints.get(id).map(|e| e.record) else { return };
+        self.spend_slow_start(id, &request.request);
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.in_flight += 1;
+        }
+        let now = self.now;
+        self.build_record(record.build).attempts.add(now, request.request.class);
+        request.attempts.push(Attempt {
+            endpoint: id,
+            build: record.build,
+            sent: now,
+            warmth: self.warmth(&record),
+            counted_late: false,
+            outcome: None,
+        });
+        self.concurrency.acquire();
+        let timeout = self.attempt_timeout(request);
+        self.actions.push(Action::Forward { id: request.request.id, endpoint: id, timeout });
+    }
+
+    /// An answer that earns nothing is not waited for: the work is better spent on others.
+    fn attempt_timeout(&self, request: &InFlightRequest) -> Option<Micros> {
+        let class = &self.config.classes[request.request.class.0];
+        let deadline = request.request.deadline;
+        let useful_until = if class.late_priority_weight > 0.0 {
+            deadline
+        } else {
+            request.arrived + class.latency_objective
+        };
+        let cut = useful_until < deadline && !class.streamed;
+        cut.then(|| useful_until.saturating_sub(self.now).max(MILLISECOND))
+    }
+
+    /// The final answer, at once: rejected where the rules allow it, with advice when to retry.
+    fn give_up(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let may_have_run = request.may_have_run();
+        let Class { idempotency, latency_objective, .. } = self.config.classes[request.request.class.0];
+        let repeatable =
+            matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. });
+        let spread = 0.5 + self.rng.f64();
+        let wait = (latency_objective as f64 * RETRY_AFTER_SHARE * spread) as Micros;
+        let retry_after = self.config.retry_after.map(|longest| wait.min(longest));
+        let answer =
+            if repeatable || !may_have_run { Action::Reject { id, retry_after } } else { Action::Fail(id) };
+        self.actions.push(answer);
+        self.finish_request(id);
+    }
+
+    /// The request is over: open attempts are cancelled, and remembered until they end.
+    pub(crate) fn finish_request(&mut self, id: RequestId) {
+        let Some(mut request) = self.requests.remove(&id) else { return };
+        if self.config.cancellation && request.state == RequestState::Unanswered {
+            for (attempt, _) in request.attempts.iter().enumerate().filter(|(_, a)| a.is_open()) {
+                self.actions.push(Action::Cancel { id, attempt });
+            }
+        }
+        if request.has_open_attempt() {
+            request.state = RequestState::Finished;
+            self.requests.insert(id, request);
+        }
+    }
+
+    /// What has not been answered within its objective is late, and counts then. Danger: where late answers
+    /// are worth waiting for, an overloaded fleet would show as late as they come, and be sent more until then.
+    pub(crate) fn count_late_attempts(&mut self) {
+        for request in self.requests.values_mut() {
+            let objective = self.config.classes[request.request.class.0].latency_objective;
+            let newly_late = request.mark_late(self.now, objective);
+            self.concurrency.record_late(newly_late);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/window.rs
@@ -0,0 +1,52 @@
+//! Counts over a sliding window of time.
+
+use std::collections::VecDeque;
+
+use crate::api::{ClassId, Micros};
+
+/// Requests or attempts of the last span, counted by class.
+///
+/// Entries older than the span are dropped whenever one is added or counted, so that the memory is bounded by
+/// the traffic of one span.
+#[derive(Default)]
+pub(crate) struct SlidingWindow {
+    span: Micros,
+    entries: VecDeque<(Micros, ClassId)>,
+    count_by_class: Vec<u32>,
+}
+
+impl SlidingWindow {
+    pub(crate) fn new(span: Micros, classes: usize) -> Self {
+        SlidingWindow { span, count_by_class: vec![0; classes], ..Self::default() }
+    }
+
+    pub(crate) fn add(&mut self, now: Micros, class: ClassId) {
+        // Also where nobody counts, as between two trials.
+        self.drop_expired(now);
+        self.entries.push_back((now, class));
+        self.count_by_class[class.0] += 1;
+    }
+
+    /// Entries in the span that ends now; of one class, or of all.
+    pub(crate) fn count(&mut self, now: Micros, class: Option<ClassId>) -> f64 {
+        self.drop_expired(now);
+        match class {
+            Some(class) => f64::from(self.count_by_class[class.0]),
+            None => self.entries.len() as f64,
+        }
+    }
+
+    pub(crate) fn clear(&mut self) {
+        self.entries.clear();
+        self.count_by_class.fill(0);
+    }
+
+    fn drop_expired(&mut self, now: Micros) {
+        while let Some((_, class)) = self.entries.pop_front_if(|(at, _)| *at + self.span < now) {
+            self.count_by_class[class.0] -= 1;
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
