--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -11,7 +11,7 @@
 /// Weight of the newest outcome in that mean.
 const LATENCY_SMOOTHING: f64 = 0.05;
 /// By how much the limit moves a tick: quicker, it swings.
-const LIMIT_STEP: f64 = 0.01;
+const LIMIT_ADJUSTMENT: f64 = 0.01;
 /// Lowest limit for each endpoint, over all instances: some outcomes must tell.
 const MIN_LIMIT_PER_ENDPOINT: f64 = 2.0;
 /// Lowest limit of one instance, over what it has in flight while all goes well.
@@ -21,15 +21,15 @@
 /// How far back the mean of what is in flight while all goes well goes.
 const NORMAL_MEMORY: Micros = 5 * SECOND;
 
-/// Part of the limit open to requests worth nothing; those of the highest priority use all.
-const LOWEST_PRIORITY_PART: f64 = 0.7;
+/// Fraction of the limit open to requests worth nothing; those of the highest priority use all.
+const LOWEST_PRIORITY_FRACTION: f64 = 0.7;
 /// The highest priority weight counts as this at the least: others are divided by it.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-9;
 /// Multiple of its share from which a tenant is served after the others.
 const OVER_QUOTA_MULTIPLE: f64 = 1.25;
 
-/// Weight of the newest request in a class's or tenant's share of the traffic.
-const SHARE_SMOOTHING: f64 = 0.01;
+/// Weight of the newest request in a class's or tenant's fraction of the traffic.
+const TRAFFIC_SMOOTHING: f64 = 0.01;
 /// Weight of the newest outcome in a miss ratio.
 const MISS_SMOOTHING: f64 = 0.15;
 /// Miss ratio above which the requests of a class or tenant are mostly rejected.
@@ -67,7 +67,7 @@
 
     /// Takes so many attempts that are as late as their objective into the mean. With none the mean is still
     /// rounded anew: leaving that out would change the decisions in the last digit.
-    pub(crate) fn record_late(&mut self, attempts: i32) {
+    pub(crate) fn record_overdue(&mut self, attempts: i32) {
         let kept = (1.0 - LATENCY_SMOOTHING).powi(attempts);
         self.latency_ratio = 1.0 - (1.0 - self.latency_ratio) * kept;
     }
@@ -82,33 +82,33 @@
         if self.latency_ratio > OVERLOAD_RATIO {
             let by_endpoints = MIN_LIMIT_PER_ENDPOINT * endpoints as f64 / f64::from(instances);
             let lowest = by_endpoints.max(MIN_LIMIT_OVER_NORMAL * self.normal_in_flight);
-            self.limit = (self.limit.min(in_flight) * (1.0 - LIMIT_STEP)).max(lowest).max(1.0);
+            self.limit = (self.limit.min(in_flight) * (1.0 - LIMIT_ADJUSTMENT)).max(lowest).max(1.0);
         } else if self.latency_ratio < HEADROOM_RATIO {
             self.normal_in_flight +=
                 (in_flight - self.normal_in_flight) * (TICK as f64 / NORMAL_MEMORY as f64);
-            self.limit = (self.limit * (1.0 + LIMIT_STEP)).min(LIMIT_MAX);
+            self.limit = (self.limit * (1.0 + LIMIT_ADJUSTMENT)).min(LIMIT_MAX);
         }
     }
 
-    /// Whether a request of a priority of 0 to 1 is within its part of the limit.
+    /// Whether a request of a priority of 0 to 1 is within its fraction of the limit.
     fn admits(&self, priority: f64) -> bool {
-        let part = LOWEST_PRIORITY_PART + (1.0 - LOWEST_PRIORITY_PART) * priority;
-        f64::from(self.in_flight) < self.limit * part
+        let fraction = LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * priority;
+        f64::from(self.in_flight) < self.limit * fraction
     }
 }
 
 /// What was seen of a class or a tenant of late.
 #[derive(Clone, Default)]
 struct TrafficStats {
-    /// Smoothed share of all requests, 0 to 1.
-    share: f64,
+    /// Smoothed fraction of all requests, 0 to 1.
+    traffic_fraction: f64,
     /// Smoothed share of its requests that were not answered within their objective, 0 to 1.
     miss_ratio: f64,
 }
 
 impl TrafficStats {
     fn record_request(&mut self, own: bool) {
-        self.share += (f64::from(u8::from(own)) - self.share) * SHARE_SMOOTHING;
+        self.traffic_fraction += (f64::from(u8::from(own)) - self.traffic_fraction) * TRAFFIC_SMOOTHING;
     }
 
     fn record_answer(&mut self, missed: bool) {
@@ -147,8 +147,8 @@
         }
     }
 
-    fn tenant_share(&self, tenant: TenantId) -> f64 {
-        self.tenants[tenant.0].share
+    fn tenant_fraction(&self, tenant: TenantId) -> f64 {
+        self.tenants[tenant.0].traffic_fraction
     }
 
     /// Whether a request's class or tenant is mostly failing.
@@ -188,6 +188,6 @@
 
     fn is_over_quota(&self, tenant: TenantId) -> bool {
         let share = self.config.tenants[tenant.0].share;
-        self.traffic.tenant_share(tenant) > OVER_QUOTA_MULTIPLE * share
+        self.traffic.tenant_fraction(tenant) > OVER_QUOTA_MULTIPLE * share
     }
 }
--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -22,7 +22,7 @@
 impl CompletedAttempt<'_> {
     /// Whether its endpoint had warmed up when it was sent.
     fn is_warm(&self) -> bool {
-        self.attempt.warmth.is_none()
+        self.attempt.slow_start_factor.is_none()
     }
 
     /// How slow the attempt was (logarithm), where it says something of the endpoint.
@@ -35,7 +35,7 @@
     }
 
     /// Whether the outcome says something of the build. A warming endpoint's time-outs say nothing of it.
-    fn tells_of_build(&self) -> bool {
+    fn is_evidence_on_build(&self) -> bool {
         match self.outcome {
             Outcome::Success | Outcome::Error => true,
             Outcome::TimedOut => self.is_warm(),
@@ -74,7 +74,7 @@
         {
             self.latency.add_to_zone(self.now, record.zone, slowdown);
         }
-        if completed.tells_of_build() {
+        if completed.is_evidence_on_build() {
             self.record_build_outcome(&completed, slowdown, comparable);
             self.record_exposure_test(&completed, comparable);
         }
@@ -99,7 +99,7 @@
         };
         // What was counted late counts once; a stalled endpoint is no full fleet, a lost connection nothing.
         let counts =
-            !attempt.counted_late && !matches!(outcome, Outcome::ConnectFailed | Outcome::ConnectionLost);
+            !attempt.counted_overdue && !matches!(outcome, Outcome::ConnectFailed | Outcome::ConnectionLost);
         if counts {
             self.concurrency.record_latency(ratio);
         }
@@ -135,8 +135,8 @@
             excess: self.excess_over_zone(completed, slowdown),
             endpoint: completed.attempt.endpoint,
         };
-        let (class, sent) = (completed.request.class, completed.attempt.sent);
-        self.build_record(completed.attempt.build).add(class, sample, sent);
+        let attempt = completed.attempt;
+        self.build_record(attempt.build).add(completed.request.class, sample, attempt.sent);
     }
 
     /// By how much an attempt at a build on trial was slower than what released builds took in its zone at the
@@ -147,8 +147,8 @@
             return None;
         }
         let zone_baseline = self.latency.zone_baseline(self.now, completed.record.zone)?;
-        let warmth = completed.attempt.warmth.unwrap_or(1.0);
-        Some(slowdown? + warmth.ln() - zone_baseline)
+        let slow_start_factor = completed.attempt.slow_start_factor.unwrap_or(1.0);
+        Some(slowdown? + slow_start_factor.ln() - zone_baseline)
     }
 
     /// Adds an earlier build's slowdown to the test of the build on trial, while that is suspected of slowing
--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -13,7 +13,7 @@
 use crate::engine::Policy;
 use crate::units::SECOND;
 use build_record::{Assessment, BuildState, Criterion, RETAINED_OUTCOMES};
-use samples::{EndpointValue, SampleSummary, exceeds_on_most_endpoints, ratio};
+use samples::{EndpointValue, SampleSummary, exceeds_on_majority, ratio};
 
 /// Outcomes that a class is judged by: older ones say what was, not what is.
 const RECENT_OUTCOMES: usize = 20;
@@ -29,18 +29,24 @@
 /// By how much a ratio of failures must exceed the earlier build's, over 20 outcomes.
 const FAILURE_MARGIN: f64 = 0.1;
 /// Part of that margin that a failure must fall under to end: no flicker about it.
-const RECOVERY_PART: f64 = 0.5;
+const RECOVERY_FACTOR: f64 = 0.5;
 /// Logarithm by which a build must surely be slower to fail by its latency: 1.35 times.
 const LATENCY_SLOWDOWN: f64 = 0.3;
 /// Standard errors taken off a difference before it counts ...
 const CONFIDENCE_ERRORS: f64 = 2.5;
-/// ... less so many by each e-fold of instances that must agree before a build is rolled back.
-const ERRORS_PER_QUORUM_FOLD: f64 = 0.5;
+/// ... less so many times the logarithm of the number of instances that must agree on a rollback.
+const ERRORS_PER_LOG_QUORUM: f64 = 0.5;
 /// Logarithm by which single latencies differ at the least, whatever a few show.
 const MIN_SAMPLE_DEVIATION: f64 = 0.5;
 /// Logarithm by which good endpoints of a kind differ, by speed and by others' load.
 const ENDPOINT_DEVIATION: f64 = 0.2;
 
+/// An assessment, and what it is by.
+struct CriterionAssessment {
+    criterion: Criterion,
+    assessment: Assessment,
+}
+
 impl Policy {
     /// Brings the record of the newest build up to date: assessments, failure timers, state. Once a tick:
     /// judging at every outcome finds more by chance.
@@ -55,8 +61,8 @@
         let record = self.build_record(build);
         record.judged = judged;
         let mut sustained = None;
-        for (criterion, assessment) in assessments {
-            let failed = record.note(now, criterion, assessment);
+        for CriterionAssessment { criterion, assessment } in assessments {
+            let failed = record.record_assessment(now, criterion, assessment);
             if failed && sustained.is_none() {
                 sustained = Some(criterion);
             }
@@ -74,27 +80,32 @@
         record: &BuildRecord,
         earlier: Option<&BuildRecord>,
         by_fleet: Assessment,
-    ) -> Vec<(Criterion, Assessment)> {
+    ) -> Vec<CriterionAssessment> {
         let criteria = Criterion::all(self.config.classes.len());
-        let assess = |criterion| match criterion {
-            Criterion::Class(_) | Criterion::AllClasses => self.assess_failures(record, earlier, criterion),
-            Criterion::Latency => self.assess_latency(record),
-            Criterion::FleetLatency => by_fleet,
-        };
-        criteria.map(|criterion| (criterion, assess(criterion))).collect()
+        let assessments = criteria.map(|criterion| {
+            let assessment = match criterion {
+                Criterion::Class(_) | Criterion::AllClasses => {
+                    self.assess_failures(record, earlier, criterion)
+                }
+                Criterion::Latency => self.assess_latency(record),
+                Criterion::FleetLatency => by_fleet,
+            };
+            CriterionAssessment { criterion, assessment }
+        });
+        assessments.collect()
     }
 
     /// Whether some class is judged. Where many instances must agree all classes together count: an instance
     /// that sees little would stay silent.
-    fn judges(&self, assessments: &[(Criterion, Assessment)]) -> bool {
+    fn judges(&self, assessments: &[CriterionAssessment]) -> bool {
         let needs_agreement = self.config.rollout.rollback_quorum > 1;
-        assessments.iter().any(|(criterion, assessment)| {
-            let counts = match criterion {
+        assessments.iter().any(|assessed| {
+            let counts = match assessed.criterion {
                 Criterion::Class(_) => true,
                 Criterion::AllClasses => needs_agreement,
                 Criterion::Latency | Criterion::FleetLatency => false,
             };
-            counts && *assessment != Assessment::Unjudged
+            counts && assessed.assessment != Assessment::Unjudged
         })
     }
 
@@ -120,41 +131,42 @@
     ) -> Assessment {
         let comparable = earlier.is_some_and(|e| e.last_outcome_at + COMPARISON_WINDOW > self.now);
         let is_error = |s: &OutcomeSample| s.outcome == Outcome::Error;
-        let is_late = |s: &OutcomeSample| comparable && s.outcome == Outcome::TimedOut;
-        let is_failure = |s: &OutcomeSample| is_error(s) || is_late(s);
+        let is_timeout = |s: &OutcomeSample| comparable && s.outcome == Outcome::TimedOut;
+        let is_failure = |s: &OutcomeSample| is_error(s) || is_timeout(s);
         let samples = record.samples_of(criterion);
         // All classes together are judged by more outcomes, among which a smaller ratio is no chance.
-        let most = if criterion == Criterion::AllClasses { RETAINED_OUTCOMES } else { RECENT_OUTCOMES };
-        let count = samples.len().min(most);
-        let errors = ratio(samples, most, is_error);
+        let max_samples =
+            if criterion == Criterion::AllClasses { RETAINED_OUTCOMES } else { RECENT_OUTCOMES };
+        let count = samples.len().min(max_samples);
+        let errors = ratio(samples, max_samples, is_error);
         let enough = count >= self.min_samples(MIN_OUTCOMES) || errors * count as f64 >= OBVIOUS_ERRORS;
         if !enough {
             return Assessment::Unjudged;
         }
         let before = earlier.map_or(0.0, |e| ratio(e.samples_of(criterion), RETAINED_OUTCOMES, is_failure));
-        let sure_lates = self.surely_late(samples, most, is_late);
+        let timeouts = self.significant_timeouts(samples, max_samples, is_timeout);
         let bar = failure_margin(count, record.is_failing_by(criterion));
-        if errors + sure_lates <= before + bar {
+        if errors + timeouts <= before + bar {
             return Assessment::Pass;
         }
         let failures = samples.iter().map(|s| {
             let value = if is_failure(s) { 1.0 } else { 0.0 };
             EndpointValue { endpoint: s.endpoint, value }
         });
-        fail_if(exceeds_on_most_endpoints(failures, 0.0))
+        fail_if(exceeds_on_majority(failures, 0.0))
     }
 
     /// The ratio of time-outs that surely exceeds chance.
-    fn surely_late(
+    fn significant_timeouts(
         &self,
         samples: &VecDeque<OutcomeSample>,
-        most: usize,
-        is_late: impl Fn(&OutcomeSample) -> bool,
+        max_samples: usize,
+        is_timeout: impl Fn(&OutcomeSample) -> bool,
     ) -> f64 {
-        let lates = ratio(samples, most, is_late);
-        let count = samples.len().min(most).min(RECENT_OUTCOMES);
-        let error = (lates / count as f64).sqrt();
-        (lates - self.confidence_margin() * error).max(0.0)
+        let timeouts = ratio(samples, max_samples, is_timeout);
+        let count = samples.len().min(max_samples).min(RECENT_OUTCOMES);
+        let error = (timeouts / count as f64).sqrt();
+        (timeouts - self.confidence_margin() * error).max(0.0)
     }
 
     /// Assesses a build's latency, all classes together: each outcome as its logarithm over the baseline of its
@@ -179,14 +191,14 @@
         if summary.mean - margin <= LATENCY_SLOWDOWN {
             return Assessment::Pass;
         }
-        fail_if(exceeds_on_most_endpoints(excesses.into_iter(), LATENCY_SLOWDOWN))
+        fail_if(exceeds_on_majority(excesses.into_iter(), LATENCY_SLOWDOWN))
     }
 
     /// How sure an instance must be, in standard errors. Danger: an instance with a handful of outcomes a stage
     /// never is. Where many must agree they guard against its chance. Harm: a fault misleads many alike.
     fn confidence_margin(&self) -> f64 {
         let quorum = f64::from(self.config.rollout.rollback_quorum.max(1));
-        (CONFIDENCE_ERRORS - ERRORS_PER_QUORUM_FOLD * quorum.ln()).max(1.0)
+        (CONFIDENCE_ERRORS - ERRORS_PER_LOG_QUORUM * quorum.ln()).max(1.0)
     }
 
     /// From how many outcomes an instance judges, where one alone needs so many; for the same reason.
@@ -198,7 +210,7 @@
 /// By how much a ratio over so many outcomes must exceed the earlier build's to fail.
 fn failure_margin(outcomes: usize, failing: bool) -> f64 {
     let margin = FAILURE_MARGIN * (RECENT_OUTCOMES as f64 / outcomes as f64).sqrt();
-    if failing { margin * RECOVERY_PART } else { margin }
+    if failing { margin * RECOVERY_FACTOR } else { margin }
 }
 
 fn fail_if(failing: bool) -> Assessment {
--- a/crates/policy/src/build_health/build_record.rs
+++ b/crates/policy/src/build_health/build_record.rs
@@ -142,7 +142,12 @@
     }
 
     /// Notes one assessment; whether the failure has been sustained.
-    pub(super) fn note(&mut self, now: Micros, criterion: Criterion, assessment: Assessment) -> bool {
+    pub(super) fn record_assessment(
+        &mut self,
+        now: Micros,
+        criterion: Criterion,
+        assessment: Assessment,
+    ) -> bool {
         let position = criterion.position(self.samples_by_class.len());
         if assessment != Assessment::Fail {
             self.failing_since[position] = None;
@@ -191,7 +196,7 @@
         earlier.find(|record| record.last_outcome_at > 0 && !record.has_failed())
     }
 
-    /// Whether a build is used only for want of others: it has failed, or it is withheld. A class that fails
+    /// Whether a build is used only if there is no other: it has failed, or it is withheld. A class that fails
     /// is still sent.
     pub(crate) fn is_avoided(&self, build: Build) -> bool {
         let Some(record) = self.builds.get(&build) else { return false };
--- a/crates/policy/src/build_health/fleet_health.rs
+++ b/crates/policy/src/build_health/fleet_health.rs
@@ -17,7 +17,7 @@
 /// Logarithm by which the fleet's latency must surely rise to suspect the build.
 const FLEET_SLOWDOWN: f64 = 0.4;
 /// Share of that rise that must go when the build is withheld, and come back with it.
-const FOLLOWING_SHARE: f64 = 0.33;
+const FOLLOWING_FRACTION: f64 = 0.33;
 
 /// A build's suspicion of slowing the whole fleet, and what its test has shown so far.
 pub(crate) struct FleetSuspicion {
@@ -53,7 +53,7 @@
     /// Whether the slowdown went while the build was withheld.
     fn went(&self, min_samples: usize) -> bool {
         let without = SampleSummary::of(&self.while_withheld);
-        without.count >= min_samples && self.slowdown - without.mean > FOLLOWING_SHARE * self.slowdown
+        without.count >= min_samples && self.slowdown - without.mean > FOLLOWING_FRACTION * self.slowdown
     }
 
     /// Whether the slowdown surely came back with the build.
@@ -61,7 +61,7 @@
         let without = SampleSummary::of(&self.while_withheld);
         let with = SampleSummary::of(&self.once_back);
         let errors = with.error(MIN_SAMPLE_DEVIATION).hypot(without.error(MIN_SAMPLE_DEVIATION));
-        let bar = (FOLLOWING_SHARE * self.slowdown).max(margin * errors);
+        let bar = (FOLLOWING_FRACTION * self.slowdown).max(margin * errors);
         with.count >= min_samples && with.mean - without.mean > bar
     }
 }
@@ -101,7 +101,7 @@
     /// more, and blamed if old and new are still slow 3 s after it was suspected. Harm: a fault that came along.
     pub(super) fn assess_fleet(&mut self, status: RolloutStatus) -> Assessment {
         let fleet = self.fleet_latency(&status);
-        self.note_slowdown_before(&status, &fleet);
+        self.record_slowdown_before(&status, &fleet);
         let on_trial = status.phase == RolloutPhase::OnTrial;
         let suspicion = self.builds.get(&status.build).and_then(|record| record.suspicion.as_ref());
         let Some(suspicion) = suspicion.filter(|_| on_trial) else {
@@ -151,7 +151,7 @@
 
     /// Danger: a bad build is released and slows all; its successor is held for it. What else: a fault that
     /// came with the first endpoints. Harm: it hides as much of what the build does to the fleet.
-    fn note_slowdown_before(&mut self, status: &RolloutStatus, fleet: &FleetLatency) {
+    fn record_slowdown_before(&mut self, status: &RolloutStatus, fleet: &FleetLatency) {
         let too_small_to_matter = status.stage == 0 && !self.in_exposure_range();
         let record = self.build_record(status.build);
         if fleet.known && status.phase == RolloutPhase::OnTrial && too_small_to_matter {
--- a/crates/policy/src/build_health/samples.rs
+++ b/crates/policy/src/build_health/samples.rs
@@ -49,20 +49,20 @@
     }
 }
 
-/// Ratio of the last samples, `most` at the most, of which something holds; 0 of none.
+/// Ratio of the last samples, `max_samples` at the max_samples, of which something holds; 0 of none.
 pub(super) fn ratio(
     samples: &VecDeque<OutcomeSample>,
-    most: usize,
+    max_samples: usize,
     holds: impl Fn(&OutcomeSample) -> bool,
 ) -> f64 {
-    let last = samples.iter().rev().take(most);
-    last.filter(|sample| holds(sample)).count() as f64 / samples.len().clamp(1, most) as f64
+    let last = samples.iter().rev().take(max_samples);
+    last.filter(|sample| holds(sample)).count() as f64 / samples.len().clamp(1, max_samples) as f64
 }
 
 /// Whether a failure shows on most endpoints of a build, each by its mean over a bar.
 /// Danger: endpoints with quick errors, a noisy neighbour or a crash among many fail a good build. Harm: a
 /// build that is bad on fewer than half of its endpoints goes on.
-pub(super) fn exceeds_on_most_endpoints(values: impl Iterator<Item = EndpointValue>, bar: f64) -> bool {
+pub(super) fn exceeds_on_majority(values: impl Iterator<Item = EndpointValue>, bar: f64) -> bool {
     let means = means_by_endpoint(values);
     let over = means.iter().filter(|mean| **mean > bar).count();
     over * 2 > means.len()
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -117,7 +117,7 @@
         self.assess_newest_build();
         self.cast_vote();
         self.poll_endpoints();
-        self.count_late_attempts();
+        self.count_overdue_attempts();
         let endpoint_count = self.endpoints.active_count();
         self.concurrency.update(endpoint_count, self.config.instance_count);
         self.drop_oldest_build_record();
--- a/crates/policy/src/load_balancing.rs
+++ b/crates/policy/src/load_balancing.rs
@@ -37,10 +37,10 @@
 
 impl Policy {
     /// Power of two choices by requests in flight, for size, latency and zone, among a few endpoints drawn.
-    /// Those that health advises against are left out unless they are most; unreachable ones are used for want
-    /// of any other.
-    pub(crate) fn choose_endpoint(&mut self, request: &InFlightRequest) -> Option<EndpointId> {
-        let Candidates { mut good, poor, unreachable } = self.draw_candidates(request);
+    /// Those that health advises against are left out unless they are most; unreachable ones are used if
+    /// there is no other.
+    pub(crate) fn choose_endpoint(&mut self, in_flight: &InFlightRequest) -> Option<EndpointId> {
+        let Candidates { mut good, poor, unreachable } = self.draw_candidates(in_flight);
         if good.len() < poor.len() {
             good.extend(poor);
         }
@@ -53,14 +53,14 @@
         candidates.into_iter().min_by(|a, b| self.load(*a).total_cmp(&self.load(*b)))
     }
 
-    fn draw_candidates(&mut self, request: &InFlightRequest) -> Candidates {
+    fn draw_candidates(&mut self, in_flight: &InFlightRequest) -> Candidates {
         let mut candidates = Candidates::default();
         for position in 0..self.endpoints.active_count() {
             if position >= CANDIDATES_DRAWN && candidates.good.len() > 1 {
                 break;
             }
             let id = self.endpoints.draw(position, &mut self.rng);
-            match self.candidate_health(request, id) {
+            match self.candidate_health(in_flight, id) {
                 Some(CandidateHealth::Good) => candidates.good.push(id),
                 Some(CandidateHealth::Poor) => candidates.poor.push(id),
                 Some(CandidateHealth::Unreachable) => candidates.unreachable.push(id),
@@ -78,34 +78,35 @@
     }
 
     /// What health says of an endpoint that the rules allow for this request; none: a rule forbids it.
-    fn candidate_health(&mut self, request: &InFlightRequest, id: EndpointId) -> Option<CandidateHealth> {
+    fn candidate_health(&mut self, in_flight: &InFlightRequest, id: EndpointId) -> Option<CandidateHealth> {
         let endpoint = self.endpoints.get(id)?;
         let record = endpoint.record;
         let ejected = endpoint.health.is_ejected(self.now);
         let unreachable = endpoint.health.is_unreachable();
         let fault_ratio = endpoint.health.fault_ratio();
-        let allowed = self.exposure_allows(record.build, request.request.class)
-            && self.key_allows(request.request.key, record.build)
-            && self.retry_allows(request, &record)
-            && self.slow_start_allows(id, &request.request);
+        let allowed = self.exposure_allows(record.build, in_flight.request.class)
+            && self.key_allows(in_flight.request.key, record.build)
+            && self.retry_allows(in_flight, &record)
+            && self.slow_start_allows(id, &in_flight.request);
         if !allowed {
             return None;
         }
-        let suspect = self.is_only_attempt(request) && self.is_suspect(fault_ratio, record.build);
-        let poor = request.was_sent_to(id) || ejected || suspect || self.is_avoided(record.build);
-        Some(match (poor, ejected && unreachable) {
-            (false, _) => CandidateHealth::Good,
-            (true, true) => CandidateHealth::Unreachable,
-            (true, false) => CandidateHealth::Poor,
-        })
+        let suspect = self.must_not_run_twice(in_flight) && self.is_suspect(fault_ratio, record.build);
+        if ejected && unreachable {
+            Some(CandidateHealth::Unreachable)
+        } else if in_flight.was_sent_to(id) || ejected || suspect || self.is_avoided(record.build) {
+            Some(CandidateHealth::Poor)
+        } else {
+            Some(CandidateHealth::Good)
+        }
     }
 
-    /// Whether a request must not run twice, where requests of other classes may. It is no means to try an
-    /// endpoint that failed of late, where others can be.
-    fn is_only_attempt(&self, request: &InFlightRequest) -> bool {
+    /// Whether a request must not run twice, where requests of other classes may: those others, not this one,
+    /// are to find out whether an endpoint that failed of late serves again.
+    fn must_not_run_twice(&self, in_flight: &InFlightRequest) -> bool {
         let once = |class: &Class| class.idempotency == Idempotency::NonIdempotent;
         let classes = &self.config.classes;
-        once(&classes[request.request.class.0]) && !classes.iter().all(once)
+        once(&classes[in_flight.request.class.0]) && !classes.iter().all(once)
     }
 
     fn zone_slowdown(&self, id: EndpointId) -> f64 {
@@ -121,8 +122,8 @@
         let other_zone = endpoint.record.zone != self.config.zone;
         let zone_factor =
             if other_zone && self.config.cross_zone_price > 0.0 { CROSS_ZONE_FACTOR } else { 1.0 };
-        let warmth = self.warmth(&endpoint.record).unwrap_or(1.0);
-        let size = endpoint.record.rating.max(MIN_RATING) * warmth;
+        let slow_start_factor = self.slow_start_factor(&endpoint.record).unwrap_or(1.0);
+        let size = endpoint.record.rating.max(MIN_RATING) * slow_start_factor;
         let slowdown = endpoint.health.slowdown(self.now);
         f64::from(endpoint.in_flight + 1) * slowdown.exp() / size * zone_factor
     }
--- a/crates/policy/src/load_balancing/latency.rs
+++ b/crates/policy/src/load_balancing/latency.rs
@@ -53,6 +53,14 @@
     LearnUntilKnown,
 }
 
+/// What a baseline is kept for.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct BaselineKey {
+    class: ClassId,
+    /// One kind of endpoint; none: all kinds together.
+    kind: Option<KindId>,
+}
+
 /// How much slower an answer was than the baselines; none where a baseline is not known yet.
 pub(crate) struct Slowdown {
     /// Over the baseline of its class at all kinds of endpoint.
@@ -65,7 +73,7 @@
 #[derive(Default)]
 pub(crate) struct LatencyEstimates {
     /// Logarithm of latency over hint, by class, and by class and kind of endpoint.
-    baselines: BTreeMap<(ClassId, Option<KindId>), SmoothedLatency>,
+    baselines: BTreeMap<BaselineKey, SmoothedLatency>,
     /// Slowdown of the released builds in each zone.
     zones: BTreeMap<ZoneId, SmoothedLatency>,
     /// Mean work of a request, in microseconds.
@@ -78,7 +86,8 @@
         if let Some(hint) = request.work_hint {
             return hint as f64;
         }
-        let baseline = self.baselines.get(&(request.class, None)).filter(|b| b.count > 0);
+        let baseline =
+            self.baselines.get(&BaselineKey { class: request.class, kind: None }).filter(|b| b.count > 0);
         baseline.map_or(UNKNOWN_WORK, |b| b.mean.exp())
     }
 
@@ -98,16 +107,19 @@
     ) -> Slowdown {
         let hint = request.work_hint.map_or(1.0, |hint| hint.max(1) as f64);
         let value = (latency.max(1) as f64 / hint).ln();
+        let class = request.class;
+        let of_class = BaselineKey { class, kind: None };
+        let of_kind = BaselineKey { class, kind: Some(kind) };
         Slowdown {
-            over_class: self.over_baseline(now, (request.class, None), value, update),
-            over_kind: self.over_baseline(now, (request.class, Some(kind)), value, update),
+            over_class: self.over_baseline(now, of_class, value, update),
+            over_kind: self.over_baseline(now, of_kind, value, update),
         }
     }
 
     fn over_baseline(
         &mut self,
         now: Micros,
-        key: (ClassId, Option<KindId>),
+        key: BaselineKey,
         value: f64,
         update: BaselineUpdate,
     ) -> Option<f64> {
--- a/crates/policy/src/request_lifecycle.rs
+++ b/crates/policy/src/request_lifecycle.rs
@@ -9,7 +9,7 @@
 
 /// Share of the latency objective after which a rejected client should retry, on average: the answer must
 /// still be worth something then.
-const RETRY_AFTER_SHARE: f64 = 0.2;
+const RETRY_AFTER_FRACTION: f64 = 0.2;
 
 /// One sending of a request.
 pub(crate) struct Attempt {
@@ -17,9 +17,9 @@
     pub(crate) build: Build,
     pub(crate) sent: Micros,
     /// Of its endpoint when it was sent, if that was warming up.
-    pub(crate) warmth: Option<f64>,
+    pub(crate) slow_start_factor: Option<f64>,
     /// Open for longer than the latency objective, which was counted then.
-    pub(crate) counted_late: bool,
+    pub(crate) counted_overdue: bool,
     pub(crate) outcome: Option<Outcome>,
 }
 
@@ -69,15 +69,15 @@
     }
 
     /// Marks the attempts that are open for longer than the objective: how many were not marked before.
-    fn mark_late(&mut self, now: Micros, latency_objective: Micros) -> i32 {
-        let mut newly_late = 0;
+    fn mark_overdue(&mut self, now: Micros, latency_objective: Micros) -> i32 {
+        let mut newly_overdue = 0;
         for attempt in &mut self.attempts {
-            if attempt.is_open() && !attempt.counted_late && now >= attempt.sent + latency_objective {
-                attempt.counted_late = true;
-                newly_late += 1;
+            if attempt.is_open() && !attempt.counted_overdue && now >= attempt.sent + latency_objective {
+                attempt.counted_overdue = true;
+                newly_overdue += 1;
             }
         }
-        newly_late
+        newly_overdue
     }
 }
 
@@ -106,20 +106,20 @@
     }
 
     pub(crate) fn on_response_started(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(&id) {
-            request.state = RequestState::Responding;
+        if let Some(in_flight) = self.requests.get_mut(&id) {
+            in_flight.state = RequestState::Responding;
         }
     }
 
     pub(crate) fn on_attempt_completed(&mut self, result: &AttemptResult) {
         let id = result.id;
-        let Some(mut request) = self.requests.remove(&id) else { return };
-        if let Some(attempt) = request.attempts.get_mut(result.attempt).filter(|a| a.is_open()) {
+        let Some(mut in_flight) = self.requests.remove(&id) else { return };
+        if let Some(attempt) = in_flight.attempts.get_mut(result.attempt).filter(|a| a.is_open()) {
             attempt.outcome = Some(result.outcome);
-            self.record_outcome(&request.request, attempt, result.outcome, result.latency);
+            self.record_outcome(&in_flight.request, attempt, result.outcome, result.latency);
         }
-        let next_step = self.next_step(&request, result.request_finished);
-        self.requests.insert(id, request);
+        let next_step = self.next_step(&in_flight, result.request_finished);
+        self.requests.insert(id, in_flight);
         match next_step {
             NextStep::Finish => self.finish_request(id),
             NextStep::Wait => {}
@@ -131,17 +131,17 @@
         }
     }
 
-    fn next_step(&self, request: &InFlightRequest, finished: bool) -> NextStep {
-        if finished || request.state == RequestState::Finished {
+    fn next_step(&self, in_flight: &InFlightRequest, finished: bool) -> NextStep {
+        if finished || in_flight.state == RequestState::Finished {
             return NextStep::Finish;
         }
-        if request.has_open_attempt() || request.state == RequestState::Responding {
+        if in_flight.has_open_attempt() || in_flight.state == RequestState::Responding {
             return NextStep::Wait;
         }
-        let objective = self.config.classes[request.request.class.0].latency_objective;
-        let useful_until = request.request.deadline.min(request.arrived + objective);
+        let objective = self.config.classes[in_flight.request.class.0].latency_objective;
+        let useful_until = in_flight.request.deadline.min(in_flight.arrived + objective);
         let in_time = self.now + self.config.resolution < useful_until;
-        let attempts_left = request.attempts.len() < self.config.max_attempts;
+        let attempts_left = in_flight.attempts.len() < self.config.max_attempts;
         if attempts_left && in_time && self.retry_budget.allows_retry() {
             NextStep::Retry
         } else {
@@ -151,46 +151,46 @@
 
     /// Starts an attempt at an eligible endpoint; without one the request gets its answer at once.
     fn forward(&mut self, id: RequestId) {
-        let Some(mut request) = self.requests.remove(&id) else { return };
-        let choice = self.choose_endpoint(&request);
+        let Some(mut in_flight) = self.requests.remove(&id) else { return };
+        let choice = self.choose_endpoint(&in_flight);
         if let Some(endpoint) = choice {
-            self.start_attempt(&mut request, endpoint);
+            self.start_attempt(&mut in_flight, endpoint);
         }
-        self.requests.insert(id, request);
+        self.requests.insert(id, in_flight);
         if choice.is_none() {
             self.give_up(id);
         }
     }
 
-    fn start_attempt(&mut self, request: &mut InFlightRequest, id: EndpointId) {
+    fn start_attempt(&mut self, in_flight: &mut InFlightRequest, id: EndpointId) {
         let Some(record) = self.endpoints.get(id).map(|e| e.record) else { return };
-        self.spend_slow_start(id, &request.request);
+        self.spend_slow_start(id, &in_flight.request);
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.in_flight += 1;
         }
         let now = self.now;
-        self.build_record(record.build).attempts.add(now, request.request.class);
-        request.attempts.push(Attempt {
+        self.build_record(record.build).attempts.add(now, in_flight.request.class);
+        in_flight.attempts.push(Attempt {
             endpoint: id,
             build: record.build,
             sent: now,
-            warmth: self.warmth(&record),
-            counted_late: false,
+            slow_start_factor: self.slow_start_factor(&record),
+            counted_overdue: false,
             outcome: None,
         });
         self.concurrency.acquire();
-        let timeout = self.attempt_timeout(request);
-        self.actions.push(Action::Forward { id: request.request.id, endpoint: id, timeout });
+        let timeout = self.attempt_timeout(in_flight);
+        self.actions.push(Action::Forward { id: in_flight.request.id, endpoint: id, timeout });
     }
 
     /// An answer that earns nothing is not waited for: the work is better spent on others.
-    fn attempt_timeout(&self, request: &InFlightRequest) -> Option<Micros> {
-        let class = &self.config.classes[request.request.class.0];
-        let deadline = request.request.deadline;
+    fn attempt_timeout(&self, in_flight: &InFlightRequest) -> Option<Micros> {
+        let class = &self.config.classes[in_flight.request.class.0];
+        let deadline = in_flight.request.deadline;
         let useful_until = if class.late_priority_weight > 0.0 {
             deadline
         } else {
-            request.arrived + class.latency_objective
+            in_flight.arrived + class.latency_objective
         };
         let cut = useful_until < deadline && !class.streamed;
         cut.then(|| useful_until.saturating_sub(self.now).max(MILLISECOND))
@@ -198,13 +198,13 @@
 
     /// The final answer, at once: rejected where the rules allow it, with advice when to retry.
     fn give_up(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let may_have_run = request.may_have_run();
-        let Class { idempotency, latency_objective, .. } = self.config.classes[request.request.class.0];
+        let Some(in_flight) = self.requests.get(&id) else { return };
+        let may_have_run = in_flight.may_have_run();
+        let Class { idempotency, latency_objective, .. } = self.config.classes[in_flight.request.class.0];
         let repeatable =
             matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. });
         let spread = 0.5 + self.rng.f64();
-        let wait = (latency_objective as f64 * RETRY_AFTER_SHARE * spread) as Micros;
+        let wait = (latency_objective as f64 * RETRY_AFTER_FRACTION * spread) as Micros;
         let retry_after = self.config.retry_after.map(|longest| wait.min(longest));
         let answer =
             if repeatable || !may_have_run { Action::Reject { id, retry_after } } else { Action::Fail(id) };
@@ -214,25 +214,25 @@
 
     /// The request is over: open attempts are cancelled, and remembered until they end.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
-        let Some(mut request) = self.requests.remove(&id) else { return };
-        if self.config.cancellation && request.state == RequestState::Unanswered {
-            for (attempt, _) in request.attempts.iter().enumerate().filter(|(_, a)| a.is_open()) {
+        let Some(mut in_flight) = self.requests.remove(&id) else { return };
+        if self.config.cancellation && in_flight.state == RequestState::Unanswered {
+            for (attempt, _) in in_flight.attempts.iter().enumerate().filter(|(_, a)| a.is_open()) {
                 self.actions.push(Action::Cancel { id, attempt });
             }
         }
-        if request.has_open_attempt() {
-            request.state = RequestState::Finished;
-            self.requests.insert(id, request);
+        if in_flight.has_open_attempt() {
+            in_flight.state = RequestState::Finished;
+            self.requests.insert(id, in_flight);
         }
     }
 
     /// What has not been answered within its objective is late, and counts then. Danger: where late answers
     /// are worth waiting for, an overloaded fleet would show as late as they come, and be sent more until then.
-    pub(crate) fn count_late_attempts(&mut self) {
-        for request in self.requests.values_mut() {
-            let objective = self.config.classes[request.request.class.0].latency_objective;
-            let newly_late = request.mark_late(self.now, objective);
-            self.concurrency.record_late(newly_late);
+    pub(crate) fn count_overdue_attempts(&mut self) {
+        for in_flight in self.requests.values_mut() {
+            let objective = self.config.classes[in_flight.request.class.0].latency_objective;
+            let newly_overdue = in_flight.mark_overdue(self.now, objective);
+            self.concurrency.record_overdue(newly_overdue);
         }
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -37,11 +37,11 @@
 
 impl Policy {
     /// Whether a further attempt may go to this endpoint, given those before it.
-    pub(crate) fn retry_allows(&self, request: &InFlightRequest, candidate: &EndpointRecord) -> bool {
-        let earlier = || request.attempts.iter().filter(|attempt| attempt.may_have_run());
+    pub(crate) fn retry_allows(&self, in_flight: &InFlightRequest, candidate: &EndpointRecord) -> bool {
+        let earlier = || in_flight.attempts.iter().filter(|attempt| attempt.may_have_run());
         let Some(first_sent) = earlier().map(|attempt| attempt.sent).min() else { return true };
-        let may_overlap = self.config.hedging || !request.has_open_attempt();
-        match self.config.classes[request.request.class.0].idempotency {
+        let may_overlap = self.config.hedging || !in_flight.has_open_attempt();
+        match self.config.classes[in_flight.request.class.0].idempotency {
             Idempotency::Idempotent => may_overlap,
             Idempotency::NonIdempotent => false,
             Idempotency::Keyed { scope, window } => {
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -79,13 +79,19 @@
     in_window: f64,
 }
 
+/// Work sent to an endpoint, in microseconds, and when.
+struct SentWork {
+    at: Micros,
+    work: f64,
+}
+
 /// What this instance has sent to an endpoint that may be warming up.
 #[derive(Default)]
 pub(crate) struct SlowStartBudget {
-    /// Work sent of late, and when.
-    recent_work: VecDeque<(Micros, f64)>,
+    /// What was sent in the last overload window.
+    recent_work: VecDeque<SentWork>,
     /// Of a core of the endpoint, kept for this instance while it is warming up.
-    core_share: f64,
+    core_fraction: f64,
     /// What the accrued allowance must come to before the work sent is paid for.
     paid_at_accrued: f64,
     /// 0 to 1: where this instance's turns lie among all instances' at this endpoint.
@@ -98,9 +104,9 @@
     /// soon is lost: else all instances save one up and send it when a drain or a partition ends elsewhere.
     /// Harm: busy instances use the budget up slowly.
     fn admits(&mut self, now: Micros, window: Micros, allowance: &Allowance, work: f64, turn: f64) -> bool {
-        while self.recent_work.pop_front_if(|(at, _)| now - *at > window).is_some() {}
+        while self.recent_work.pop_front_if(|sent| now - sent.at > window).is_some() {}
         let budget = allowance.in_window;
-        let sent: f64 = self.recent_work.iter().map(|(_, work)| work).sum();
+        let sent: f64 = self.recent_work.iter().map(|sent| sent.work).sum();
         let owed = (self.paid_at_accrued - allowance.accrued).max(0.0);
         let turn_is_due = (allowance.accrued / turn + self.phase).fract() * turn < budget / 2.0;
         let fits = owed + work <= budget && sent + work <= budget;
@@ -108,14 +114,14 @@
     }
 
     fn spend(&mut self, now: Micros, allowance: &Allowance, work: f64) {
-        self.recent_work.push_back((now, work));
+        self.recent_work.push_back(SentWork { at: now, work });
         self.paid_at_accrued = self.paid_at_accrued.max(allowance.accrued) + work;
     }
 }
 
 impl Policy {
     /// How much of its capacity an endpoint surely has, 0 to 1; none: it has long warmed up.
-    pub(crate) fn warmth(&self, record: &EndpointRecord) -> Option<f64> {
+    pub(crate) fn slow_start_factor(&self, record: &EndpointRecord) -> Option<f64> {
         let age = self.now.saturating_sub(record.started?) as f64;
         let progress = age / self.config.slow_start_duration.max(1) as f64;
         let initial = self.config.slow_start_initial;
@@ -131,7 +137,7 @@
         let own_offset = f64::from(self.config.instance_index) / instances;
         SlowStartBudget {
             phase: (common_rng.f64() + own_offset).fract(),
-            core_share: self.core_share(record.kind),
+            core_fraction: self.core_fraction(record.kind),
             ..SlowStartBudget::default()
         }
     }
@@ -141,7 +147,7 @@
     /// part of a fraction of a core. Danger: a standard core is more than a slow or small endpoint has. Harm:
     /// at low load, or soon after its own start, an instance uses less of a warming endpoint than it would
     /// bear.
-    fn core_share(&self, kind: KindId) -> f64 {
+    fn core_fraction(&self, kind: KindId) -> f64 {
         let instances = f64::from(self.config.instance_count);
         let share = self.served_loads.mean(kind).max(ASSURED_CORE / instances);
         // Where a part is below a request, what all send is a sum of chance: its spread is kept free too.
@@ -157,12 +163,12 @@
 
     /// This instance's part of an endpoint's budget; none: it has warmed up.
     fn allowance(&self, endpoint: &Endpoint) -> Option<Allowance> {
-        let warmth = self.warmth(&endpoint.record)?;
+        let slow_start_factor = self.slow_start_factor(&endpoint.record)?;
         let age = self.now.saturating_sub(endpoint.record.started?) as f64;
-        let rate = self.config.overload_multiple * endpoint.slow_start.core_share;
+        let rate = self.config.overload_multiple * endpoint.slow_start.core_fraction;
         Some(Allowance {
-            accrued: rate * age * (self.config.slow_start_initial + warmth) / 2.0,
-            in_window: rate * warmth * self.config.overload_window as f64,
+            accrued: rate * age * (self.config.slow_start_initial + slow_start_factor) / 2.0,
+            in_window: rate * slow_start_factor * self.config.overload_window as f64,
         })
     }
 
@@ -204,7 +210,7 @@
         let mut kinds: BTreeMap<KindId, KindCount> = BTreeMap::new();
         for endpoint in self.endpoints.active() {
             let count = kinds.entry(endpoint.record.kind).or_default();
-            if self.warmth(&endpoint.record).is_some() {
+            if self.slow_start_factor(&endpoint.record).is_some() {
                 count.warming_up += 1;
             } else {
                 count.warm += 1;
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -4,6 +4,12 @@
 
 use crate::api::{ClassId, Micros};
 
+/// A request or an attempt.
+struct Entry {
+    at: Micros,
+    class: ClassId,
+}
+
 /// Requests or attempts of the last span, counted by class.
 ///
 /// Entries older than the span are dropped whenever one is added or counted, so that the memory is bounded by
@@ -11,7 +17,7 @@
 #[derive(Default)]
 pub(crate) struct SlidingWindow {
     span: Micros,
-    entries: VecDeque<(Micros, ClassId)>,
+    entries: VecDeque<Entry>,
     count_by_class: Vec<u32>,
 }
 
@@ -23,7 +29,7 @@
     pub(crate) fn add(&mut self, now: Micros, class: ClassId) {
         // Also where nobody counts, as between two trials.
         self.drop_expired(now);
-        self.entries.push_back((now, class));
+        self.entries.push_back(Entry { at: now, class });
         self.count_by_class[class.0] += 1;
     }
 
@@ -42,8 +48,8 @@
     }
 
     fn drop_expired(&mut self, now: Micros) {
-        while let Some((_, class)) = self.entries.pop_front_if(|(at, _)| *at + self.span < now) {
-            self.count_by_class[class.0] -= 1;
+        while let Some(expired) = self.entries.pop_front_if(|entry| entry.at + self.span < now) {
+            self.count_by_class[expired.class.0] -= 1;
         }
     }
 }
