--- /dev/null
+++ b/crates/policy/tests/request_lifecycle.rs
@@ -0,0 +1,78 @@
+//! A request from its arrival to its final answer.
+
+mod common;
+
+use common::{BOOK, Harness, MS, OLD, PAY, READ, config, endpoint_record, final_answers, forwarded_to};
+use garnetcrank_policy::api::{Action, Event, Outcome};
+
+#[test]
+fn every_request_gets_one_final_answer() {
+    let outcomes = [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::Overloaded,
+        Outcome::ConnectionLost,
+        Outcome::ConnectFailed,
+        Outcome::NotSent,
+        Outcome::Cancelled,
+    ];
+    for class in [READ, BOOK, PAY] {
+        for outcome in outcomes {
+            let mut harness =
+                Harness::on_trial(config(), vec![endpoint_record(1, OLD), endpoint_record(2, OLD)]);
+            let (id, actions) = harness.request(class);
+            let mut open = forwarded_to(&actions).is_some();
+            let mut answers = 0;
+            let mut attempt = 0;
+            while open {
+                harness.now += 5 * MS;
+                let actions = harness.complete(id, attempt, outcome, 5 * MS);
+                open = forwarded_to(&actions).is_some();
+                attempt += 1;
+                answers += final_answers(&actions);
+            }
+            for _ in 0..50 {
+                answers += final_answers(&harness.tick(25));
+            }
+            assert_eq!(answers, 1, "{class:?} {outcome:?}");
+            assert!(attempt <= 4, "no more attempts than allowed");
+        }
+    }
+}
+
+#[test]
+fn a_request_without_an_eligible_endpoint_is_answered_at_once() {
+    let mut harness = Harness::on_trial(config(), Vec::new());
+    let (id, actions) = harness.request(PAY);
+    assert_eq!(actions, [Action::Reject { id, retry_after: None }]);
+    assert_eq!((0..60).map(|_| final_answers(&harness.tick(25))).sum::<usize>(), 0, "and never again");
+}
+
+#[test]
+fn a_client_disconnect_cancels_attempts_and_stops_retries() {
+    let mut harness = Harness::on_trial(config(), vec![endpoint_record(1, OLD), endpoint_record(2, OLD)]);
+    let (id, _) = harness.request(READ);
+    assert_eq!(harness.send(Event::ClientDisconnected(id)), [Action::Cancel { id, attempt: 0 }]);
+    assert!(harness.complete(id, 0, Outcome::Error, MS).is_empty());
+    assert!(harness.send(Event::ClientDisconnected(id)).is_empty());
+    assert!(harness.complete(id, 0, Outcome::Error, MS).is_empty(), "an outcome of a request long gone");
+}
+
+#[test]
+fn a_started_response_is_neither_cancelled_nor_retried() {
+    let mut harness = Harness::on_trial(config(), vec![endpoint_record(1, OLD), endpoint_record(2, OLD)]);
+    let (id, _) = harness.request(READ);
+    harness.send(Event::ResponseStarted { id, attempt: 0 });
+    assert!(harness.send(Event::ClientDisconnected(id)).is_empty(), "not cancelled");
+    assert!(harness.complete(id, 0, Outcome::ConnectionLost, MS).is_empty());
+}
+
+#[test]
+fn retry_after_is_within_half_of_the_latency_objective() {
+    let mut with_retry_after = config();
+    with_retry_after.retry_after = Some(1_000 * MS);
+    let mut harness = Harness::on_trial(with_retry_after, Vec::new());
+    let (_, actions) = harness.request(READ);
+    let [Action::Reject { retry_after: Some(after), .. }] = actions[..] else { panic!("{actions:?}") };
+    assert!(after < 200 * MS, "within half of the objective: {after}");
+}
