--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -28,7 +28,7 @@
 
 /// By how much a ratio of failures must exceed the earlier build's, over 20 outcomes.
 const FAILURE_MARGIN: f64 = 0.1;
-/// Part of that margin that a failure must fall under to end: no flicker about it.
+/// Factor on that margin below which a failure ends, so that it does not flicker about it.
 const RECOVERY_FACTOR: f64 = 0.5;
 /// Logarithm by which a build must surely be slower to fail by its latency: 1.35 times.
 const LATENCY_SLOWDOWN: f64 = 0.3;
@@ -57,7 +57,7 @@
         let Some(record) = self.builds.get(&build).filter(|r| !r.has_failed()) else { return };
         let assessments = self.assess(record, self.earlier_record(build), by_fleet);
         let now = self.now;
-        let judged = self.judges(&assessments);
+        let judged = self.judges_some_class(&assessments);
         let record = self.build_record(build);
         record.judged = judged;
         let mut sustained = None;
@@ -97,7 +97,7 @@
 
     /// Whether some class is judged. Where many instances must agree all classes together count: an instance
     /// that sees little would stay silent.
-    fn judges(&self, assessments: &[CriterionAssessment]) -> bool {
+    fn judges_some_class(&self, assessments: &[CriterionAssessment]) -> bool {
         let needs_agreement = self.config.rollout.rollback_quorum > 1;
         assessments.iter().any(|assessed| {
             let counts = match assessed.criterion {
--- a/crates/policy/src/load_balancing.rs
+++ b/crates/policy/src/load_balancing.rs
@@ -91,7 +91,7 @@
         if !allowed {
             return None;
         }
-        let suspect = self.must_not_run_twice(in_flight) && self.is_suspect(fault_ratio, record.build);
+        let suspect = self.avoids_suspects(in_flight) && self.is_suspect(fault_ratio, record.build);
         if ejected && unreachable {
             Some(CandidateHealth::Unreachable)
         } else if in_flight.was_sent_to(id) || ejected || suspect || self.is_avoided(record.build) {
@@ -103,7 +103,7 @@
 
     /// Whether a request must not run twice, where requests of other classes may: those others, not this one,
     /// are to find out whether an endpoint that failed of late serves again.
-    fn must_not_run_twice(&self, in_flight: &InFlightRequest) -> bool {
+    fn avoids_suspects(&self, in_flight: &InFlightRequest) -> bool {
         let once = |class: &Class| class.idempotency == Idempotency::NonIdempotent;
         let classes = &self.config.classes;
         once(&classes[in_flight.request.class.0]) && !classes.iter().all(once)
