--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -101,7 +101,7 @@
     names.len() - 1
 }
 
-/// Converts milliseconds to whole microseconds, limited to the range of 0 to [`MAX_MICROS`].
+/// Converts milliseconds to whole microseconds, limited to the range of 0 to 10^15 (about 31 years).
 pub fn micros(ms: f64) -> Micros {
     (ms * MICROS_PER_MS).round().clamp(0.0, MAX_MICROS) as Micros
 }
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -73,7 +73,7 @@
         let Some(instance) = self.instances.get_mut(&number) else {
             return Err(ProtocolError::UnknownInstance { instance: number });
         };
-        let Some(event) = instance.to_event(line, &self.endpoint_lists)? else {
+        let Some(event) = instance.translate_event(line, &self.endpoint_lists)? else {
             return Ok(());
         };
         self.actions.clear();
@@ -84,20 +84,27 @@
                 }
                 Ok(())
             }
-            Err(text) => push_line(&mut self.reply, &Output::Panicked { instance: number, text: &text }),
+            Err(panic) => {
+                push_line(&mut self.reply, &Output::Panicked { instance: number, text: &panic.message })
+            }
         }
     }
 }
 
-/// Hands an event to an instance's policy. A panic is returned as its message.
+/// A panic of the policy.
+struct PolicyPanic {
+    message: String,
+}
+
+/// Hands an event to an instance's policy.
 fn run_policy(
     instance: &mut Instance,
     now: Micros,
     event: Event,
     actions: &mut Vec<Action>,
-) -> Result<(), String> {
+) -> Result<(), PolicyPanic> {
     let handled = catch_unwind(AssertUnwindSafe(|| instance.policy.handle(now, event, actions)));
-    handled.map_err(|panic| panic_message(panic.as_ref()).to_owned())
+    handled.map_err(|panic| PolicyPanic { message: panic_message(panic.as_ref()).to_owned() })
 }
 
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -61,6 +61,9 @@
         /// The list's number.
         list_id: u32,
     },
+    /// A line that is no event of an instance.
+    #[error("a line that is no event of an instance")]
+    NotAnEvent,
     /// A class that the settings do not have.
     #[error("class {name:?} is not among the grades of the settings")]
     UnknownClass {
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -54,20 +54,43 @@
     ///
     /// # Errors
     /// The line names a class, a list or a phase that does not exist, or a message that can't be decoded.
-    pub fn to_event(
+    pub fn translate_event(
         &mut self,
         line: Input,
         lists: &HashMap<u32, Vec<EndpointRow>>,
     ) -> Result<Option<Event>, ProtocolError> {
-        let event = match line {
+        match line {
             Input::BatchBegin { .. }
             | Input::BatchEnd {}
             | Input::EndpointList { .. }
             | Input::StartInstance { .. }
-            | Input::StopInstance { .. } => return Ok(None),
+            | Input::StopInstance { .. } => Ok(None),
             Input::EndpointUpdate { how, list_id, .. } => {
-                Event::EndpointsUpdated(self.endpoint_update(how, list_id, lists)?)
+                self.endpoint_update(how, list_id, lists).map(|update| Some(Event::EndpointsUpdated(update)))
             }
+            Input::RolloutStatus { build, stage, phase, how, outcome, exposure_cap, age, .. } => {
+                let status = RolloutStatus {
+                    build: Build(build),
+                    stage,
+                    phase: rollout_phase(phase)?,
+                    exposure_cap,
+                    age: micros(age),
+                };
+                Ok(rollout_event(how, outcome, status))
+            }
+            Input::Timer { token, .. } => Ok(Some(Event::Timer(token))),
+            Input::Gossip { from, bytes_hex, .. } => {
+                let bytes = decode_hex(&bytes_hex)?;
+                Ok(Some(Event::GossipReceived { from: PeerId(from), bytes }))
+            }
+            Input::BuildTally { .. } | Input::AnswerFlagged { .. } => self.report_event(line).map(Some),
+            _ => self.request_event(line).map(Some),
+        }
+    }
+
+    /// The event of a line about a request, an attempt or a health check.
+    fn request_event(&mut self, line: Input) -> Result<Event, ProtocolError> {
+        Ok(match line {
             Input::Request { request, class, tenant, key, deadline, work_hint, flags, .. } => {
                 let hinted = flags & FLAG_HINTED != 0;
                 Event::Request(Request {
@@ -100,7 +123,6 @@
                 load_report: load_report.unwrap_or_default(),
             }),
             Input::ClientDisconnected { request, .. } => Event::ClientDisconnected(RequestId(request)),
-            Input::Timer { token, .. } => Event::Timer(token),
             Input::HealthCheckCompleted { endpoint, latency, outcome, load_report, .. } => {
                 Event::HealthCheckCompleted {
                     endpoint: self.endpoint(&endpoint),
@@ -109,19 +131,13 @@
                     load_report: load_report.unwrap_or_default(),
                 }
             }
-            Input::Gossip { from, bytes_hex, .. } => {
-                Event::GossipReceived { from: PeerId(from), bytes: decode_hex(&bytes_hex)? }
-            }
-            Input::RolloutStatus { build, stage, phase, how, outcome, exposure_cap, age, .. } => {
-                let status = RolloutStatus {
-                    build: Build(build),
-                    stage,
-                    phase: rollout_phase(phase)?,
-                    exposure_cap,
-                    age: micros(age),
-                };
-                return Ok(rollout_event(how, outcome, status));
-            }
+            _ => return Err(ProtocolError::NotAnEvent),
+        })
+    }
+
+    /// The event of a line with counts of a build, or with a wrong answer.
+    fn report_event(&mut self, line: Input) -> Result<Event, ProtocolError> {
+        Ok(match line {
             Input::BuildTally { class, build, latency, errors, age, count, .. } => Event::Tally {
                 build: Build(build),
                 class: self.class(&class)?,
@@ -135,8 +151,8 @@
                 class: self.class(&class)?,
                 age: micros(age),
             },
-        };
-        Ok(Some(event))
+            _ => return Err(ProtocolError::NotAnEvent),
+        })
     }
 
     /// The line that an action becomes.
