--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -4,47 +4,27 @@
 mod exchange;
 mod outcome;
 mod pool;
+mod start;
 #[cfg(test)]
 mod tests;
 
 use std::collections::BTreeSet;
 
 use calloop::Readiness;
-use garnetcrank_http::{Request, ResponseReader, Ring, write_request};
 use garnetcrank_policy::api::{Build, EndpointId, Micros, Outcome, RequestId};
 use garnetcrank_settings::Transport;
 use rustc_hash::FxHashMap;
 
-use crate::clock::{MS, SECOND};
-use crate::connection::Connection;
 use crate::discovery::EndpointAddress;
-use crate::http_exchange::{ExchangeProgress, HttpExchange};
-use crate::readiness::{ConnId, ConnIds, Handle, Source};
+use crate::http_exchange::ExchangeProgress;
+use crate::readiness::ConnId;
 pub(crate) use event::{UpstreamEvent, UpstreamRequest};
-use exchange::{
-    ActiveExchange, Advance, CompletedResponse, Purpose, STREAM_SILENCE_TIMEOUT, UpstreamConnection,
-};
-use outcome::{LOAD_REPORT_HEADER, connect_error_outcome, load_report, response_outcome};
+use exchange::{Advance, CompletedResponse, Purpose, STREAM_SILENCE_TIMEOUT, UpstreamConnection};
+use outcome::{load_report, response_outcome};
 use pool::ConnectionPool;
 
 /// Maximum size of a message's body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Capacity for a request, in bytes: its body, and its head with a margin for the headers that are added.
-const OUTPUT_RING_BYTES: usize = MAX_BODY_BYTES + 40 * 1024;
-/// Capacity for what has arrived and is not parsed yet, in bytes.
-const INPUT_RING_BYTES: usize = 32 * 1024;
-/// Wait for the answer to a health check; it is a few bytes.
-const HEALTH_CHECK_TIMEOUT: Micros = SECOND;
-/// Header that tells an endpoint how long it is waited for, in milliseconds.
-const TIMEOUT_HEADER: &str = "Request-Timeout-Ms";
-
-/// An exchange to be started.
-struct ExchangePlan {
-    endpoint: EndpointId,
-    purpose: Purpose,
-    deadline: Micros,
-}
-
 /// One attempt of a client's request.
 type AttemptKey = (RequestId, usize);
 
@@ -120,135 +100,11 @@
         }
     }
 
-    /// Starts an attempt.
-    ///
-    /// # Errors
-    /// The outcome of an attempt that could not start.
-    pub(crate) fn start_attempt(
-        &mut self,
-        handle: &Handle,
-        ids: &mut ConnIds,
-        now: Micros,
-        attempt: &UpstreamRequest<'_>,
-        events: &mut Vec<UpstreamEvent>,
-    ) -> Result<(), Outcome> {
-        let timeout_ms = (attempt.deadline.saturating_sub(now) / MS).max(1).to_string();
-        let replaced = [TIMEOUT_HEADER, LOAD_REPORT_HEADER];
-        let is_replaced = |name: &str| replaced.iter().any(|other| name.eq_ignore_ascii_case(other));
-        let forwarded = attempt.request.headers.end_to_end().filter(|(name, _)| !is_replaced(name));
-        let headers = forwarded.chain(std::iter::once((TIMEOUT_HEADER, timeout_ms.as_bytes())));
-        let Request { method, target, body, .. } = attempt.request;
-        let UpstreamRequest { id, attempt, endpoint, deadline, streamed, .. } = *attempt;
-        let purpose = Purpose::Attempt { id, attempt, streamed };
-        let plan = ExchangePlan { endpoint, purpose, deadline };
-        self.start(handle, ids, now, &plan, events, |output| {
-            write_request(output, method, target, headers, body).is_ok()
-        })
-    }
-
-    /// Starts a health check.
-    ///
-    /// # Errors
-    /// The outcome of a health check that could not start.
-    pub(crate) fn start_health_check(
-        &mut self,
-        handle: &Handle,
-        ids: &mut ConnIds,
-        now: Micros,
-        endpoint: EndpointId,
-        events: &mut Vec<UpstreamEvent>,
-    ) -> Result<(), Outcome> {
-        let target = if self.transport.report_columns.is_empty() { "/healthz" } else { "/load" };
-        let host = self.pool.address(endpoint).ok_or(Outcome::NotSent)?.to_string();
-        let headers = std::iter::once(("Host", host.as_bytes()));
-        let deadline = now + HEALTH_CHECK_TIMEOUT;
-        let plan = ExchangePlan { endpoint, purpose: Purpose::HealthCheck, deadline };
-        self.start(handle, ids, now, &plan, events, |output| {
-            write_request(output, "GET", target, headers, b"").is_ok()
-        })
-    }
-
     /// Whether an exchange with this endpoint needs no new connection.
     pub(crate) fn has_idle(&self, endpoint: EndpointId, now: Micros) -> bool {
         self.pool.has_idle(endpoint, now)
     }
 
-    fn start(
-        &mut self,
-        handle: &Handle,
-        ids: &mut ConnIds,
-        now: Micros,
-        plan: &ExchangePlan,
-        events: &mut Vec<UpstreamEvent>,
-        write: impl FnOnce(&mut Ring) -> bool,
-    ) -> Result<(), Outcome> {
-        let reader = match plan.purpose {
-            Purpose::Attempt { streamed: true, .. } => ResponseReader::streamed(MAX_BODY_BYTES),
-            _ => ResponseReader::buffered(MAX_BODY_BYTES),
-        };
-        let idle = self.pool.take_idle(plan.endpoint, now);
-        let (id, mut connection, exchange, connect_deadline) = match idle {
-            Some((id, connection)) => {
-                self.reused += 1;
-                (id, connection, HttpExchange::on_open_connection(reader), plan.deadline)
-            }
-            None => {
-                let (id, connection) = self.connect(handle, ids, now, plan.endpoint)?;
-                let connect_deadline = now + self.transport.connect_timeout;
-                (id, connection, HttpExchange::connecting(reader), connect_deadline)
-            }
-        };
-        if !write(&mut connection.connection.output) {
-            return Err(Outcome::NotSent);
-        }
-        let is_established = exchange.connected();
-        let check_at = connect_deadline.min(plan.deadline);
-        connection.active = Some(ActiveExchange {
-            purpose: plan.purpose,
-            exchange,
-            started_at: now,
-            connect_deadline,
-            check_at,
-            deadline: plan.deadline,
-            is_streaming: false,
-        });
-        self.deadlines.insert((check_at, id));
-        if let Purpose::Attempt { id: request, attempt, .. } = plan.purpose {
-            self.attempts.insert((request, attempt), id);
-        }
-        self.pool.insert(id, connection);
-        // The event loop reports when a new connection is established.
-        if is_established {
-            self.resume(id, now, events);
-        }
-        Ok(())
-    }
-
-    fn connect(
-        &mut self,
-        handle: &Handle,
-        ids: &mut ConnIds,
-        now: Micros,
-        endpoint: EndpointId,
-    ) -> Result<(ConnId, UpstreamConnection), Outcome> {
-        let address = self.pool.address(endpoint).ok_or(Outcome::NotSent)?;
-        let generation = self.pool.generation(endpoint).ok_or(Outcome::NotSent)?;
-        let id = ids.next();
-        let source = Source::Upstream(id);
-        let connection = Connection::connect(handle, address, source, INPUT_RING_BYTES, OUTPUT_RING_BYTES)
-            .map_err(|error| connect_error_outcome(&error))?;
-        self.opened += 1;
-        let connection = UpstreamConnection {
-            connection,
-            endpoint,
-            generation,
-            active: None,
-            idle_since: now,
-            paused: false,
-        };
-        Ok((id, connection))
-    }
-
     /// Reads what the event loop has reported on a connection.
     pub(crate) fn on_ready(
         &mut self,
