--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -20,34 +20,34 @@
 /// The configuration of an instance in `zone`.
 pub(crate) fn from_raw(raw: &RawSettings, zone: ZoneId) -> Config {
     Config {
-        instance_count: raw.balancers.max(1),
-        instance_index: raw.me,
+        instance_count: raw.instance_count.max(1),
+        instance_index: raw.instance_index,
         zone,
-        classes: raw.grades.iter().map(class).collect(),
+        classes: raw.classes.iter().map(class).collect(),
         tenants: raw
             .tenants
             .iter()
-            .map(|tenant| Tenant { share: tenant.portion, quota_per_s: tenant.quota_rps })
+            .map(|tenant| Tenant { share: tenant.share, quota_per_s: tenant.quota_per_s })
             .collect(),
-        priority_by_work: raw.value_by == VALUE_BY_WORK,
-        over_quota_weight: raw.over_share_worth,
-        poll_endpoints: raw.registry_mode == RawRegistryMode::OnRequest,
-        poll_timeout: micros(raw.safety.ask_within),
-        health_checks: raw.limits.probes,
-        cancellation: raw.limits.cancel,
-        hedging: raw.limits.parallel_tries,
-        gossip: raw.limits.peer_messages,
+        priority_by_work: raw.priority_by == VALUE_BY_WORK,
+        over_quota_weight: raw.over_quota_weight,
+        poll_endpoints: raw.discovery_mode == RawRegistryMode::OnRequest,
+        poll_timeout: micros(raw.safety.poll_timeout),
+        health_checks: raw.limits.health_checks,
+        cancellation: raw.limits.cancellation,
+        hedging: raw.limits.hedging,
+        gossip: raw.limits.gossip,
         retry_after: raw.limits.retry_after.then(|| micros(raw.limits.max_retry_after)),
         max_attempts: raw.limits.max_attempts,
         resolution: micros(raw.resolution),
         drain_grace: micros(raw.safety.drain_grace),
-        slow_start_initial: raw.safety.cold_from,
-        slow_start_duration: micros(raw.safety.warm_after),
-        overload_multiple: raw.safety.fall_multiple,
-        overload_window: micros(raw.safety.fall),
+        slow_start_initial: raw.safety.slow_start_initial,
+        slow_start_duration: micros(raw.safety.slow_start_duration),
+        overload_multiple: raw.safety.overload_multiple,
+        overload_window: micros(raw.safety.overload_window),
         cross_zone_price: raw.prices.cross_zone,
         rated: raw.weights != NO_WEIGHTS,
-        rollout: rollout(&raw.specifics),
+        rollout: rollout(&raw.rollout),
     }
 }
 
@@ -55,20 +55,20 @@
     Class {
         name: raw.name.clone(),
         idempotency: idempotency(raw),
-        latency_objective: micros(raw.goal_time),
+        latency_objective: micros(raw.latency_objective),
         deadline: micros(raw.deadline),
-        priority_weight: raw.credit,
-        late_priority_weight: raw.late_share,
-        streamed: raw.stream,
+        priority_weight: raw.priority_weight,
+        late_priority_weight: raw.late_priority_weight,
+        streamed: raw.streamed,
     }
 }
 
 fn idempotency(raw: &RawClass) -> Idempotency {
-    match raw.effect {
+    match raw.idempotency {
         RawIdempotency::Repeatable => Idempotency::Idempotent,
         RawIdempotency::Once => Idempotency::NonIdempotent,
         RawIdempotency::ByKey => {
-            Idempotency::Keyed { scope: key_scope(raw.dedup_scope), window: micros(raw.repeat_window) }
+            Idempotency::Keyed { scope: key_scope(raw.key_scope), window: micros(raw.key_window) }
         }
     }
 }
@@ -88,23 +88,23 @@
             RawVoteMode::Share => VoteMode::Share,
             RawVoteMode::Timer => VoteMode::Timer,
         },
-        replacement: match raw.replace_mode {
+        replacement: match raw.replacement {
             RawReplacementMode::Beside => ReplacementMode::SideBySide,
             RawReplacementMode::InPlace => ReplacementMode::InPlace,
         },
-        stages: raw.steps.clone(),
-        exposure_caps: raw.most_shares.clone(),
+        stages: raw.stages.clone(),
+        exposure_caps: raw.exposure_caps.clone(),
         exposure_window: micros(raw.exposure_window),
-        exposure_allowance: raw.spare_tries,
+        exposure_allowance: raw.exposure_allowance,
         exposure_by_class: raw.counted_by == COUNTED_BY_CLASS,
         guarded_stages: raw.guarded_stages,
-        forward_only_keys: raw.no_return,
-        vote_ttl: micros(raw.ballot_ttl),
-        vote_timeout: micros(raw.vote_wait),
-        rollback_quorum: raw.back_votes,
-        votes_per_s: raw.api_rate,
-        stage_duration: micros(raw.moves_after),
+        forward_only_keys: raw.forward_only_keys,
+        vote_ttl: micros(raw.vote_ttl),
+        vote_timeout: micros(raw.vote_timeout),
+        rollback_quorum: raw.rollback_quorum,
+        votes_per_s: raw.votes_per_s,
+        stage_duration: micros(raw.stage_duration),
         delay_price: raw.delay_price,
-        harm_price: raw.damage_price,
+        harm_price: raw.harm_price,
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -75,18 +75,18 @@
     fn try_from(raw: RawSettings) -> Result<Self, SettingsError> {
         validate::validate(&raw)?;
         let mut zones = raw.zones.clone();
-        let own_zone = position_or_insert(&mut zones, &raw.my_zone);
+        let own_zone = position_or_insert(&mut zones, &raw.own_zone);
         Ok(Settings {
             config: config::from_raw(&raw, ZoneId(own_zone)),
-            classes: raw.grades.into_iter().map(|class| class.name).collect(),
+            classes: raw.classes.into_iter().map(|class| class.name).collect(),
             tenants: raw.tenants.into_iter().map(|tenant| tenant.name).collect(),
             zones,
             kinds: raw.kinds,
             transport: Transport {
-                idle_timeout: micros(raw.limits.conn_idle),
+                idle_timeout: micros(raw.limits.idle_timeout),
                 connect_timeout: micros(raw.limits.connect_timeout),
-                max_in_flight: (raw.limits.most_held > 0).then_some(raw.limits.most_held),
-                report_columns: raw.report.columns,
+                max_in_flight: (raw.limits.max_in_flight > 0).then_some(raw.limits.max_in_flight),
+                report_columns: raw.load_report.columns,
             },
         })
     }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -27,30 +27,33 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawSettings {
-    pub(crate) balancers: u32,
-    #[serde(default)]
-    pub(crate) me: u32,
-    pub(crate) grades: Vec<RawClass>,
+    #[serde(rename = "balancers")]
+    pub(crate) instance_count: u32,
+    #[serde(rename = "me", default)]
+    pub(crate) instance_index: u32,
+    #[serde(rename = "grades")]
+    pub(crate) classes: Vec<RawClass>,
     #[serde(default)]
     pub(crate) kinds: Vec<String>,
     pub(crate) limits: RawLimits,
-    #[serde(default)]
-    pub(crate) my_zone: String,
-    #[serde(default)]
-    pub(crate) over_share_worth: f64,
-    #[serde(default)]
-    pub(crate) report: RawLoadReport,
+    #[serde(rename = "myZone", default)]
+    pub(crate) own_zone: String,
+    #[serde(rename = "overShareWorth", default)]
+    pub(crate) over_quota_weight: f64,
+    #[serde(rename = "report", default)]
+    pub(crate) load_report: RawLoadReport,
     #[serde(default)]
     pub(crate) prices: RawPrices,
-    #[serde(default)]
-    pub(crate) registry_mode: RawRegistryMode,
+    #[serde(rename = "registryMode", default)]
+    pub(crate) discovery_mode: RawRegistryMode,
     pub(crate) resolution: f64,
     pub(crate) safety: RawSafety,
-    pub(crate) specifics: RawRollout,
+    #[serde(rename = "specifics")]
+    pub(crate) rollout: RawRollout,
     #[serde(default)]
     pub(crate) tenants: Vec<RawTenant>,
-    #[serde(default)]
-    pub(crate) value_by: String,
+    #[serde(rename = "valueBy", default)]
+    pub(crate) priority_by: String,
     #[serde(default)]
     pub(crate) weights: String,
     #[serde(default)]
@@ -71,19 +74,21 @@
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawClass {
     pub(crate) name: String,
-    pub(crate) goal_time: f64,
+    #[serde(rename = "goalTime")]
+    pub(crate) latency_objective: f64,
     pub(crate) deadline: f64,
-    pub(crate) effect: RawIdempotency,
-    #[serde(default = "default_credit")]
-    pub(crate) credit: f64,
-    #[serde(default)]
-    pub(crate) late_share: f64,
-    #[serde(default)]
-    pub(crate) dedup_scope: RawKeyScope,
-    #[serde(default)]
-    pub(crate) repeat_window: f64,
-    #[serde(default)]
-    pub(crate) stream: bool,
+    #[serde(rename = "effect")]
+    pub(crate) idempotency: RawIdempotency,
+    #[serde(rename = "credit", default = "default_credit")]
+    pub(crate) priority_weight: f64,
+    #[serde(rename = "lateShare", default)]
+    pub(crate) late_priority_weight: f64,
+    #[serde(rename = "dedupScope", default)]
+    pub(crate) key_scope: RawKeyScope,
+    #[serde(rename = "repeatWindow", default)]
+    pub(crate) key_window: f64,
+    #[serde(rename = "stream", default)]
+    pub(crate) streamed: bool,
 }
 
 /// What repeating a request would do.
@@ -109,23 +114,23 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawLimits {
-    #[serde(default)]
-    pub(crate) cancel: bool,
-    #[serde(default = "default_conn_idle_ms")]
-    pub(crate) conn_idle: f64,
+    #[serde(rename = "cancel", default)]
+    pub(crate) cancellation: bool,
+    #[serde(rename = "connIdle", default = "default_conn_idle_ms")]
+    pub(crate) idle_timeout: f64,
     #[serde(default = "default_connect_timeout_ms")]
     pub(crate) connect_timeout: f64,
-    #[serde(default)]
-    pub(crate) most_held: usize,
+    #[serde(rename = "mostHeld", default)]
+    pub(crate) max_in_flight: usize,
     pub(crate) max_attempts: usize,
     #[serde(default)]
     pub(crate) max_retry_after: f64,
-    #[serde(default)]
-    pub(crate) parallel_tries: bool,
-    #[serde(default)]
-    pub(crate) peer_messages: bool,
-    #[serde(default)]
-    pub(crate) probes: bool,
+    #[serde(rename = "parallelTries", default)]
+    pub(crate) hedging: bool,
+    #[serde(rename = "peerMessages", default)]
+    pub(crate) gossip: bool,
+    #[serde(rename = "probes", default)]
+    pub(crate) health_checks: bool,
     #[serde(default)]
     pub(crate) retry_after: bool,
 }
@@ -149,46 +154,53 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawSafety {
-    #[serde(default)]
-    pub(crate) ask_within: f64,
-    pub(crate) cold_from: f64,
+    #[serde(rename = "askWithin", default)]
+    pub(crate) poll_timeout: f64,
+    #[serde(rename = "coldFrom")]
+    pub(crate) slow_start_initial: f64,
     pub(crate) drain_grace: f64,
-    pub(crate) fall: f64,
-    pub(crate) fall_multiple: f64,
-    pub(crate) warm_after: f64,
+    #[serde(rename = "fall")]
+    pub(crate) overload_window: f64,
+    #[serde(rename = "fallMultiple")]
+    pub(crate) overload_multiple: f64,
+    #[serde(rename = "warmAfter")]
+    pub(crate) slow_start_duration: f64,
 }
 
 /// How builds are rolled out.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawRollout {
-    #[serde(default)]
-    pub(crate) api_rate: f64,
-    #[serde(default)]
-    pub(crate) back_votes: u32,
-    pub(crate) ballot_ttl: f64,
+    #[serde(rename = "apiRate", default)]
+    pub(crate) votes_per_s: f64,
+    #[serde(rename = "backVotes", default)]
+    pub(crate) rollback_quorum: u32,
+    #[serde(rename = "ballotTtl")]
+    pub(crate) vote_ttl: f64,
     #[serde(default)]
     pub(crate) counted_by: String,
-    #[serde(default)]
-    pub(crate) damage_price: f64,
+    #[serde(rename = "damagePrice", default)]
+    pub(crate) harm_price: f64,
     #[serde(default)]
     pub(crate) delay_price: f64,
     pub(crate) exposure_window: f64,
     #[serde(default)]
     pub(crate) guarded_stages: usize,
-    pub(crate) most_shares: Vec<f64>,
-    #[serde(default)]
-    pub(crate) moves_after: f64,
-    #[serde(default)]
-    pub(crate) no_return: bool,
-    #[serde(default)]
-    pub(crate) replace_mode: RawReplacementMode,
-    #[serde(default)]
-    pub(crate) spare_tries: f64,
-    pub(crate) steps: Vec<f64>,
+    #[serde(rename = "mostShares")]
+    pub(crate) exposure_caps: Vec<f64>,
+    #[serde(rename = "movesAfter", default)]
+    pub(crate) stage_duration: f64,
+    #[serde(rename = "noReturn", default)]
+    pub(crate) forward_only_keys: bool,
+    #[serde(rename = "replaceMode", default)]
+    pub(crate) replacement: RawReplacementMode,
+    #[serde(rename = "spareTries", default)]
+    pub(crate) exposure_allowance: f64,
+    #[serde(rename = "steps")]
+    pub(crate) stages: Vec<f64>,
     pub(crate) vote_mode: RawVoteMode,
-    #[serde(default)]
-    pub(crate) vote_wait: f64,
+    #[serde(rename = "voteWait", default)]
+    pub(crate) vote_timeout: f64,
 }
 
 /// Whether earlier endpoints stay during a trial.
@@ -214,8 +226,8 @@
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawTenant {
     pub(crate) name: String,
-    #[serde(default)]
-    pub(crate) portion: f64,
-    #[serde(default)]
-    pub(crate) quota_rps: f64,
+    #[serde(rename = "portion", default)]
+    pub(crate) share: f64,
+    #[serde(rename = "quotaRps", default)]
+    pub(crate) quota_per_s: f64,
 }
--- a/crates/settings/src/validate.rs
+++ b/crates/settings/src/validate.rs
@@ -5,22 +5,22 @@
 
 /// Checks a settings object; the first fault found is returned.
 pub(crate) fn validate(raw: &RawSettings) -> Result<(), SettingsError> {
-    if raw.grades.is_empty() {
+    if raw.classes.is_empty() {
         return Err(SettingsError::NoClasses);
     }
-    validate_stages(&raw.specifics)?;
+    validate_stages(&raw.rollout)?;
     if raw.limits.max_attempts == 0 {
         return Err(SettingsError::NoAttempts);
     }
-    for index in 0..raw.grades.len() {
-        validate_class(&raw.grades, index)?;
+    for index in 0..raw.classes.len() {
+        validate_class(&raw.classes, index)?;
     }
     validate_connection_times(&raw.limits)
 }
 
 fn validate_stages(rollout: &RawRollout) -> Result<(), SettingsError> {
-    let stages = rollout.steps.len();
-    let caps = rollout.most_shares.len();
+    let stages = rollout.stages.len();
+    let caps = rollout.exposure_caps.len();
     if stages != caps || stages == 0 {
         return Err(SettingsError::StageCount { stages, caps });
     }
@@ -33,11 +33,11 @@
         return Err(SettingsError::DuplicateClass { index, name: class.name.clone() });
     }
     // Written so that a NaN is rejected too.
-    let positive = class.deadline > 0.0 && class.goal_time > 0.0;
+    let positive = class.deadline > 0.0 && class.latency_objective > 0.0;
     if !positive {
         return Err(SettingsError::ClassTimes {
             index,
-            goal_time: class.goal_time,
+            goal_time: class.latency_objective,
             deadline: class.deadline,
         });
     }
@@ -45,10 +45,10 @@
 }
 
 fn validate_connection_times(limits: &RawLimits) -> Result<(), SettingsError> {
-    if limits.connect_timeout <= 0.0 || limits.conn_idle <= 0.0 {
+    if limits.connect_timeout <= 0.0 || limits.idle_timeout <= 0.0 {
         return Err(SettingsError::ConnectionTimes {
             connect_timeout: limits.connect_timeout,
-            conn_idle: limits.conn_idle,
+            conn_idle: limits.idle_timeout,
         });
     }
     Ok(())
