--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -13,8 +13,9 @@
 use tracing::{info, warn};
 
 use crate::feature_settings::ConsensusSettings;
+use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
-use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
+use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{ReconnectBackoff, WatchEvents, WatchStream};
 use protocol::{BuildVerdict, UpdateLine, VoteReply, VoteRequest};
 
@@ -25,19 +26,14 @@
 /// Maximum number of descriptors that the client uses: its calls and the watch stream.
 pub(crate) const DESCRIPTORS: usize = MAX_CALLS + 1;
 
-/// A vote that was sent and has not been replied to.
-struct PendingVote {
-    call: UnaryCall,
-    vote: Vote,
-}
-
 /// Client of the agent.
 pub(crate) struct AgentClient {
     proxy_name: String,
     agent: SocketAddr,
     call_timeout: Micros,
     watch: WatchStream,
-    pending: Vec<PendingVote>,
+    /// Votes that were sent and have not been replied to.
+    pending: PendingCalls<Vote>,
     router: VoteRouter,
     /// Reconnects of the watch stream.
     pub(crate) reconnects: u64,
@@ -59,7 +55,7 @@
                 ReconnectBackoff::REMOTE,
                 seed,
             ),
-            pending: Vec::new(),
+            pending: PendingCalls::new(MAX_CALLS),
             router: VoteRouter::new(vote_ttl),
             reconnects: 0,
             passed_on: 0,
@@ -113,14 +109,13 @@
     ) -> Vec<RouterAction> {
         let used_agent = self.router.uses_agent();
         let mut actions = Vec::new();
-        if let Some(position) = self.pending.iter().position(|pending| pending.call.id == id) {
-            if let Some(outcome) = self.pending[position].call.on_ready(readiness) {
-                let PendingVote { vote, .. } = self.pending.remove(position);
-                actions.extend(self.on_call_ended(outcome, vote));
+        match self.pending.on_ready(id, readiness) {
+            ReadyCall::Ended(ended) => actions.extend(self.on_call_ended(ended)),
+            ReadyCall::Pending => {}
+            ReadyCall::NotACall => {
+                let events = self.watch.on_ready(id, readiness, now);
+                self.take_events(events, now, &mut actions);
             }
-        } else {
-            let events = self.watch.on_ready(id, readiness, now);
-            self.take_events(events, now, &mut actions);
         }
         self.log_route_change(used_agent);
         self.send_votes(handle, ids, now, actions)
@@ -163,16 +158,8 @@
             max_response_bytes: MAX_REPLY_BYTES,
             deadline: now + self.call_timeout,
         };
-        let started = if self.pending.len() < MAX_CALLS {
-            UnaryCall::start(handle, id, Source::Agent(id), call)
-        } else {
-            Err(std::io::Error::other("too many under way"))
-        };
-        match started {
-            Ok(call) => {
-                self.pending.push(PendingVote { call, vote });
-                None
-            }
+        match self.pending.start(handle, id, Source::Agent(id), call, vote) {
+            Ok(()) => None,
             Err(error) => {
                 warn!(%error, "vote could not be sent to the agent");
                 self.router.on_agent_reply(vote, false)
@@ -180,35 +167,28 @@
         }
     }
 
-    fn on_call_ended(&mut self, outcome: CallOutcome, vote: Vote) -> Option<RouterAction> {
-        let passed_on = match outcome {
+    fn on_call_ended(&mut self, ended: EndedCall<Vote>) -> Option<RouterAction> {
+        let passed_on = match ended.outcome {
             CallOutcome::Response(response) if response.status == 200 => {
                 serde_json::from_slice::<VoteReply>(&response.body).is_ok_and(|reply| reply.passed_on)
             }
             CallOutcome::Response(_) | CallOutcome::NeverSent | CallOutcome::Unknown => false,
         };
         self.passed_on += u64::from(passed_on);
-        self.router.on_agent_reply(vote, passed_on)
+        self.router.on_agent_reply(ended.context, passed_on)
     }
 
     /// Ends calls whose time is over. An agent that misses one deadline counts as lost, so that no second vote waits
     /// for it.
     fn expire_calls(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
-        let mut expired = Vec::new();
-        self.pending.retain(|pending| match pending.call.check_timeout(now) {
-            Some(outcome) => {
-                expired.push((outcome, pending.vote));
-                false
-            }
-            None => true,
-        });
+        let expired = self.pending.expire(now);
         if expired.is_empty() {
             return;
         }
         actions.extend(self.router.on_agent_lost(now));
         self.watch.disconnect(now, "no answer to a vote");
-        for (outcome, vote) in expired {
-            actions.extend(self.on_call_ended(outcome, vote));
+        for ended in expired {
+            actions.extend(self.on_call_ended(ended));
         }
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -20,6 +20,7 @@
 mod http_exchange;
 mod lifecycle;
 mod logging;
+mod pending_calls;
 mod process_settings;
 mod proxy;
 mod readiness;
--- /dev/null
+++ b/crates/proxy/src/pending_calls.rs
@@ -0,0 +1,96 @@
+//! Calls under way to one server, bounded in number.
+
+use std::io;
+
+use calloop::Readiness;
+use garnetcrank_policy::api::Micros;
+
+use crate::readiness::{ConnId, Handle, Source};
+use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
+
+/// A call under way, and what its caller needs when it ends.
+struct PendingCall<T> {
+    call: UnaryCall,
+    context: T,
+}
+
+/// A call that has ended.
+pub(crate) struct EndedCall<T> {
+    /// How it ended.
+    pub(crate) outcome: CallOutcome,
+    /// What its caller gave with it.
+    pub(crate) context: T,
+}
+
+/// What a ready connection came to.
+pub(crate) enum ReadyCall<T> {
+    /// It belongs to none of the calls.
+    NotACall,
+    /// Its call goes on.
+    Pending,
+    /// Its call has ended.
+    Ended(EndedCall<T>),
+}
+
+/// Calls under way, each with a context of its caller.
+pub(crate) struct PendingCalls<T> {
+    calls: Vec<PendingCall<T>>,
+    max_calls: usize,
+}
+
+impl<T: Copy> PendingCalls<T> {
+    /// No calls yet, and at most `max_calls` at once.
+    pub(crate) fn new(max_calls: usize) -> Self {
+        PendingCalls { calls: Vec::new(), max_calls }
+    }
+
+    /// Whether no call is under way.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.calls.is_empty()
+    }
+
+    /// Starts a call.
+    ///
+    /// # Errors
+    /// Too many calls are under way, or this one could not be started.
+    pub(crate) fn start(
+        &mut self,
+        handle: &Handle,
+        id: ConnId,
+        source: Source,
+        request: CallRequest<'_>,
+        context: T,
+    ) -> io::Result<()> {
+        if self.calls.len() >= self.max_calls {
+            return Err(io::Error::other("too many under way"));
+        }
+        let call = UnaryCall::start(handle, id, source, request)?;
+        self.calls.push(PendingCall { call, context });
+        Ok(())
+    }
+
+    /// Sends and reads what is possible on a connection that the event loop has reported.
+    pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness) -> ReadyCall<T> {
+        let Some(position) = self.calls.iter().position(|pending| pending.call.id == id) else {
+            return ReadyCall::NotACall;
+        };
+        let Some(outcome) = self.calls[position].call.on_ready(readiness) else {
+            return ReadyCall::Pending;
+        };
+        let PendingCall { context, .. } = self.calls.remove(position);
+        ReadyCall::Ended(EndedCall { outcome, context })
+    }
+
+    /// Removes the calls whose deadline has passed, in the order in which they were started.
+    pub(crate) fn expire(&mut self, now: Micros) -> Vec<EndedCall<T>> {
+        let mut expired = Vec::new();
+        self.calls.retain(|pending| match pending.call.check_timeout(now) {
+            Some(outcome) => {
+                expired.push(EndedCall { outcome, context: pending.context });
+                false
+            }
+            None => true,
+        });
+        expired
+    }
+}
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -13,8 +13,9 @@
 use tracing::warn;
 
 use crate::clock::{MS, SECOND};
+use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
-use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
+use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
 pub(crate) use protocol::RolloutState;
 use protocol::{EventLine, PROGRESS_EVENT, VoteRequest};
@@ -31,12 +32,6 @@
 /// By how much reports of one state may differ in age, since they travel for different times.
 const TRAVEL_TOLERANCE: Micros = SECOND;
 
-/// A vote that was sent and has not been answered.
-struct PendingVote {
-    call: UnaryCall,
-    origin: VoteOrigin,
-}
-
 /// The newest rollout state that is known.
 #[derive(Clone, Copy)]
 struct KnownState {
@@ -49,7 +44,8 @@
 pub(crate) struct ReleaseController {
     address: SocketAddr,
     watch: WatchStream,
-    pending: Vec<PendingVote>,
+    /// Votes that were sent and have not been answered.
+    pending: PendingCalls<VoteOrigin>,
     vote_timeout: Micros,
     known: Option<KnownState>,
     /// An event of an unknown type was logged; further ones are not.
@@ -72,7 +68,7 @@
                 ReconnectBackoff::REMOTE,
                 seed,
             ),
-            pending: Vec::new(),
+            pending: PendingCalls::new(MAX_VOTES),
             vote_timeout: if vote_timeout > 0 { vote_timeout } else { DEFAULT_VOTE_TIMEOUT },
             known: None,
             unknown_event_logged: false,
@@ -143,16 +139,8 @@
             max_response_bytes: MAX_ANSWER_BYTES,
             deadline: now + self.vote_timeout,
         };
-        let started = if self.pending.len() < MAX_VOTES {
-            UnaryCall::start(handle, id, Source::ReleaseController(id), call)
-        } else {
-            Err(std::io::Error::other("too many under way"))
-        };
-        match started {
-            Ok(call) => {
-                self.pending.push(PendingVote { call, origin });
-                None
-            }
+        match self.pending.start(handle, id, Source::ReleaseController(id), call, origin) {
+            Ok(()) => None,
             Err(error) => {
                 warn!(%error, "vote could not be sent");
                 let is_own = origin == VoteOrigin::Own;
@@ -166,29 +154,22 @@
         let target = || "/events".to_owned();
         let watch_events = self.watch.on_tick(handle, ids, Source::ReleaseController, now, target);
         let mut events = self.take_events(watch_events, now);
-        let mut expired = Vec::new();
-        self.pending.retain(|pending| match pending.call.check_timeout(now) {
-            Some(outcome) => {
-                expired.push((outcome, pending.origin));
-                false
-            }
-            None => true,
-        });
-        for (outcome, origin) in expired {
-            events.extend(self.on_vote_ended(outcome, origin, now));
+        for ended in self.pending.expire(now) {
+            events.extend(self.on_vote_ended(ended, now));
         }
         events
     }
 
     /// Reads what has arrived on one of the client's connections.
     pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
-        if let Some(position) = self.pending.iter().position(|pending| pending.call.id == id) {
-            let Some(outcome) = self.pending[position].call.on_ready(readiness) else { return Vec::new() };
-            let PendingVote { origin, .. } = self.pending.remove(position);
-            return self.on_vote_ended(outcome, origin, now).into_iter().collect();
+        match self.pending.on_ready(id, readiness) {
+            ReadyCall::Ended(ended) => self.on_vote_ended(ended, now).into_iter().collect(),
+            ReadyCall::Pending => Vec::new(),
+            ReadyCall::NotACall => {
+                let watch_events = self.watch.on_ready(id, readiness, now);
+                self.take_events(watch_events, now)
+            }
         }
-        let watch_events = self.watch.on_ready(id, readiness, now);
-        self.take_events(watch_events, now)
     }
 
     fn take_events(&mut self, watch_events: WatchEvents, now: Micros) -> Vec<Event> {
@@ -233,9 +214,9 @@
     }
 
     /// What the policy is notified of when a vote ends: of a vote that it did not cast, only the rollout status.
-    fn on_vote_ended(&mut self, outcome: CallOutcome, origin: VoteOrigin, now: Micros) -> Option<Event> {
-        let (result, status) = self.vote_result(outcome, now);
-        match origin {
+    fn on_vote_ended(&mut self, ended: EndedCall<VoteOrigin>, now: Micros) -> Option<Event> {
+        let (result, status) = self.vote_result(ended.outcome, now);
+        match ended.context {
             VoteOrigin::Own => Some(Event::VoteCompleted(result, status)),
             VoteOrigin::Cluster => status.map(Event::RolloutUpdated),
         }
