--- a/crates/agent/src/engine/replies.rs
+++ b/crates/agent/src/engine/replies.rs
@@ -124,7 +124,7 @@
                 ProposeResponse::Busy
             }
             Answer::StoreFull => ProposeResponse::StoreFull,
-            Answer::Rejected(reason) => ProposeResponse::Rejected { reason: reason.to_string() },
+            Answer::Rejected(reason) => ProposeResponse::Rejected { reason },
             Answer::NotProposed => {
                 count(&counters.unanswered);
                 ProposeResponse::NotProposed
@@ -146,7 +146,7 @@
             Answer::NotLeader(leader) => {
                 OperationResponse::NotLeader { leader: leader.map(|id| self.member_name(id)) }
             }
-            Answer::Rejected(reason) => OperationResponse::Rejected { reason: reason.to_string() },
+            Answer::Rejected(reason) => OperationResponse::Rejected { reason },
             _ => OperationResponse::Indeterminate,
         }
     }
--- a/crates/agent/src/peer_protocol/mod.rs
+++ b/crates/agent/src/peer_protocol/mod.rs
@@ -90,7 +90,7 @@
     Chunk(#[from] garnetcrank_consensus::chunking::ChunkError),
     /// Bytes that are no Raft message.
     #[error("malformed message: {0}")]
-    Message(String),
+    Message(#[from] garnetcrank_consensus::raft_node::DecodeMessageError),
     /// A message in the name of another instance than the one that connected.
     #[error("a message must come from the instance that connected, got one of {from:016x}")]
     ForeignMessage {
--- a/crates/agent/src/peer_transport/inbound.rs
+++ b/crates/agent/src/peer_transport/inbound.rs
@@ -110,8 +110,7 @@
                 None => continue,
             },
         };
-        let message = raft_node::decode_message(&bytes)
-            .map_err(|error| PeerProtocolError::Message(error.to_string()))?;
+        let message = raft_node::decode_message(&bytes)?;
         // An instance may only speak for itself: a vote in another's name would be a second vote of that one.
         if InstanceId(message.from) != caller {
             return Err(PeerProtocolError::ForeignMessage { from: message.from });
--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -13,8 +13,9 @@
 use tracing::{info, warn};
 
 use crate::feature_settings::ConsensusSettings;
+use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
-use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
+use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{ReconnectBackoff, WatchEvents, WatchStream};
 use protocol::{BuildVerdict, UpdateLine, VoteReply, VoteRequest};
 
@@ -23,31 +24,26 @@
 /// Maximum number of votes under way.
 const MAX_CALLS: usize = 4;
 /// Maximum number of descriptors that the client uses: its calls and the watch stream.
-pub const DESCRIPTORS: usize = MAX_CALLS + 1;
-
-/// A vote that was sent and has not been replied to.
-struct PendingVote {
-    call: UnaryCall,
-    vote: Vote,
-}
+pub(crate) const DESCRIPTORS: usize = MAX_CALLS + 1;
 
 /// Client of the agent.
-pub struct AgentClient {
+pub(crate) struct AgentClient {
     proxy_name: String,
     agent: SocketAddr,
     call_timeout: Micros,
     watch: WatchStream,
-    pending: Vec<PendingVote>,
+    /// Votes that were sent and have not been replied to.
+    pending: PendingCalls<Vote>,
     router: VoteRouter,
     /// Reconnects of the watch stream.
-    pub reconnects: u64,
+    pub(crate) reconnects: u64,
     /// Votes that the agent has passed on.
-    pub passed_on: u64,
+    pub(crate) passed_on: u64,
 }
 
 impl AgentClient {
     /// A client for the proxy of this name, whose votes stand at the release controller for `vote_ttl`.
-    pub fn new(settings: &ConsensusSettings, proxy_name: &str, vote_ttl: Micros, seed: u64) -> Self {
+    pub(crate) fn new(settings: &ConsensusSettings, proxy_name: &str, vote_ttl: Micros, seed: u64) -> Self {
         AgentClient {
             proxy_name: proxy_name.to_owned(),
             agent: settings.agent,
@@ -59,7 +55,7 @@
                 ReconnectBackoff::REMOTE,
                 seed,
             ),
-            pending: Vec::new(),
+            pending: PendingCalls::new(MAX_CALLS),
             router: VoteRouter::new(vote_ttl),
             reconnects: 0,
             passed_on: 0,
@@ -67,17 +63,17 @@
     }
 
     /// Whether there is nothing to do but to wait for updates.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.watch.is_connected()
     }
 
     /// A rollout status from the release controller. Returns the status that the policy is to be notified of.
-    pub fn on_rollout_status(&mut self, now: Micros, status: RolloutStatus) -> RolloutStatus {
+    pub(crate) fn on_rollout_status(&mut self, now: Micros, status: RolloutStatus) -> RolloutStatus {
         self.router.on_rollout_update(now, status)
     }
 
     /// The policy votes. Returns what the caller has to do.
-    pub fn on_vote(
+    pub(crate) fn on_vote(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -89,7 +85,7 @@
     }
 
     /// Reconnects and expires calls where that is due. Returns what the caller has to do.
-    pub fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<RouterAction> {
+    pub(crate) fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<RouterAction> {
         let used_agent = self.router.uses_agent();
         let mut actions = Vec::new();
         let name = &self.proxy_name;
@@ -103,7 +99,7 @@
     }
 
     /// Reads what has arrived on one of the client's connections. Returns what the caller has to do.
-    pub fn on_ready(
+    pub(crate) fn on_ready(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -113,14 +109,13 @@
     ) -> Vec<RouterAction> {
         let used_agent = self.router.uses_agent();
         let mut actions = Vec::new();
-        if let Some(position) = self.pending.iter().position(|pending| pending.call.id == id) {
-            if let Some(outcome) = self.pending[position].call.on_ready(readiness) {
-                let PendingVote { vote, .. } = self.pending.remove(position);
-                actions.extend(self.on_call_ended(outcome, vote));
+        match self.pending.on_ready(id, readiness) {
+            ReadyCall::Ended(ended) => actions.extend(self.on_call_ended(ended)),
+            ReadyCall::Pending => {}
+            ReadyCall::NotACall => {
+                let events = self.watch.on_ready(id, readiness, now);
+                self.take_events(events, now, &mut actions);
             }
-        } else {
-            let events = self.watch.on_ready(id, readiness, now);
-            self.take_events(events, now, &mut actions);
         }
         self.log_route_change(used_agent);
         self.send_votes(handle, ids, now, actions)
@@ -163,52 +158,37 @@
             max_response_bytes: MAX_REPLY_BYTES,
             deadline: now + self.call_timeout,
         };
-        let started = if self.pending.len() < MAX_CALLS {
-            UnaryCall::start(handle, id, Source::Agent(id), call)
-        } else {
-            Err(std::io::Error::other("too many under way"))
-        };
-        match started {
-            Ok(call) => {
-                self.pending.push(PendingVote { call, vote });
-                None
-            }
+        match self.pending.start(handle, id, Source::Agent(id), call, vote) {
+            Ok(()) => None,
             Err(error) => {
-                warn!("agent: a verdict could not be sent: {error}");
+                warn!(%error, "vote could not be sent to the agent");
                 self.router.on_agent_reply(vote, false)
             }
         }
     }
 
-    fn on_call_ended(&mut self, outcome: CallOutcome, vote: Vote) -> Option<RouterAction> {
-        let passed_on = match outcome {
+    fn on_call_ended(&mut self, ended: EndedCall<Vote>) -> Option<RouterAction> {
+        let passed_on = match ended.outcome {
             CallOutcome::Response(response) if response.status == 200 => {
                 serde_json::from_slice::<VoteReply>(&response.body).is_ok_and(|reply| reply.passed_on)
             }
             CallOutcome::Response(_) | CallOutcome::NeverSent | CallOutcome::Unknown => false,
         };
         self.passed_on += u64::from(passed_on);
-        self.router.on_agent_reply(vote, passed_on)
+        self.router.on_agent_reply(ended.context, passed_on)
     }
 
     /// Ends calls whose time is over. An agent that misses one deadline counts as lost, so that no second vote waits
     /// for it.
     fn expire_calls(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
-        let mut expired = Vec::new();
-        self.pending.retain(|pending| match pending.call.check_timeout(now) {
-            Some(outcome) => {
-                expired.push((outcome, pending.vote));
-                false
-            }
-            None => true,
-        });
+        let expired = self.pending.expire(now);
         if expired.is_empty() {
             return;
         }
         actions.extend(self.router.on_agent_lost(now));
-        self.watch.disconnect(now, "a verdict got no answer");
-        for (outcome, vote) in expired {
-            actions.extend(self.on_call_ended(outcome, vote));
+        self.watch.disconnect(now, "no answer to a vote");
+        for ended in expired {
+            actions.extend(self.on_call_ended(ended));
         }
     }
 
@@ -220,7 +200,7 @@
                     actions.extend(self.router.on_agent_update(now, AgentUpdate::from(update)));
                 }
                 Err(error) => {
-                    self.watch.disconnect(now, &format!("a line that can't be read: {error}"));
+                    self.watch.disconnect(now, &format!("unreadable update: {error}"));
                     lost = true;
                     break;
                 }
@@ -234,8 +214,8 @@
 
     fn log_route_change(&self, used_agent: bool) {
         match (used_agent, self.router.uses_agent()) {
-            (false, true) => info!("agent: verdicts go to the others from here on"),
-            (true, false) => warn!("agent: away or without the others; this front votes alone"),
+            (false, true) => info!("votes go to the agent"),
+            (true, false) => warn!("agent unavailable or without quorum, voting alone"),
             _ => {}
         }
     }
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -13,10 +13,11 @@
 use tracing::warn;
 
 use crate::clock::{MS, SECOND};
+use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
-use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
+use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
-pub use protocol::RolloutState;
+pub(crate) use protocol::RolloutState;
 use protocol::{EventLine, PROGRESS_EVENT, VoteRequest};
 
 /// Silence after which the event stream is dead: three of its heartbeats, one a second, and a margin.
@@ -31,12 +32,6 @@
 /// By how much reports of one state may differ in age, since they travel for different times.
 const TRAVEL_TOLERANCE: Micros = SECOND;
 
-/// A vote that was sent and has not been answered.
-struct PendingVote {
-    call: UnaryCall,
-    origin: VoteOrigin,
-}
-
 /// The newest rollout state that is known.
 #[derive(Clone, Copy)]
 struct KnownState {
@@ -46,33 +41,34 @@
 }
 
 /// Client of the release controller.
-pub struct ReleaseController {
+pub(crate) struct ReleaseController {
     address: SocketAddr,
     watch: WatchStream,
-    pending: Vec<PendingVote>,
+    /// Votes that were sent and have not been answered.
+    pending: PendingCalls<VoteOrigin>,
     vote_timeout: Micros,
     known: Option<KnownState>,
     /// An event of an unknown type was logged; further ones are not.
     unknown_event_logged: bool,
     /// Reconnects of the event stream.
-    pub reconnects: u64,
+    pub(crate) reconnects: u64,
     /// Rollout states that were older than the known one.
-    pub stale: u64,
+    pub(crate) stale: u64,
 }
 
 impl ReleaseController {
     /// A client that knows nothing yet. `vote_timeout` of 0 stands for one second.
-    pub fn new(address: SocketAddr, vote_timeout: Micros, seed: u64) -> Self {
+    pub(crate) fn new(address: SocketAddr, vote_timeout: Micros, seed: u64) -> Self {
         ReleaseController {
             address,
             watch: WatchStream::new(
-                "platform",
+                "release-controller",
                 address,
                 (SILENCE_TIMEOUT, FIRST_BYTE_TIMEOUT),
                 ReconnectBackoff::REMOTE,
                 seed,
             ),
-            pending: Vec::new(),
+            pending: PendingCalls::new(MAX_VOTES),
             vote_timeout: if vote_timeout > 0 { vote_timeout } else { DEFAULT_VOTE_TIMEOUT },
             known: None,
             unknown_event_logged: false,
@@ -82,7 +78,7 @@
     }
 
     /// Takes in a rollout state. Returns its status, unless the state is older than the known one.
-    pub fn on_rollout_state(&mut self, state: RolloutState, now: Micros) -> Option<RolloutStatus> {
+    pub(crate) fn on_rollout_state(&mut self, state: RolloutState, now: Micros) -> Option<RolloutStatus> {
         let since = now.saturating_sub(state.age());
         if !self.is_newer(state, since) {
             self.stale += 1;
@@ -101,7 +97,12 @@
 
     /// Takes in a configuration that was read again. Its state counts only if it is further on. New connections go to
     /// the new address; votes under way end at the old one.
-    pub fn reconfigure(&mut self, address: SocketAddr, state: RolloutState, now: Micros) -> Vec<Event> {
+    pub(crate) fn reconfigure(
+        &mut self,
+        address: SocketAddr,
+        state: RolloutState,
+        now: Micros,
+    ) -> Vec<Event> {
         self.address = address;
         let last_events = self.watch.retarget(address, now);
         let mut events = self.take_events(last_events, now);
@@ -114,12 +115,12 @@
     }
 
     /// Whether there is nothing to do but to wait for events.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.watch.is_connected()
     }
 
     /// Casts a vote. Its result follows later as an event, or is returned if the vote cannot be sent.
-    pub fn cast_vote(
+    pub(crate) fn cast_vote(
         &mut self,
         handle: &Handle,
         ids: &mut ConnIds,
@@ -138,18 +139,10 @@
             max_response_bytes: MAX_ANSWER_BYTES,
             deadline: now + self.vote_timeout,
         };
-        let started = if self.pending.len() < MAX_VOTES {
-            UnaryCall::start(handle, id, Source::ReleaseController(id), call)
-        } else {
-            Err(std::io::Error::other("too many under way"))
-        };
-        match started {
-            Ok(call) => {
-                self.pending.push(PendingVote { call, origin });
-                None
-            }
+        match self.pending.start(handle, id, Source::ReleaseController(id), call, origin) {
+            Ok(()) => None,
             Err(error) => {
-                warn!("platform: a vote could not be sent: {error}");
+                warn!(%error, "vote could not be sent");
                 let is_own = origin == VoteOrigin::Own;
                 is_own.then_some(Event::VoteCompleted(VoteResult::Failed, None))
             }
@@ -157,33 +150,26 @@
     }
 
     /// Reconnects and expires votes where that is due.
-    pub fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<Event> {
+    pub(crate) fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<Event> {
         let target = || "/events".to_owned();
         let watch_events = self.watch.on_tick(handle, ids, Source::ReleaseController, now, target);
         let mut events = self.take_events(watch_events, now);
-        let mut expired = Vec::new();
-        self.pending.retain(|pending| match pending.call.check_timeout(now) {
-            Some(outcome) => {
-                expired.push((outcome, pending.origin));
-                false
-            }
-            None => true,
-        });
-        for (outcome, origin) in expired {
-            events.extend(self.on_vote_ended(outcome, origin, now));
+        for ended in self.pending.expire(now) {
+            events.extend(self.on_vote_ended(ended, now));
         }
         events
     }
 
     /// Reads what has arrived on one of the client's connections.
-    pub fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
-        if let Some(position) = self.pending.iter().position(|pending| pending.call.id == id) {
-            let Some(outcome) = self.pending[position].call.on_ready(readiness) else { return Vec::new() };
-            let PendingVote { origin, .. } = self.pending.remove(position);
-            return self.on_vote_ended(outcome, origin, now).into_iter().collect();
+    pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
+        match self.pending.on_ready(id, readiness) {
+            ReadyCall::Ended(ended) => self.on_vote_ended(ended, now).into_iter().collect(),
+            ReadyCall::Pending => Vec::new(),
+            ReadyCall::NotACall => {
+                let watch_events = self.watch.on_ready(id, readiness, now);
+                self.take_events(watch_events, now)
+            }
         }
-        let watch_events = self.watch.on_ready(id, readiness, now);
-        self.take_events(watch_events, now)
     }
 
     fn take_events(&mut self, watch_events: WatchEvents, now: Micros) -> Vec<Event> {
@@ -193,8 +179,8 @@
             match self.read_event(line, now) {
                 Ok(status) => events.extend(status.map(Event::RolloutUpdated)),
                 Err(error) => {
-                    warn!("platform: {error}");
-                    self.watch.disconnect(now, "news that can't be read");
+                    warn!(%error, "unreadable rollout event");
+                    self.watch.disconnect(now, "unreadable rollout event");
                     self.reconnects += 1;
                     break;
                 }
@@ -223,14 +209,14 @@
     fn log_unknown_event(&mut self, kind: &str) {
         if !self.unknown_event_logged {
             self.unknown_event_logged = true;
-            warn!("platform: news of type {kind:?} is not understood and passed over");
+            warn!(kind, "unknown rollout event ignored");
         }
     }
 
     /// What the policy is notified of when a vote ends: of a vote that it did not cast, only the rollout status.
-    fn on_vote_ended(&mut self, outcome: CallOutcome, origin: VoteOrigin, now: Micros) -> Option<Event> {
-        let (result, status) = self.vote_result(outcome, now);
-        match origin {
+    fn on_vote_ended(&mut self, ended: EndedCall<VoteOrigin>, now: Micros) -> Option<Event> {
+        let (result, status) = self.vote_result(ended.outcome, now);
+        match ended.context {
             VoteOrigin::Own => Some(Event::VoteCompleted(result, status)),
             VoteOrigin::Cluster => status.map(Event::RolloutUpdated),
         }
@@ -249,7 +235,7 @@
             200 => match serde_json::from_slice::<RolloutState>(&response.body) {
                 Ok(state) => (VoteResult::Counted, self.on_rollout_state(state, now)),
                 Err(error) => {
-                    warn!("platform: the answer to a vote can't be read: {error}");
+                    warn!(%error, "unreadable answer to a vote");
                     (VoteResult::Unknown, None)
                 }
             },
@@ -257,11 +243,12 @@
             429 => (VoteResult::RateLimited, None),
             500 => (VoteResult::Failed, None),
             400 => {
-                warn!("platform: a vote was not understood: {}", String::from_utf8_lossy(&response.body));
+                let body = String::from_utf8_lossy(&response.body);
+                warn!(%body, "vote rejected as invalid");
                 (VoteResult::Failed, None)
             }
             other => {
-                warn!("platform: a vote was answered with status {other}");
+                warn!(status = other, "unexpected status of the answer to a vote");
                 (VoteResult::Unknown, None)
             }
         }
--- a/crates/proxy/src/watch_stream/open_stream.rs
+++ b/crates/proxy/src/watch_stream/open_stream.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use garnetcrank_http::{Bad, StreamReader};
+use garnetcrank_http::{MessageError, StreamReader};
 
 use crate::connection::Connection;
 use crate::readiness::ConnId;
@@ -23,12 +23,12 @@
 pub(super) enum StreamEnd {
     #[error("cannot connect: {0}")]
     ConnectFailed(io::Error),
-    #[error("answered with status {0}")]
+    #[error("response with status {0}")]
     Status(u16),
-    #[error("connection ended")]
+    #[error("connection closed by the peer")]
     Closed,
-    #[error("what came can't be read: {0}")]
-    Unreadable(Bad),
+    #[error("unreadable response: {0}")]
+    Unreadable(MessageError),
     #[error("connection lost: {0}")]
     Lost(io::Error),
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,6 +4,13 @@
 //! its configuration file. Times in it are milliseconds; unknown keys are ignored. [`Settings`] holds the result,
 //! with times in microseconds.
 
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::missing_errors_doc
+)]
+
 mod config;
 mod error;
 mod raw;
@@ -42,11 +49,11 @@
 #[derive(Debug, Clone)]
 pub struct Transport {
     /// An endpoint closes a connection that was idle for this long, at the latest.
-    pub conn_idle: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not established within this time is given up.
     pub connect_timeout: Micros,
     /// Maximum number of requests in flight; none: the deployment sets no limit.
-    pub most_held: Option<usize>,
+    pub max_in_flight: Option<usize>,
     /// Names of the values in a load report, in the order in which the decisions get them.
     pub report_columns: Vec<String>,
 }
@@ -68,18 +75,18 @@
     fn try_from(raw: RawSettings) -> Result<Self, SettingsError> {
         validate::validate(&raw)?;
         let mut zones = raw.zones.clone();
-        let own_zone = position_or_insert(&mut zones, &raw.my_zone);
+        let own_zone = position_or_insert(&mut zones, &raw.own_zone);
         Ok(Settings {
             config: config::from_raw(&raw, ZoneId(own_zone)),
-            classes: raw.grades.into_iter().map(|class| class.name).collect(),
+            classes: raw.classes.into_iter().map(|class| class.name).collect(),
             tenants: raw.tenants.into_iter().map(|tenant| tenant.name).collect(),
             zones,
             kinds: raw.kinds,
             transport: Transport {
-                conn_idle: micros(raw.limits.conn_idle),
+                idle_timeout: micros(raw.limits.idle_timeout),
                 connect_timeout: micros(raw.limits.connect_timeout),
-                most_held: (raw.limits.most_held > 0).then_some(raw.limits.most_held),
-                report_columns: raw.report.columns,
+                max_in_flight: (raw.limits.max_in_flight > 0).then_some(raw.limits.max_in_flight),
+                report_columns: raw.load_report.columns,
             },
         })
     }
@@ -94,7 +101,7 @@
     names.len() - 1
 }
 
-/// Converts milliseconds to whole microseconds, limited to the range of 0 to [`MAX_MICROS`].
+/// Converts milliseconds to whole microseconds, limited to the range of 0 to 10^15 (about 31 years).
 pub fn micros(ms: f64) -> Micros {
     (ms * MICROS_PER_MS).round().clamp(0.0, MAX_MICROS) as Micros
 }
