--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -16,7 +16,7 @@
 use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest};
-use crate::watch_stream::{ReconnectBackoff, WatchEvents, WatchStream};
+use crate::watch_stream::{ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
 use protocol::{BuildVerdict, UpdateLine, VoteReply, VoteRequest};
 
 /// Maximum size of the reply to a vote, in bytes; it is one line.
@@ -51,7 +51,7 @@
             watch: WatchStream::new(
                 "agent",
                 settings.agent,
-                (settings.silence_timeout(), settings.silence_timeout()),
+                WatchTimeouts { silence: settings.silence_timeout(), first_byte: settings.silence_timeout() },
                 ReconnectBackoff::REMOTE,
                 seed,
             ),
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -17,7 +17,7 @@
 use crate::clock::SECOND;
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
-use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
+use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
 pub(crate) use endpoint_registry::EndpointAddress;
 use endpoint_registry::{EndpointRegistry, ListOrigin};
 use line_assembler::LineAssembler;
@@ -90,7 +90,7 @@
             watch: WatchStream::new(
                 "discovery",
                 address,
-                (SILENCE_TIMEOUT, first_byte_timeout),
+                WatchTimeouts { silence: SILENCE_TIMEOUT, first_byte: first_byte_timeout },
                 ReconnectBackoff::LOCAL,
                 seed,
             ),
--- a/crates/proxy/src/process_settings.rs
+++ b/crates/proxy/src/process_settings.rs
@@ -53,7 +53,7 @@
     /// Limit on descriptors; at least 64.
     pub(crate) sockets: usize,
     /// Where the platform's release controller listens.
-    pub(crate) platform: SocketAddr,
+    pub(crate) release_controller: SocketAddr,
     /// State of the newest build's rollout when the file was written.
     pub(crate) rollout_state: RolloutState,
     /// Endpoint list that this instance received last before the file was written.
@@ -97,7 +97,7 @@
     /// Where discovery listens.
     pub(crate) discovery: SocketAddr,
     /// Where the platform's release controller listens.
-    pub(crate) platform: SocketAddr,
+    pub(crate) release_controller: SocketAddr,
     /// State of the newest build's rollout when the file was written.
     pub(crate) rollout_state: RolloutState,
     /// An endpoint list.
@@ -141,7 +141,7 @@
         Ok(ReloadedSettings {
             ignored_keys: self.changed_keys(&new),
             discovery: new.discovery,
-            platform: new.platform,
+            release_controller: new.release_controller,
             rollout_state: new.rollout_state,
             cached_members: new.cached_members,
         })
@@ -199,7 +199,7 @@
             seed,
             memory_mb,
             sockets,
-            platform: file.pipeline.address,
+            release_controller: file.pipeline.address,
             rollout_state: file.pipeline.rollout_state,
             cached_members: file.known,
             settings,
--- a/crates/proxy/src/proxy/control_plane.rs
+++ b/crates/proxy/src/proxy/control_plane.rs
@@ -48,7 +48,11 @@
             .map(|agreement| AgentClient::new(agreement, &process.name, rollout.vote_ttl, process.seed));
         ControlPlane {
             discovery: Discovery::new(process.discovery, settings, process.seed),
-            release_controller: ReleaseController::new(process.platform, rollout.vote_timeout, process.seed),
+            release_controller: ReleaseController::new(
+                process.release_controller,
+                rollout.vote_timeout,
+                process.seed,
+            ),
             agent,
             lifecycle: Lifecycle::start(now, longest_deadline),
             startup_settings: StartupSettings::from_process(process),
--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -19,13 +19,13 @@
             }
         };
         self.counters.reloads += 1;
-        info!("reload: discovery at {}, platform at {}", new.discovery, new.platform);
+        info!("reload: discovery at {}, release controller at {}", new.discovery, new.release_controller);
         for key in &new.ignored_keys {
             warn!("reload: {key}: a new value counts from the next start on");
         }
         let endpoints = control_plane.discovery.reconfigure(new.discovery, new.cached_members, now);
         let rollout_events =
-            control_plane.release_controller.reconfigure(new.platform, new.rollout_state, now);
+            control_plane.release_controller.reconfigure(new.release_controller, new.rollout_state, now);
         self.apply_discovery_update(endpoints);
         self.apply_rollout_events(rollout_events);
         self.tick_control_plane(now);
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -16,7 +16,7 @@
 use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest};
-use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
+use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
 pub(crate) use protocol::RolloutState;
 use protocol::{EventLine, PROGRESS_EVENT, VoteRequest};
 
@@ -64,7 +64,7 @@
             watch: WatchStream::new(
                 "release-controller",
                 address,
-                (SILENCE_TIMEOUT, FIRST_BYTE_TIMEOUT),
+                WatchTimeouts { silence: SILENCE_TIMEOUT, first_byte: FIRST_BYTE_TIMEOUT },
                 ReconnectBackoff::REMOTE,
                 seed,
             ),
--- a/crates/proxy/src/watch_stream.rs
+++ b/crates/proxy/src/watch_stream.rs
@@ -40,6 +40,15 @@
     pub(crate) const LOCAL: ReconnectBackoff = ReconnectBackoff { initial: 20 * MS, max: 100 * MS };
 }
 
+/// How long a connection may be silent before it is dead.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct WatchTimeouts {
+    /// Between two bytes.
+    pub(crate) silence: Micros,
+    /// Before the first byte.
+    pub(crate) first_byte: Micros,
+}
+
 /// Timeout of the first byte for a peer that speaks at once where it is alive. What it has to say counts soon after,
 /// whether or not it arrived, so a silent connection must leave time for two more.
 pub(crate) const FIRST_BYTE_TIMEOUT: Micros = 1_000 * MS;
@@ -55,8 +64,7 @@
     /// Name of the peer, for log lines.
     name: &'static str,
     to: SocketAddr,
-    silence_timeout: Micros,
-    first_byte_timeout: Micros,
+    timeouts: WatchTimeouts,
     backoff: ReconnectBackoff,
     rng: Rng,
     open: Option<OpenStream>,
@@ -88,20 +96,18 @@
 }
 
 impl WatchStream {
-    /// A stream that connects at its first tick. Silence for the first timeout, or for the second on a new connection,
-    /// means that the connection is dead.
+    /// A stream that connects at its first tick.
     pub(crate) fn new(
         name: &'static str,
         to: SocketAddr,
-        (silence_timeout, first_byte_timeout): (Micros, Micros),
+        timeouts: WatchTimeouts,
         backoff: ReconnectBackoff,
         seed: u64,
     ) -> Self {
         WatchStream {
             name,
             to,
-            silence_timeout,
-            first_byte_timeout,
+            timeouts,
             backoff,
             rng: Rng::with_seed(seed),
             open: None,
@@ -210,9 +216,9 @@
         Some(if !open.is_established {
             (CONNECT_TIMEOUT, "connection not established in time")
         } else if !open.has_delivered {
-            (self.first_byte_timeout, "no byte on a new connection")
+            (self.timeouts.first_byte, "no byte on a new connection")
         } else {
-            (self.silence_timeout, "no heartbeat")
+            (self.timeouts.silence, "no heartbeat")
         })
     }
 
--- a/crates/proxy/src/watch_stream/tests.rs
+++ b/crates/proxy/src/watch_stream/tests.rs
@@ -6,7 +6,7 @@
 use calloop::{EventLoop, Readiness};
 use garnetcrank_policy::api::Micros;
 
-use super::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream};
+use super::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
 use crate::clock::{MS, SECOND};
 use crate::readiness::{ConnIds, Source, TurnInputs};
 
@@ -29,7 +29,7 @@
         let watch = WatchStream::new(
             "test",
             peer.local_addr().expect("an address"),
-            (SILENCE_TIMEOUT, FIRST_BYTE_TIMEOUT),
+            WatchTimeouts { silence: SILENCE_TIMEOUT, first_byte: FIRST_BYTE_TIMEOUT },
             ReconnectBackoff::REMOTE,
             seed,
         );
