--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of a balancer that routes requests and votes on staged releases.
+//! The decisions of an instance that routes requests and votes on staged releases.
 //!
 //! [`Policy`] is a deterministic state machine: it takes [`Event`](api::Event)s together with the caller's
 //! clock and returns [`Action`](api::Action)s. It does no I/O, reads no clock and keeps no global state; equal
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -152,7 +152,7 @@
     let change = indented(&list(5, false, &[member("s-2", 9002, 41, "Ready")]));
     let half = change.len() / 2;
     assert!(receive(&mut discovery, b"\n\n").endpoint_updates.is_empty(), "signs of life");
-    // It comes in two parts, then half of another with a sign of life behind it.
+    // It comes in two parts, then half of another with a heartbeat behind it.
     let end = change[..half].iter().rposition(|b| *b == b'\n').expect("a line's end");
     assert!(receive(&mut discovery, &change[..end]).endpoint_updates.is_empty());
     assert!(
@@ -199,7 +199,7 @@
     let (old, new) = (listen(), listen());
     let address = |l: &TcpListener| l.local_addr().expect("an address");
     let mut discovery = Discovery::new(address(&old), &settings, 7);
-    // Asked for, and not a word there: lost, and the decisions wait before they ask again.
+    // Watched, and not a byte arrives: lost, and the policy waits before it watches again.
     assert!(discovery.set_watching(true, now).endpoint_updates.is_empty());
     discovery.on_tick(&handle, &mut ids, now);
     let (_mute, _) = old.accept().expect("a connection");
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -28,7 +28,7 @@
 const NOW: Micros = 1_000 * SECOND;
 const LATER: Micros = NOW + 5 * SECOND;
 
-/// Connections to one machine, whose every byte the test writes; the clock is the test's.
+/// Connections to one endpoint, whose every byte the test writes; the clock is the test's.
 struct Fixture {
     event_loop: EventLoop<'static, TurnInputs>,
     listener: TcpListener,
@@ -88,7 +88,7 @@
             .expect("it starts");
     }
 
-    /// The machine's end of the newest connection, once the request is there.
+    /// The endpoint's side of the newest connection, once the request is there.
     fn accept(&mut self) -> TcpStream {
         let (mut stream, _) = self.listener.accept().expect("a connection");
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
--- a/crates/proxy/src/watch_stream/tests.rs
+++ b/crates/proxy/src/watch_stream/tests.rs
@@ -106,7 +106,7 @@
                 let before = fixture.begun.len();
                 fixture.tick();
                 if fixture.begun.len() > before && up.get(before) == Some(&true) {
-                    mute.push(fixture.accept()); // up, and then not a word
+                    mute.push(fixture.accept()); // established, and then not a byte
                 }
                 fixture.now += 100 * MS; // the longest rest of a sweep
             }
@@ -124,7 +124,7 @@
         let before = fixture.begun.len();
         fixture.tick();
         if fixture.begun.len() > before {
-            mute.push(fixture.accept()); // up, and then not a word
+            mute.push(fixture.accept()); // established, and then not a byte
         }
         apart += u32::from(fixture.watch.open.is_none());
         fixture.now += 20 * MS; // a sweep
