--- a/crates/agent/src/engine/requests.rs
+++ b/crates/agent/src/engine/requests.rs
@@ -140,8 +140,8 @@
         count(&self.peer_context.counters.verdicts);
         let now = self.clock.now();
         // Without a quorum the verdict would not reach the other instances, and the proxy has to know that.
-        let accepted =
-            self.is_quorum_available() && self.votes.record_verdict(now, &report.proxy, report.verdict);
+        let accepted = self.is_quorum_available()
+            && self.votes.record_verdict(now, &report.proxy, report.verdict).is_ok();
         send_reply(reply, VerdictReceipt { accepted });
     }
 
--- a/crates/agent/src/engine/votes.rs
+++ b/crates/agent/src/engine/votes.rs
@@ -1,7 +1,7 @@
 //! Whether a build is condemned, and which instance's vote at the platform stands for all: the lease on the vote's
 //! role, the verdicts of the proxies here, and the proposals that follow from both.
 
-use garnetcrank_consensus::build_verdicts::{self, BuildVerdict, BuildVerdicts};
+use garnetcrank_consensus::build_verdicts::{self, BuildVerdict, BuildVerdicts, TooManyProxies};
 use garnetcrank_consensus::ids::{InstanceId, Ticks};
 use garnetcrank_consensus::lease_client::{LeaseAction, LeaseClient};
 use garnetcrank_consensus::pending_requests::Answer;
@@ -57,8 +57,16 @@
         }
     }
 
-    /// Records a proxy's verdict; whether it was accepted.
-    pub(super) fn record_verdict(&mut self, now: Ticks, proxy: &str, verdict: BuildVerdict) -> bool {
+    /// Records a proxy's verdict.
+    ///
+    /// # Errors
+    /// Too many proxies report to this agent.
+    pub(super) fn record_verdict(
+        &mut self,
+        now: Ticks,
+        proxy: &str,
+        verdict: BuildVerdict,
+    ) -> Result<(), TooManyProxies> {
         self.verdicts.record_verdict(now, proxy, verdict)
     }
 
--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -63,7 +63,7 @@
         let mut snapshot = None;
         let mut hard_state = None;
         if let Some(loaded) = loaded {
-            hard_state = Some(loaded.hard);
+            hard_state = Some(loaded.hard_state);
             snapshot = loaded.snapshot.map(|snapshot| SnapshotSummary {
                 index: snapshot.index,
                 term: snapshot.term,
--- a/crates/cli/tests/golden_json.rs
+++ b/crates/cli/tests/golden_json.rs
@@ -436,7 +436,7 @@
     let entries = (2..).zip(records).map(record).collect();
     let hard = HardState { term: 2, vote: 0xab, commit: 8 };
     let keys = vec![("k".to_owned(), Some(vec![1]))];
-    store.commit(&Batch { hard: Some(hard), entries, keys, ..Batch::default() }).expect("written");
+    store.commit(&Batch { hard_state: Some(hard), entries, keys, ..Batch::default() }).expect("written");
 }
 
 /// Puts a mark in place of a value that differs from machine to machine, having looked at what kind it is.
--- a/crates/consensus/examples/handover/disk.rs
+++ b/crates/consensus/examples/handover/disk.rs
@@ -23,8 +23,8 @@
 
 /// What the store would hold after this batch.
 fn apply(held: &mut Loaded, batch: &Batch) {
-    if let Some(hard) = batch.hard {
-        held.hard = hard;
+    if let Some(hard) = batch.hard_state {
+        held.hard_state = hard;
     }
     if let Some(snapshot) = &batch.snapshot {
         // Entries behind the snapshot stay only if the log has the entry that it ends with.
--- a/crates/consensus/examples/handover/world/gate.rs
+++ b/crates/consensus/examples/handover/world/gate.rs
@@ -64,7 +64,7 @@
         let fenced = self.is_fenced();
         self.gate.newest_shown = self.gate.newest_shown.max(epoch);
         match self.gate.fence.observe_epoch(&role(), epoch) {
-            Err(newest) if fenced => Packet::NewerEpoch(newest),
+            Err(error) if fenced => Packet::NewerEpoch(error.newest),
             _ => Packet::EpochObserved(epoch),
         }
     }
@@ -103,7 +103,7 @@
     fn query_order(&mut self, epoch: Epoch, number: u64) -> Packet {
         match self.gate.fence.was_executed(&role(), epoch, &order(number)) {
             Ok(executed) => Packet::OrderStatus { epoch, order: number, executed },
-            Err(newest) => Packet::NewerEpoch(newest),
+            Err(error) => Packet::NewerEpoch(error.newest),
         }
     }
 }
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -75,7 +75,7 @@
         store.commit(&Batch { entries, ..Batch::default() }).expect("entries");
     }
     let hard = Some(HardState { term: 1, vote: 1, commit: last });
-    store.commit(&Batch { hard, ..Batch::default() }).expect("the hard state");
+    store.commit(&Batch { hard_state: hard, ..Batch::default() }).expect("the hard state");
 }
 
 /// What one recovery took.
@@ -143,7 +143,7 @@
         let start = |id: u64| {
             let initial = raft_node::initial_state(&members);
             let loaded = Loaded {
-                hard: initial.hard.unwrap_or_default(),
+                hard_state: initial.hard_state.unwrap_or_default(),
                 snapshot: initial.snapshot,
                 entries: Vec::new(),
             };
--- a/crates/consensus/src/build_verdicts.rs
+++ b/crates/consensus/src/build_verdicts.rs
@@ -93,6 +93,11 @@
     condemning: BTreeMap<u64, Ticks>,
 }
 
+/// No further proxy's verdict is recorded: there are [`MAX_PROXIES`] already.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("verdicts of {MAX_PROXIES} proxies are recorded already")]
+pub struct TooManyProxies;
+
 impl BuildVerdicts {
     /// `ttl`: ticks after which a verdict expires unless it is reported again.
     pub fn new(id: InstanceId, ttl: u64) -> Self {
@@ -106,13 +111,21 @@
         }
     }
 
-    /// A proxy reports its own policy's verdict. False if there are too many proxies: this one decides alone.
-    pub fn record_verdict(&mut self, now: Ticks, proxy: &str, verdict: BuildVerdict) -> bool {
+    /// A proxy reports its own policy's verdict.
+    ///
+    /// # Errors
+    /// Verdicts of too many proxies are recorded already: this one decides alone.
+    pub fn record_verdict(
+        &mut self,
+        now: Ticks,
+        proxy: &str,
+        verdict: BuildVerdict,
+    ) -> Result<(), TooManyProxies> {
         if !self.by_proxy.contains_key(proxy) && self.by_proxy.len() >= MAX_PROXIES {
-            return false;
+            return Err(TooManyProxies);
         }
         self.by_proxy.insert(proxy.to_owned(), TimedVerdict { verdict, at: now });
-        true
+        Ok(())
     }
 
     /// A proxy has disconnected: its verdict no longer counts. What it had condemned stays condemned.
--- a/crates/consensus/src/fencing.rs
+++ b/crates/consensus/src/fencing.rs
@@ -61,6 +61,14 @@
     }
 }
 
+/// The gate has observed a newer epoch.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("epoch {newest} has been observed")]
+pub struct NewerEpoch {
+    /// The newest epoch observed.
+    pub newest: Epoch,
+}
+
 /// The gate's whole state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingGate {
@@ -71,11 +79,11 @@
     /// A holder shows its epoch, before it acts for the first time. From here on no older one is admitted.
     ///
     /// # Errors
-    /// The newest epoch observed, if that is a later one.
-    pub fn observe_epoch(&mut self, role: &Role, epoch: Epoch) -> Result<(), Epoch> {
+    /// A later epoch has been observed.
+    pub fn observe_epoch(&mut self, role: &Role, epoch: Epoch) -> Result<(), NewerEpoch> {
         let fence = self.roles.entry(role.clone()).or_default();
         if epoch < fence.newest_epoch {
-            return Err(fence.newest_epoch);
+            return Err(NewerEpoch { newest: fence.newest_epoch });
         }
         if epoch > fence.newest_epoch {
             fence.newest_epoch = epoch;
@@ -86,7 +94,7 @@
 
     /// An order comes to the gate under an epoch.
     pub fn admit(&mut self, role: &Role, epoch: Epoch, order: &Subject) -> FencingDecision {
-        if let Err(newest) = self.observe_epoch(role, epoch) {
+        if let Err(NewerEpoch { newest }) = self.observe_epoch(role, epoch) {
             return FencingDecision::StaleEpoch { newest };
         }
         let fence = self.roles.entry(role.clone()).or_default();
@@ -104,11 +112,11 @@
     /// older one.
     ///
     /// # Errors
-    /// The newest epoch observed, if it is not the one that asks.
-    pub fn was_executed(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, Epoch> {
+    /// `epoch` is not the newest one observed.
+    pub fn was_executed(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, NewerEpoch> {
         let newest = self.current_epoch(role);
         if epoch != newest {
-            return Err(newest);
+            return Err(NewerEpoch { newest });
         }
         Ok(self.roles.get(role).is_some_and(|fence| fence.admitted.contains_key(order)))
     }
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -129,9 +129,9 @@
     pub(crate) fn restore(loaded: store::Loaded) -> Result<Self, RaftNodeError> {
         let mut state = LogState {
             hard: HardState {
-                term: loaded.hard.term,
-                vote: loaded.hard.vote,
-                commit: loaded.hard.commit,
+                term: loaded.hard_state.term,
+                vote: loaded.hard_state.vote,
+                commit: loaded.hard_state.commit,
                 ..HardState::default()
             },
             ..LogState::default()
--- a/crates/consensus/src/raft_node/mod.rs
+++ b/crates/consensus/src/raft_node/mod.rs
@@ -215,7 +215,7 @@
 fn check_committed_entries(loaded: &store::Loaded) -> Result<(), RaftNodeError> {
     let snapshot_index = loaded.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
     let last = loaded.entries.last().map_or(snapshot_index, |entry| entry.index);
-    let committed = loaded.hard.commit;
+    let committed = loaded.hard_state.commit;
     if committed > last {
         return Err(RaftNodeError::CommittedEntriesLost { committed: Index(committed), last: Index(last) });
     }
--- a/crates/consensus/src/raft_node/ready.rs
+++ b/crates/consensus/src/raft_node/ready.rs
@@ -53,7 +53,7 @@
         output.batch.entries = ready.entries().iter().map(raft_log::to_record).collect();
         self.log.append(ready.entries());
         if let Some(hard) = ready.hs() {
-            output.batch.hard = Some(to_stored_hard_state(hard));
+            output.batch.hard_state = Some(to_stored_hard_state(hard));
             self.log.set_hard_state(hard.clone());
         }
         for read in ready.take_read_states() {
--- a/crates/consensus/src/raft_node/snapshots.rs
+++ b/crates/consensus/src/raft_node/snapshots.rs
@@ -29,7 +29,7 @@
         data: encode(&ReplicatedState::with_members(members.iter().cloned())),
     };
     let hard = store::HardState { term: FOUNDING_TERM, vote: 0, commit: FOUNDING_INDEX };
-    store::Batch { hard: Some(hard), snapshot: Some(snapshot), ..store::Batch::default() }
+    store::Batch { hard_state: Some(hard), snapshot: Some(snapshot), ..store::Batch::default() }
 }
 
 /// The replicated state in a snapshot at `index`.
--- a/crates/consensus/src/raft_node/tests.rs
+++ b/crates/consensus/src/raft_node/tests.rs
@@ -13,7 +13,11 @@
 
 fn loaded() -> store::Loaded {
     let initial = initial_state(&members());
-    store::Loaded { hard: initial.hard.unwrap_or_default(), snapshot: initial.snapshot, entries: Vec::new() }
+    store::Loaded {
+        hard_state: initial.hard_state.unwrap_or_default(),
+        snapshot: initial.snapshot,
+        entries: Vec::new(),
+    }
 }
 
 /// Instance 1 of the three members.
@@ -65,7 +69,7 @@
 #[test]
 fn a_store_that_has_lost_committed_entries_is_rejected_with_both_indices() {
     let mut lossy = loaded();
-    lossy.hard.commit = 9;
+    lossy.hard_state.commit = 9;
     let error = start(lossy).err().expect("an error").to_string();
     assert!(error.contains("up to 9") && error.contains("up to 1"), "{error}");
 }
@@ -105,7 +109,7 @@
     vote.log_term = 1;
     full.receive(vote);
     let ready = full.ready().expect("its work").expect("a vote to keep");
-    assert_eq!(ready.batch.hard.map(|hard| (hard.term, hard.vote)), Some((2, 3)));
+    assert_eq!(ready.batch.hard_state.map(|hard| (hard.term, hard.vote)), Some((2, 3)));
     full.on_persisted().expect("a write");
     full.set_storage_headroom(StorageHeadroom::Sufficient);
     full.receive(append(2, 2));
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -1,6 +1,6 @@
 //! The fencing gate admits no older epoch and each order once, and its memory is bounded.
 
-use garnetcrank_consensus::fencing::{FencingDecision, FencingGate, MAX_ORDERS};
+use garnetcrank_consensus::fencing::{FencingDecision, FencingGate, MAX_ORDERS, NewerEpoch};
 use garnetcrank_consensus::ids::{Epoch, Role, Subject};
 
 #[test]
@@ -11,13 +11,13 @@
     assert_eq!(gate.admit(&role, Epoch(1), &order(1)), FencingDecision::Duplicate { epoch: Epoch(1) });
     assert_eq!(
         gate.was_executed(&role, Epoch(2), &order(1)),
-        Err(Epoch(1)),
+        Err(NewerEpoch { newest: Epoch(1) }),
         "no answer before the epoch is observed"
     );
     gate.observe_epoch(&role, Epoch(2)).unwrap();
     assert_eq!(gate.was_executed(&role, Epoch(2), &order(2)), Ok(false));
     assert_eq!(gate.admit(&role, Epoch(1), &order(2)), FencingDecision::StaleEpoch { newest: Epoch(2) });
-    assert_eq!(gate.observe_epoch(&role, Epoch(1)), Err(Epoch(2)));
+    assert_eq!(gate.observe_epoch(&role, Epoch(1)), Err(NewerEpoch { newest: Epoch(2) }));
     assert_eq!(gate.was_executed(&role, Epoch(2), &order(1)), Ok(true));
     assert_eq!(gate.admit(&role, Epoch(2), &order(2)), FencingDecision::Admit);
     let other = Role("votes".into());
--- a/crates/consensus/tests/golden_bytes.rs
+++ b/crates/consensus/tests/golden_bytes.rs
@@ -281,7 +281,7 @@
 #[test]
 fn a_founded_cluster_has_the_same_first_snapshot() {
     let batch = raft_node::initial_state(&[member(1), member(2)]);
-    let hard = batch.hard.expect("a hard state");
+    let hard = batch.hard_state.expect("a hard state");
     assert_eq!((hard.term, hard.vote, hard.commit), (1, 0, 1));
     let snapshot = batch.snapshot.expect("a snapshot");
     assert_eq!((snapshot.index, snapshot.term), (1, 1));
@@ -300,7 +300,7 @@
     fn new() -> Self {
         let founding = raft_node::initial_state(&[member(1), member(2), member(3)]);
         let founded = || store::Loaded {
-            hard: founding.hard.unwrap_or_default(),
+            hard_state: founding.hard_state.unwrap_or_default(),
             snapshot: founding.snapshot.clone(),
             ..store::Loaded::default()
         };
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch {
     /// A new hard state.
-    pub hard: Option<HardState>,
+    pub hard_state: Option<HardState>,
     /// A snapshot that replaces the stored one and all entries up to its index. Entries beyond it are kept only
     /// where the log continues it.
     pub snapshot: Option<Snapshot>,
--- a/crates/store/src/store/commit.rs
+++ b/crates/store/src/store/commit.rs
@@ -75,7 +75,7 @@
         if let Some(snapshot) = &batch.snapshot {
             write_snapshot(&txn, snapshot)?;
         }
-        if let Some(hard) = &batch.hard {
+        if let Some(hard) = &batch.hard_state {
             put_meta(&txn, HARD_STATE_KEY, hard)?;
         }
         if !batch.entries.is_empty() {
--- a/crates/store/src/store/keys.rs
+++ b/crates/store/src/store/keys.rs
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     /// Corrupt bytes, or a device that fails.
-    pub fn keys_from(&self, prefix: &str) -> Result<Vec<(String, Vec<u8>)>, StoreError> {
+    pub fn keys_with_prefix(&self, prefix: &str) -> Result<Vec<(String, Vec<u8>)>, StoreError> {
         let keys = self.db.begin_read()?.open_table(KEYS)?;
         let mut found = Vec::new();
         for item in keys.range(prefix..)? {
--- a/crates/store/src/store/load.rs
+++ b/crates/store/src/store/load.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Loaded {
     /// The hard state.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The latest snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
     /// The entries behind it, without a gap.
@@ -35,7 +35,7 @@
         };
         let covered = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let entries = load_entries(&txn, covered)?;
-        Ok(Loaded { hard, snapshot, entries })
+        Ok(Loaded { hard_state: hard, snapshot, entries })
     }
 }
 
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -72,7 +72,7 @@
                 }
                 Step::Hard(vote) => {
                     hard = HardState { term, vote, commit: last };
-                    store.commit(&Batch { hard: Some(hard), ..Batch::default() }).unwrap();
+                    store.commit(&Batch { hard_state: Some(hard), ..Batch::default() }).unwrap();
                 }
                 Step::Key(key, value) => {
                     let value = value.map(|v| vec![v; 3]);
@@ -93,10 +93,10 @@
             }
         }
         let loaded = store.load().unwrap();
-        prop_assert_eq!(loaded.hard, hard);
+        prop_assert_eq!(loaded.hard_state, hard);
         prop_assert_eq!(loaded.snapshot, snapshot);
         prop_assert_eq!(loaded.entries, log);
-        prop_assert_eq!(store.keys_from("k/").unwrap(), keys.into_iter().collect::<Vec<_>>());
+        prop_assert_eq!(store.keys_with_prefix("k/").unwrap(), keys.into_iter().collect::<Vec<_>>());
         prop_assert!(store.scrub().unwrap().corrupt.is_empty());
     }
 }
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -20,12 +20,12 @@
     let key = |key: &str, value: Option<&[u8]>| (key.to_owned(), value.map(<[u8]>::to_vec));
     let entries = |from: u64, to: u64, term| (from..=to).map(|i| record(i, term)).collect::<Vec<_>>();
     vec![
-        Batch { hard: hard(1, 7, 0), ..Batch::default() },
+        Batch { hard_state: hard(1, 7, 0), ..Batch::default() },
         Batch { entries: entries(1, 6, 1), keys: vec![key("gate/orders", Some(b"3"))], ..Batch::default() },
-        Batch { hard: hard(2, 8, 3), entries: entries(4, 9, 2), ..Batch::default() },
-        Batch { snapshot: snapshot(5, 2, 150_000), hard: hard(2, 8, 6), ..Batch::default() },
+        Batch { hard_state: hard(2, 8, 3), entries: entries(4, 9, 2), ..Batch::default() },
+        Batch { snapshot: snapshot(5, 2, 150_000), hard_state: hard(2, 8, 6), ..Batch::default() },
         Batch { entries: entries(10, 14, 2), keys: vec![key("gate/orders", None)], ..Batch::default() },
-        Batch { snapshot: snapshot(40, 5, 70_000), hard: hard(5, 0, 40), ..Batch::default() },
+        Batch { snapshot: snapshot(40, 5, 70_000), hard_state: hard(5, 0, 40), ..Batch::default() },
         Batch { entries: entries(41, 43, 5), keys: vec![key("gate/votes", Some(b"9"))], ..Batch::default() },
     ]
 }
@@ -33,7 +33,7 @@
 type Held = (Loaded, Vec<(String, Vec<u8>)>);
 
 fn held(store: &Store) -> Held {
-    (store.load().expect("what is held can be read"), store.keys_from("").expect("keys can be read"))
+    (store.load().expect("what is held can be read"), store.keys_with_prefix("").expect("keys can be read"))
 }
 
 /// What is held after each number of batches, from a run without faults.
@@ -79,7 +79,7 @@
                 continue;
             };
             let acknowledged = acknowledged.unwrap_or(0);
-            let found = (store.load().ok(), store.keys_from("").ok());
+            let found = (store.load().ok(), store.keys_with_prefix("").ok());
             let fits = |n: usize| {
                 states
                     .get(n)
@@ -157,7 +157,7 @@
         bad[at] ^= 1 << rng.u8(0..8);
         let found = std::panic::catch_unwind(|| {
             let store = Store::open_on(FaultyDisk::holding(bad), &me())?;
-            Ok::<_, StoreError>((store.load()?, store.keys_from("")?))
+            Ok::<_, StoreError>((store.load()?, store.keys_with_prefix("")?))
         });
         match found {
             Ok(Ok(found)) => assert_eq!(found, good, "wrong bytes were served, flipped at {at}"),
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -93,7 +93,7 @@
     let _ = writeln!(text, "identity cluster={} name={} id={:016x}", owner.cluster, owner.name, owner.id);
     let _ = writeln!(text, "starts {}", store.starts());
     let loaded = store.load().expect("it loads");
-    let hard = loaded.hard;
+    let hard = loaded.hard_state;
     let _ = writeln!(text, "hard term={} vote={:016x} commit={}", hard.term, hard.vote, hard.commit);
     let snapshot = loaded.snapshot.expect("a snapshot");
     let _ = writeln!(text, "snapshot index={} term={}", snapshot.index, snapshot.term);
@@ -110,7 +110,7 @@
             hex(&entry.context)
         );
     }
-    for (key, value) in store.keys_from("").expect("keys") {
+    for (key, value) in store.keys_with_prefix("").expect("keys") {
         assert_eq!(store.key(&key).expect("a key"), Some(value.clone()));
         let _ = writeln!(text, "key {key}={}", hex(&value));
     }
@@ -124,7 +124,7 @@
     let store = Store::inspect(&path).expect("the store opens");
     assert_eq!(store.starts(), 3);
     let loaded = store.load().expect("it loads");
-    assert_eq!(loaded.hard, HardState { term: 4, vote: 0x0a11_ce00_0000_0001, commit: 329 });
+    assert_eq!(loaded.hard_state, HardState { term: 4, vote: 0x0a11_ce00_0000_0001, commit: 329 });
     let snapshot = loaded.snapshot.as_ref().expect("a snapshot");
     assert_eq!((snapshot.index, snapshot.term), (SNAPSHOT_INDEX, 4));
     let indexes: Vec<u64> = loaded.entries.iter().map(|entry| entry.index).collect();
@@ -137,7 +137,7 @@
         .map(|entry| (entry.index, entry.kind))
         .collect();
     assert_eq!(kinds, [(329, 1), (330, 1)], "changes of membership: one decided, one not");
-    let keys = store.keys_from("gate/").expect("keys");
+    let keys = store.keys_with_prefix("gate/").expect("keys");
     assert_eq!(
         keys,
         [("gate/orders".to_owned(), vec![0, 1, 2, 0xff]), ("gate/votes".to_owned(), b"epoch 2".to_vec())]
@@ -172,7 +172,7 @@
     let expected = tables(&path);
     let store = Store::inspect(&path).expect("the store opens");
     let loaded = store.load().expect("it loads");
-    let keys = store.keys_from("").expect("keys");
+    let keys = store.keys_with_prefix("").expect("keys");
     let anew = folder.path().join("anew.redb");
     // Opened three times, as the fixture was.
     for _ in 0..2 {
@@ -180,7 +180,7 @@
     }
     let mut copy = Store::open(&anew, &identity()).expect("a store made anew");
     let batch = Batch {
-        hard: Some(loaded.hard),
+        hard_state: Some(loaded.hard_state),
         snapshot: loaded.snapshot,
         entries: loaded.entries,
         keys: keys.into_iter().map(|(key, value)| (key, Some(value))).collect(),
