--- a/crates/agent/src/engine/replies.rs
+++ b/crates/agent/src/engine/replies.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use garnetcrank_consensus::ids::Ticket;
-use garnetcrank_consensus::pending_requests::Answer;
+use garnetcrank_consensus::pending_requests::{Answer, TicketAnswer};
 use garnetcrank_consensus::replicated_state::{Command, Reply};
 use tokio::sync::oneshot;
 use tracing::error;
@@ -61,7 +61,7 @@
 impl Engine {
     /// Passes on the answers that the Raft node has ready.
     pub(super) fn deliver_answers(&mut self) {
-        for (ticket, answer) in self.node.take_answers() {
+        for TicketAnswer { ticket, answer } in self.node.take_answers() {
             match self.replies.by_ticket.remove(&ticket) {
                 Some(reply) => self.deliver(reply, answer),
                 None => error!(%ticket, "a request was answered twice: report this with the log"),
--- a/crates/consensus/examples/handover/world/instance.rs
+++ b/crates/consensus/examples/handover/world/instance.rs
@@ -4,7 +4,7 @@
 
 use garnetcrank_consensus::ids::{InstanceId, Subject, Ticket};
 use garnetcrank_consensus::lease_client::LeaseClient;
-use garnetcrank_consensus::pending_requests::Answer;
+use garnetcrank_consensus::pending_requests::{Answer, TicketAnswer};
 use garnetcrank_consensus::proposal_queue::ProposalQueue;
 use garnetcrank_consensus::raft_node::{
     AppliedEntry, Message, RaftNode, RaftNodeError, RaftSettings, Ready, StorageHeadroom,
@@ -276,7 +276,7 @@
         let now = self.now;
         let mut to_clients = Vec::new();
         let Some(process) = &mut self.instances[position].process else { return to_clients };
-        for (ticket, answer) in process.node.take_answers() {
+        for TicketAnswer { ticket, answer } in process.node.take_answers() {
             match process.tickets.remove(&ticket) {
                 Some(TicketOwner::Proposer) => process.on_proposal_answer(now, answer),
                 Some(TicketOwner::Client(client)) => {
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -196,8 +196,8 @@
             self.in_transit.extend(ready.messages);
             node.on_persisted().expect("a write");
         }
-        for (_, answer) in node.take_answers() {
-            match answer {
+        for answered in node.take_answers() {
+            match answered.answer {
                 Answer::Applied(Reply::SessionOpened(opened)) if self.session.is_none() => {
                     self.session = Some(opened);
                 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -15,6 +15,13 @@
 //! - [`build_verdicts`]: what the proxies think of a build, and the one vote that follows from it;
 //! - [`chunking`]: messages too long for one frame.
 
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::missing_errors_doc
+)]
+
 pub mod build_verdicts;
 pub mod chunking;
 pub mod fencing;
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -33,6 +33,15 @@
     Rejected(String),
 }
 
+/// A caller's answer, and which request it answers.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct TicketAnswer {
+    /// The request's ticket.
+    pub ticket: Ticket,
+    /// Its one answer.
+    pub answer: Answer,
+}
+
 /// What identifies a proposal when it is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ProposalKey {
@@ -87,7 +96,7 @@
     read_deadlines: BTreeMap<Ticket, Ticks>,
     read_round: Option<ReadRound>,
     confirmed_reads: Vec<ConfirmedReads>,
-    answers: Vec<(Ticket, Answer)>,
+    answers: Vec<TicketAnswer>,
 }
 
 impl PendingRequests {
@@ -111,11 +120,11 @@
     }
 
     pub(crate) fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        self.answers.push((ticket, answer));
+        self.answers.push(TicketAnswer { ticket, answer });
     }
 
     /// Answers since the last call, in the order in which they were given.
-    pub(crate) fn take_answers(&mut self) -> Vec<(Ticket, Answer)> {
+    pub(crate) fn take_answers(&mut self) -> Vec<TicketAnswer> {
         std::mem::take(&mut self.answers)
     }
 
--- a/crates/consensus/src/pending_requests/tests.rs
+++ b/crates/consensus/src/pending_requests/tests.rs
@@ -1,4 +1,4 @@
-use super::{Answer, PendingRequests, ProposalKey};
+use super::{Answer, PendingRequests, ProposalKey, TicketAnswer};
 use crate::ids::{Sequence, SessionId, Ticket, Ticks};
 use crate::replicated_state::{Command, Proposal, Reply};
 
@@ -14,18 +14,24 @@
     pending.add_proposal(Ticket(2), proposal(2), Ticks(0), Ticks(50));
     pending.add_proposal(Ticket(3), proposal(2), Ticks(0), Ticks(90));
     pending.add_read(Ticket(4), Ticks(20));
-    assert_eq!(pending.take_answers(), [(Ticket(4), Answer::Busy)]);
+    assert_eq!(pending.take_answers(), [TicketAnswer { ticket: Ticket(4), answer: Answer::Busy }]);
     assert_eq!(pending.due_proposals(Ticks(0)).len(), 3);
     assert!(pending.due_proposals(Ticks(9)).is_empty());
     pending.mark_forwarded(Ticket(2));
     pending.expire(Ticks(50));
     assert_eq!(
         pending.take_answers(),
-        [(Ticket(1), Answer::NotProposed), (Ticket(2), Answer::Indeterminate)]
+        [
+            TicketAnswer { ticket: Ticket(1), answer: Answer::NotProposed },
+            TicketAnswer { ticket: Ticket(2), answer: Answer::Indeterminate }
+        ]
     );
     pending.complete(ProposalKey::of(&proposal(2)), &Reply::Done);
     pending.complete(ProposalKey::of(&proposal(2)), &Reply::Done);
-    assert_eq!(pending.take_answers(), [(Ticket(3), Answer::Applied(Reply::Done))]);
+    assert_eq!(
+        pending.take_answers(),
+        [TicketAnswer { ticket: Ticket(3), answer: Answer::Applied(Reply::Done) }]
+    );
     assert_eq!((pending.len(), pending.tickets_by_key.len()), (0, 0));
 }
 
@@ -41,7 +47,7 @@
     pending.answer_reads_up_to(6);
     assert!(pending.take_answers().is_empty());
     pending.answer_reads_up_to(7);
-    assert_eq!(pending.take_answers(), [(Ticket(1), Answer::ReadReady)]);
+    assert_eq!(pending.take_answers(), [TicketAnswer { ticket: Ticket(1), answer: Answer::ReadReady }]);
     let second = pending.begin_read_round(Ticks(2), || vec![2]).unwrap();
     assert_eq!(
         pending.begin_read_round(Ticks(12), || vec![3]),
@@ -52,5 +58,5 @@
     pending.answer_reads_up_to(7);
     assert!(pending.take_answers().is_empty(), "the old round's answer counts for nothing");
     pending.expire(Ticks(100));
-    assert_eq!(pending.take_answers(), [(Ticket(2), Answer::ReadTimedOut)]);
+    assert_eq!(pending.take_answers(), [TicketAnswer { ticket: Ticket(2), answer: Answer::ReadTimedOut }]);
 }
--- a/crates/consensus/src/raft_node/proposals.rs
+++ b/crates/consensus/src/raft_node/proposals.rs
@@ -4,7 +4,7 @@
 use super::random::split_mix_64;
 use super::{RaftNode, StorageHeadroom};
 use crate::ids::{InstanceId, Sequence, SessionId, Ticket, Ticks};
-use crate::pending_requests::Answer;
+use crate::pending_requests::{Answer, TicketAnswer};
 use crate::replicated_state::{Command, Proposal};
 
 /// Bits that the incarnation is shifted by in a nonce: an incarnation may make 2^40 of them before two collide.
@@ -43,7 +43,7 @@
     }
 
     /// Answers since the last call, one for each ticket.
-    pub fn take_answers(&mut self) -> Vec<(Ticket, Answer)> {
+    pub fn take_answers(&mut self) -> Vec<TicketAnswer> {
         self.pending.take_answers()
     }
 
--- a/crates/consensus/src/raft_node/tests.rs
+++ b/crates/consensus/src/raft_node/tests.rs
@@ -4,7 +4,7 @@
 use super::codec::encode;
 use super::{Message, NodeRole, RaftNode, RaftNodeError, RaftSettings, StorageHeadroom, initial_state};
 use crate::ids::{Index, InstanceId, Term, Ticket};
-use crate::pending_requests::Answer;
+use crate::pending_requests::{Answer, TicketAnswer};
 use crate::replicated_state::{Member, ReplicatedState};
 
 fn members() -> Vec<Member> {
@@ -100,7 +100,7 @@
     let mut full = started();
     full.set_storage_headroom(StorageHeadroom::Low);
     full.open_session(Ticket(1), 10);
-    assert_eq!(full.take_answers(), [(Ticket(1), Answer::StoreFull)]);
+    assert_eq!(full.take_answers(), [TicketAnswer { ticket: Ticket(1), answer: Answer::StoreFull }]);
     full.receive(append(1, 2));
     persist_all(&mut full);
     assert_eq!(full.status().last_index, Index(1));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,6 +5,13 @@
 //! seeds, settings and events bring equal actions. [`api`] holds the types that go in and out; each of the
 //! other modules holds one concern with its constants and its state.
 
+#![warn(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::missing_errors_doc
+)]
+
 mod admission;
 pub mod api;
 mod attempt_outcome;
