--- a/crates/cli/src/ledger/command_text.rs
+++ b/crates/cli/src/command_text.rs
@@ -1,7 +1,7 @@
-//! One-line texts of log entries' commands, as `garnetcrank ledger inspect` prints them. Commands and fields are named
-//! as in the JSON of the agent's HTTP port, so that operators find the same names in both.
+//! One-line texts of log entries' commands, as `garnetcrank ledger inspect` prints them, and of replies. Commands,
+//! replies and fields are named as in the JSON of the agent's HTTP port, so that operators find the same names in both.
 
-use garnetcrank_consensus::replicated_state::Command;
+use garnetcrank_consensus::replicated_state::{Command, Reply};
 
 /// The text of a command with all its fields.
 pub fn command_text(command: &Command) -> String {
@@ -31,3 +31,21 @@
         }
     }
 }
+
+/// The text of a reply with all its fields.
+pub fn reply_text(reply: &Reply) -> String {
+    match reply {
+        Reply::SessionOpened(session) => format!("Opened({session:?})"),
+        Reply::LeaseAcquired(epoch) => format!("Granted({epoch:?})"),
+        Reply::Dispatched(epoch) => format!("Handed({epoch:?})"),
+        Reply::Executed(epoch) => format!("Ran({epoch:?})"),
+        Reply::StaleEpoch { current } => format!("Stale {{ current: {current:?} }}"),
+        Reply::SessionExpired => "SessionLost".to_owned(),
+        Reply::Superseded => "Overtaken".to_owned(),
+        Reply::CapacityExceeded => "Full".to_owned(),
+        Reply::Rejected(reason) => format!("Refused({reason:?})"),
+        Reply::Decided { .. } | Reply::Done | Reply::InDoubt(_) | Reply::Retired { .. } => {
+            format!("{reply:?}")
+        }
+    }
+}
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -6,6 +6,8 @@
 use garnetcrank_consensus::replicated_state::Reply;
 use garnetcrank_store::StoreError;
 
+use crate::command_text::reply_text;
+
 /// Longest wait that `--within` takes, in seconds: what an agent waits at most.
 pub const MAX_TIMEOUT_SECONDS: f64 = 60.0;
 
@@ -48,7 +50,7 @@
     #[error("the ledger is full: retire old subjects")]
     LedgerFull,
     /// A reply that does not fit the command.
-    #[error("{0:?}")]
+    #[error("{}", reply_text(.0))]
     UnexpectedReply(Reply),
     /// The subject is not decided.
     #[error("{0} is not decided")]
--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -1,4 +1,4 @@
-//! `garnetcrank ledger inspect`: a look at a store that changes nothing.
+//! `garnetcrank ledger inspect`: a look at a store that changes no stored value.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use garnetcrank_store::{HardState, Identity, Loaded, Record, Scrub, Store, StoreError, Usage};
 use serde_json::{Value, json};
 
-use super::command_text::command_text;
+use crate::command_text::command_text;
 use crate::error::CliError;
 use crate::output::{self, OutputFormat};
 
--- a/crates/cli/src/ledger/mod.rs
+++ b/crates/cli/src/ledger/mod.rs
@@ -11,7 +11,6 @@
 use crate::error::{CliError, MAX_TIMEOUT_SECONDS};
 use crate::output::{self, OutputFormat};
 
-mod command_text;
 mod inspect;
 mod leases;
 mod member_table;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,6 +12,7 @@
 )]
 
 mod agent_client;
+mod command_text;
 mod error;
 mod ledger;
 mod output;
--- a/crates/cli/tests/golden_json.rs
+++ b/crates/cli/tests/golden_json.rs
@@ -94,45 +94,45 @@
     asked
 }
 
-struct Said {
+struct ProgramOutput {
     code: Option<i32>,
     out: String,
     err: String,
 }
 
-fn program(words: &[&str]) -> Said {
+fn program(words: &[&str]) -> ProgramOutput {
     let mut command = Command::new(env!("CARGO_BIN_EXE_garnetcrank"));
     let output = command.env_remove("GARNETCRANK_AGENT").args(words).output().expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
-    Said { code: output.status.code(), out: text(&output.stdout), err: text(&output.stderr) }
+    ProgramOutput { code: output.status.code(), out: text(&output.stdout), err: text(&output.stderr) }
 }
 
 /// Runs `garnetcrank --json ledger --agent ADDRESS WORDS` beside a scripted agent.
-fn run(words: &[&str], script: Vec<Answer>) -> (Said, Vec<Request>) {
+fn run(words: &[&str], script: Vec<Answer>) -> (ProgramOutput, Vec<Request>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address: SocketAddr = listener.local_addr().expect("an address");
     let serving = std::thread::spawn(move || serve(&listener, script));
     let mut all = vec!["--json".to_owned(), "ledger".into(), "--agent".into(), address.to_string()];
     all.extend(words.iter().map(|word| (*word).to_owned()));
-    let said = program(&all.iter().map(String::as_str).collect::<Vec<_>>());
-    if said.code == Some(2) {
-        panic!("the command line is not taken: {}", said.err);
+    let output = program(&all.iter().map(String::as_str).collect::<Vec<_>>());
+    if output.code == Some(2) {
+        panic!("the command line is not taken: {}", output.err);
     }
-    (said, serving.join().expect("the agent's thread"))
+    (output, serving.join().expect("the agent's thread"))
 }
 
 /// The JSON is the golden one with the keys in the same order: printed anew, it is the same text.
 #[track_caller]
-fn prints(said: &Said, golden: &Value) {
-    assert_eq!(said.code, Some(0), "{}", said.err);
-    assert_eq!(serde_json::from_str::<Value>(&said.out).expect("JSON"), *golden);
-    assert_eq!(said.out, format!("{}\n", serde_json::to_string_pretty(golden).expect("JSON")));
+fn prints(output: &ProgramOutput, golden: &Value) {
+    assert_eq!(output.code, Some(0), "{}", output.err);
+    assert_eq!(serde_json::from_str::<Value>(&output.out).expect("JSON"), *golden);
+    assert_eq!(output.out, format!("{}\n", serde_json::to_string_pretty(golden).expect("JSON")));
 }
 
 /// The same for types that print their keys in an order of their own, given as the very text.
 #[track_caller]
-fn prints_text(said: &Said, golden: &str) {
-    assert_eq!((said.code, said.out.trim_end()), (Some(0), golden), "{}", said.err);
+fn prints_text(output: &ProgramOutput, golden: &str) {
+    assert_eq!((output.code, output.out.trim_end()), (Some(0), golden), "{}", output.err);
 }
 
 fn status() -> Value {
@@ -149,17 +149,17 @@
 
 #[test]
 fn status_prints_what_the_agent_says() {
-    let (said, asked) = run(&["status"], vec![ok(&status())]);
-    prints(&said, &status());
+    let (output, asked) = run(&["status"], vec![ok(&status())]);
+    prints(&output, &status());
     assert_eq!(asked, [request("GET", "/v1/status?within_ms=5000", "")]);
-    let (said, asked) = run(&["--within", "2.5", "status"], vec![ok(&status())]);
-    prints(&said, &status());
+    let (output, asked) = run(&["--within", "2.5", "status"], vec![ok(&status())]);
+    prints(&output, &status());
     assert_eq!(asked, [request("GET", "/v1/status?within_ms=2500", "")]);
 }
 
 #[test]
 fn members_list_prints_each_key() {
-    let (said, asked) = run(&["members", "list"], vec![ok(&status())]);
+    let (output, asked) = run(&["members", "list"], vec![ok(&status())]);
     let golden = r#"[
   {
     "id": "00000000000000ab",
@@ -176,7 +176,7 @@
     "part": "learner"
   }
 ]"#;
-    prints_text(&said, golden);
+    prints_text(&output, golden);
     assert_eq!(asked, [request("GET", "/v1/status?within_ms=5000", "")]);
 }
 
@@ -196,7 +196,7 @@
             {"subject": {"space": "orders", "number": 9}, "standing": {"Ran": 4}},
         ],
     });
-    let (said, asked) = run(&["list"], vec![ok(&first), ok(&second)]);
+    let (output, asked) = run(&["list"], vec![ok(&first), ok(&second)]);
     let golden = r#"[
   {
     "subject": {
@@ -229,15 +229,15 @@
     }
   }
 ]"#;
-    prints_text(&said, golden);
+    prints_text(&output, golden);
     let targets = [
         request("GET", "/v1/ledger?stale=0&within_ms=5000", ""),
         request("GET", "/v1/ledger?stale=0&after=condemned/42&within_ms=5000", ""),
     ];
     assert_eq!(asked, targets);
     let none = json!({"applied": 1, "subjects": [], "next": null});
-    let (said, asked) = run(&["list", "--space", "orders", "--stale"], vec![ok(&none)]);
-    prints(&said, &json!([]));
+    let (output, asked) = run(&["list", "--space", "orders", "--stale"], vec![ok(&none)]);
+    prints(&output, &json!([]));
     assert_eq!(asked, [request("GET", "/v1/ledger?stale=1&space=orders&within_ms=5000", "")]);
 }
 
@@ -256,16 +256,16 @@
     ]
   }
 }"#;
-    let (said, asked) = run(&["show", "condemned/42"], vec![ok(&page)]);
-    prints_text(&said, golden);
+    let (output, asked) = run(&["show", "condemned/42"], vec![ok(&page)]);
+    prints_text(&output, golden);
     assert_eq!(asked, [request("GET", "/v1/ledger/condemned/42?stale=0&within_ms=5000", "")]);
-    let (said, asked) = run(&["show", "condemned/42", "--stale"], vec![ok(&page)]);
-    prints_text(&said, golden);
+    let (output, asked) = run(&["show", "condemned/42", "--stale"], vec![ok(&page)]);
+    prints_text(&output, golden);
     assert_eq!(asked, [request("GET", "/v1/ledger/condemned/42?stale=1&within_ms=5000", "")]);
     let none = json!({"applied": 17, "subjects": [], "next": null});
-    let (said, _) = run(&["show", "condemned/43"], vec![ok(&none)]);
-    assert_eq!((said.code, said.out.as_str()), (Some(1), ""));
-    assert!(said.err.contains("condemned/43"), "{}", said.err);
+    let (output, _) = run(&["show", "condemned/43"], vec![ok(&none)]);
+    assert_eq!((output.code, output.out.as_str()), (Some(1), ""));
+    assert!(output.err.contains("condemned/43"), "{}", output.err);
 }
 
 /// What `propose` and `retire` do on each answer of the agent: the exit code.
@@ -294,35 +294,55 @@
         ok(&json!({"result": "applied", "reply": {"Decided": {"value": value, "first": first}}}))
     };
     let words = ["propose", "condemned/42", "yes"];
-    let (said, asked) = run(&words, vec![applied(b"yes", true)]);
-    prints(&said, &json!({"subject": "condemned/42", "value": "yes", "first": true}));
+    let (output, asked) = run(&words, vec![applied(b"yes", true)]);
+    prints(&output, &json!({"subject": "condemned/42", "value": "yes", "first": true}));
     let body = concat!(
         r#"{"command":{"Decide":{"subject":{"space":"condemned","number":42},"value":[121,101,115]}},"#,
         r#""proposal":null,"within_ms":5000}"#
     );
     assert_eq!(asked, [request("POST", PROPOSE_PATH, body)]);
-    let (said, _) = run(&words, vec![applied(b"yes", false)]);
-    prints(&said, &json!({"subject": "condemned/42", "value": "yes", "first": false}));
-    let (said, _) = run(&words, vec![applied(&[0, 255], false)]);
-    assert_eq!(said.code, Some(1), "decided otherwise");
-    let printed: Value = serde_json::from_str(&said.out).expect("JSON");
+    let (output, _) = run(&words, vec![applied(b"yes", false)]);
+    prints(&output, &json!({"subject": "condemned/42", "value": "yes", "first": false}));
+    let (output, _) = run(&words, vec![applied(&[0, 255], false)]);
+    assert_eq!(output.code, Some(1), "decided otherwise");
+    let printed: Value = serde_json::from_str(&output.out).expect("JSON");
     assert_eq!(printed, json!({"subject": "condemned/42", "value": "0x00ff", "first": false}));
     for (answer, code) in outcomes() {
-        let (said, _) = run(&words, vec![ok(&answer)]);
-        assert_eq!((said.code, said.out.as_str()), (Some(code), ""), "{answer}: {}", said.err);
+        let (output, _) = run(&words, vec![ok(&answer)]);
+        assert_eq!((output.code, output.out.as_str()), (Some(code), ""), "{answer}: {}", output.err);
+    }
+}
+
+#[test]
+fn a_reply_that_does_not_fit_the_command_is_named_as_in_the_json() {
+    let replies = [
+        (json!("SessionLost"), "SessionLost"),
+        (json!("Overtaken"), "Overtaken"),
+        (json!("Done"), "Done"),
+        (json!({"Opened": 7}), "Opened(SessionId(7))"),
+        (json!({"Granted": 3}), "Granted(Epoch(3))"),
+        (json!({"Handed": 4}), "Handed(Epoch(4))"),
+        (json!({"InDoubt": 5}), "InDoubt(Epoch(5))"),
+        (json!({"Ran": 6}), "Ran(Epoch(6))"),
+        (json!({"Stale": {"current": 4}}), "Stale { current: Epoch(4) }"),
+    ];
+    for (reply, text) in replies {
+        let answer = ok(&json!({"result": "applied", "reply": reply}));
+        let (output, _) = run(&["propose", "condemned/42", "yes"], vec![answer]);
+        assert_eq!((output.code, output.err), (Some(1), format!("garnetcrank: {text}\n")));
     }
 }
 
 #[test]
 fn retire_prints_the_space_and_the_floor() {
     let words = ["retire", "condemned", "43"];
-    let (said, asked) = run(&words, vec![ok(&json!({"result": "applied", "reply": "Done"}))]);
-    prints(&said, &json!({"retired": {"space": "condemned", "below": 43}}));
+    let (output, asked) = run(&words, vec![ok(&json!({"result": "applied", "reply": "Done"}))]);
+    prints(&output, &json!({"retired": {"space": "condemned", "below": 43}}));
     let body = r#"{"command":{"Retire":{"space":"condemned","below":43}},"proposal":null,"within_ms":5000}"#;
     assert_eq!(asked, [request("POST", PROPOSE_PATH, body)]);
     for (answer, code) in outcomes() {
-        let (said, _) = run(&words, vec![ok(&answer)]);
-        assert_eq!((said.code, said.out.as_str()), (Some(code), ""), "{answer}: {}", said.err);
+        let (output, _) = run(&words, vec![ok(&answer)]);
+        assert_eq!((output.code, output.out.as_str()), (Some(code), ""), "{answer}: {}", output.err);
     }
 }
 
@@ -346,11 +366,11 @@
     "renewed": 98
   }
 ]"#;
-    let (said, asked) = run(&["grants"], vec![ok(&grants)]);
-    prints_text(&said, golden);
+    let (output, asked) = run(&["grants"], vec![ok(&grants)]);
+    prints_text(&output, golden);
     assert_eq!(asked, [request("GET", "/v1/grants?stale=0&within_ms=5000", "")]);
-    let (said, asked) = run(&["grants", "--stale"], vec![ok(&grants)]);
-    prints_text(&said, golden);
+    let (output, asked) = run(&["grants", "--stale"], vec![ok(&grants)]);
+    prints_text(&output, golden);
     assert_eq!(asked, [request("GET", "/v1/grants?stale=1&within_ms=5000", "")]);
 }
 
@@ -370,16 +390,16 @@
 #[test]
 fn members_remove_and_transfer_print_whom_they_meant() {
     let done = ok(&json!({"result": "done"}));
-    let (said, asked) = run(&["members", "remove", "n3"], vec![done.clone()]);
-    prints(&said, &json!({"removed": "n3"}));
+    let (output, asked) = run(&["members", "remove", "n3"], vec![done.clone()]);
+    prints(&output, &json!({"removed": "n3"}));
     assert_eq!(asked, [request("POST", "/v1/members?within_ms=5000", r#"{"remove":"n3"}"#)]);
-    let (said, asked) = run(&["transfer", "n2"], vec![done]);
-    prints(&said, &json!({"transfer": "n2"}));
+    let (output, asked) = run(&["transfer", "n2"], vec![done]);
+    prints(&output, &json!({"transfer": "n2"}));
     assert_eq!(asked, [request("POST", "/v1/transfer?within_ms=5000", r#"{"to":"n2"}"#)]);
     for words in [&["members", "remove", "n3"][..], &["transfer", "n2"]] {
         for (answer, code) in led() {
-            let (said, _) = run(words, vec![answer.clone()]);
-            assert_eq!((said.code, said.out.as_str()), (Some(code), ""), "{answer:?}: {}", said.err);
+            let (output, _) = run(words, vec![answer.clone()]);
+            assert_eq!((output.code, output.out.as_str()), (Some(code), ""), "{answer:?}: {}", output.err);
         }
     }
 }
@@ -393,20 +413,20 @@
         json!({"id": "00000000000000ad", "name": "n4", "address": "10.0.0.4:7001", "part": "none"});
     let answers = vec![ok(&newcomer), ok(&status())];
     let serving = std::thread::spawn(move || serve(&listener, answers));
-    let (said, asked) = run(&["members", "add", &joining], vec![ok(&json!({"result": "done"}))]);
-    prints(&said, &json!({"added": "n4", "id": "00000000000000ad", "address": "10.0.0.4:7001"}));
+    let (output, asked) = run(&["members", "add", &joining], vec![ok(&json!({"result": "done"}))]);
+    prints(&output, &json!({"added": "n4", "id": "00000000000000ad", "address": "10.0.0.4:7001"}));
     let body = r#"{"add":{"id":"00000000000000ad","name":"n4","address":"10.0.0.4:7001"}}"#;
     assert_eq!(asked, [request("POST", "/v1/members?within_ms=5000", body)]);
-    let (said, _) = run(&["members", "add", &joining], vec![]);
-    assert_eq!(said.code, Some(1), "a member already: {}", said.err);
+    let (output, _) = run(&["members", "add", &joining], vec![]);
+    assert_eq!(output.code, Some(1), "a member already: {}", output.err);
     let asked = serving.join().expect("the newcomer's thread");
     assert_eq!(asked, vec![request("GET", "/v1/status?within_ms=5000", ""); 2]);
 }
 
 #[test]
 fn snapshot_prints_that_it_is_folded() {
-    let (said, asked) = run(&["snapshot"], vec![ok(&json!({"result": "done"}))]);
-    prints(&said, &json!({"snapshot": "folded"}));
+    let (output, asked) = run(&["snapshot"], vec![ok(&json!({"result": "done"}))]);
+    prints(&output, &json!({"snapshot": "folded"}));
     assert_eq!(asked, [request("POST", "/v1/snapshot?within_ms=5000", "{}")]);
 }
 
@@ -447,11 +467,11 @@
 }
 
 fn inspected(words: &[&str]) -> Value {
-    let said = program(words);
-    assert_eq!(said.code, Some(0), "{}", said.err);
-    let mut value: Value = serde_json::from_str(&said.out).expect("JSON");
+    let output = program(words);
+    assert_eq!(output.code, Some(0), "{}", output.err);
+    let mut value: Value = serde_json::from_str(&output.out).expect("JSON");
     let again = serde_json::to_string_pretty(&value).expect("JSON");
-    assert_eq!(said.out, format!("{again}\n"), "keys in order");
+    assert_eq!(output.out, format!("{again}\n"), "keys in order");
     mask(&mut value, "/usage/bytes");
     value
 }
@@ -518,8 +538,8 @@
 
 #[test]
 fn inspect_of_no_store_fails_with_its_own_code() {
-    let said = program(&["--json", "ledger", "inspect", "/nowhere/n1.redb"]);
-    assert_eq!((said.code, said.out.as_str()), (Some(5), ""), "{}", said.err);
+    let output = program(&["--json", "ledger", "inspect", "/nowhere/n1.redb"]);
+    assert_eq!((output.code, output.out.as_str()), (Some(5), ""), "{}", output.err);
 }
 
 #[test]
