--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -12,7 +12,7 @@
 const LATENCY_SMOOTHING: f64 = 0.05;
 /// By how much the limit moves a tick: quicker, it swings.
 const LIMIT_ADJUSTMENT: f64 = 0.01;
-/// Lowest limit for each endpoint, over all instances: some outcomes must tell.
+/// Lowest limit for each endpoint, over all instances: some outcomes are needed to measure by.
 const MIN_LIMIT_PER_ENDPOINT: f64 = 2.0;
 /// Lowest limit of one instance, over what it has in flight while all goes well.
 const MIN_LIMIT_OVER_NORMAL: f64 = 2.0;
@@ -186,6 +186,7 @@
         priority * if over_quota { self.config.over_quota_weight } else { 1.0 }
     }
 
+    /// Whether a tenant's fraction of the traffic is over its `share`; `quota_per_s` is not used here.
     fn is_over_quota(&self, tenant: TenantId) -> bool {
         let share = self.config.tenants[tenant.0].share;
         self.traffic.tenant_fraction(tenant) > OVER_QUOTA_MULTIPLE * share
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,7 +1,7 @@
 //! The types that go into and come out of [`Policy`](crate::Policy): settings, events and actions.
 //!
-//! All times and spans are whole microseconds of the caller's clock ([`Micros`]). The types carry no behaviour
-//! beyond small predicates on their own value.
+//! All times and spans are whole microseconds of the caller's clock ([`Micros`]). The types carry no
+//! behaviour beyond small predicates on their own value.
 
 mod action;
 mod config;
--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -48,7 +48,7 @@
         /// Its content.
         bytes: Vec<u8>,
     },
-    /// Watch the endpoint list for changes.
+    /// Watch the endpoint list for changes (`true`), or no longer (`false`).
     WatchEndpoints(bool),
     /// Fetch the whole endpoint list once.
     PollEndpoints,
--- a/crates/policy/src/api/endpoints.rs
+++ b/crates/policy/src/api/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, as discovery tells it.
+//! The endpoint list, as discovery reports it.
 
 use super::{Build, CellId, EndpointId, KindId, Micros, ZoneId};
 
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -12,7 +12,7 @@
     EndpointsUpdated(EndpointUpdate),
     /// A request arrived.
     Request(Request),
-    /// The answer to an attempt has begun; it is the client's from here on.
+    /// The response to an attempt has started; no other attempt may answer the client any more.
     ResponseStarted {
         /// The request.
         id: RequestId,
@@ -21,7 +21,7 @@
     },
     /// An attempt ended.
     AttemptCompleted(AttemptResult),
-    /// The client has left; nothing is owed any more.
+    /// The client has disconnected: the request needs no answer any more.
     ClientDisconnected(RequestId),
     /// A timer is due; carries its token.
     Timer(u64),
@@ -43,11 +43,11 @@
         /// Its content.
         bytes: Vec<u8>,
     },
-    /// The platform's status of the newest build changed.
+    /// The release controller's status of the newest build changed.
     RolloutUpdated(RolloutStatus),
-    /// The platform's answer to this instance's vote; the status too where it is known.
+    /// The release controller's answer to this instance's vote; the status too where it is known.
     VoteCompleted(VoteResult, Option<RolloutStatus>),
-    /// The platform's count of one build and class over a past period.
+    /// The release controller's count of one build and class over a past period.
     Tally {
         /// The build.
         build: Build,
--- a/crates/policy/src/api/rollout.rs
+++ b/crates/policy/src/api/rollout.rs
@@ -24,7 +24,7 @@
     InPlace,
 }
 
-/// How the platform introduces builds, and what the votes do.
+/// How the release controller introduces builds, and what the votes do.
 #[derive(Debug, Clone, Default)]
 pub struct Rollout {
     /// How votes move a build.
@@ -51,7 +51,7 @@
     pub vote_timeout: Micros,
     /// Instances whose votes must be valid together to roll a build back.
     pub rollback_quorum: u32,
-    /// Votes a second that the platform takes from all instances.
+    /// Votes a second that the release controller takes from all instances.
     pub votes_per_s: f64,
     /// How long a stage lasts under [`VoteMode::Timer`].
     pub stage_duration: Micros,
@@ -81,7 +81,7 @@
     }
 }
 
-/// What the platform says of the newest build.
+/// What the release controller says of the newest build.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RolloutStatus {
     /// The newest build.
@@ -96,14 +96,14 @@
     pub age: Micros,
 }
 
-/// The platform's answer to a vote.
+/// The release controller's answer to a vote.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VoteResult {
     /// It counts.
     Counted,
     /// Not the present build or stage, or no such verdict here.
     Obsolete,
-    /// The platform takes no more votes just now.
+    /// The release controller takes no more votes just now.
     RateLimited,
     /// An error: it does not count.
     Failed,
--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells: of its endpoint, of how full the fleet is, and of its build.
+//! What the end of an attempt shows about its endpoint, the fleet's load and its build.
 
 use crate::api::{EndpointRecord, Micros, Outcome, Request};
 use crate::build_health::OutcomeSample;
@@ -139,8 +139,8 @@
         self.build_record(attempt.build).add(completed.request.class, sample, attempt.sent);
     }
 
-    /// By how much an attempt at a build on trial was slower than what released builds took in its zone at the
-    /// same moment (logarithm). A warming endpoint is taken for as slow as it may be.
+    /// By how much an attempt at a build on trial was slower than what released builds took in its zone at
+    /// the same moment (logarithm). A warming endpoint is taken for as slow as it may be.
     fn excess_over_zone(&self, completed: &CompletedAttempt, slowdown: Option<f64>) -> Option<f64> {
         // At the last stage the earlier endpoints are being emptied and no measure any more.
         if !completed.on_trial || self.is_last_stage() {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Where the platform says so, a key answered by a build on trial stays with it.
+    /// Where the settings say so, a key answered by a build on trial stays with it.
     fn bind_key(&mut self, completed: &CompletedAttempt) {
         let binds = self.config.rollout.forward_only_keys
             && completed.outcome == Outcome::Success
--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -119,10 +119,10 @@
         }
     }
 
-    /// Assesses a class, or all together, by the ratio of failures over the last outcomes, against the earlier
-    /// build's.
-    /// Danger: time-outs come from load or a stall as easily as from a build, so they count only as far as
-    /// surely above chance, beside an earlier build that serves. Harm: one that hangs a few is found late.
+    /// Assesses a class, or all together, by the ratio of failures over the last outcomes, against the
+    /// earlier build's. Danger: time-outs come from load or a stall as easily as from a build, so they count
+    /// only as far as surely above chance, beside an earlier build that serves. Harm: one that hangs a few is
+    /// found late.
     fn assess_failures(
         &self,
         record: &BuildRecord,
@@ -169,8 +169,8 @@
         (timeouts - self.confidence_margin() * error).max(0.0)
     }
 
-    /// Assesses a build's latency, all classes together: each outcome as its logarithm over the baseline of its
-    /// class and kind of endpoint, and over what the released builds took in its zone at that moment.
+    /// Assesses a build's latency, all classes together: each outcome as its logarithm over the baseline of
+    /// its class and kind of endpoint, and over what the released builds took in its zone at that moment.
     /// Danger: a build that is only slow passes by its errors until it takes the fleet down.
     fn assess_latency(&self, record: &BuildRecord) -> Assessment {
         let excesses = record
@@ -182,7 +182,8 @@
         if summary.count < self.min_samples(RECENT_OUTCOMES) {
             return Assessment::Unjudged;
         }
-        // However many outcomes, a build's few endpoints may be slow ones, and the zone's mean is no certainty.
+        // However many outcomes, a build's few endpoints may be slow ones, and the zone's mean is no
+        // certainty.
         let endpoints_error = ENDPOINT_DEVIATION * (1.0 / summary.endpoints + 0.5).sqrt();
         let error = summary.error(MIN_SAMPLE_DEVIATION).hypot(endpoints_error);
         // A failure starts once it is sure, and ends once it is not even likely.
@@ -194,8 +195,9 @@
         fail_if(exceeds_on_majority(excesses.into_iter(), LATENCY_SLOWDOWN))
     }
 
-    /// How sure an instance must be, in standard errors. Danger: an instance with a handful of outcomes a stage
-    /// never is. Where many must agree they guard against its chance. Harm: a fault misleads many alike.
+    /// How sure an instance must be, in standard errors. Danger: an instance with a handful of outcomes a
+    /// stage never is. Where many must agree they guard against its chance. Harm: a fault misleads many
+    /// alike.
     fn confidence_margin(&self) -> f64 {
         let quorum = f64::from(self.config.rollout.rollback_quorum.max(1));
         (CONFIDENCE_ERRORS - ERRORS_PER_LOG_QUORUM * quorum.ln()).max(1.0)
--- a/crates/policy/src/build_health/build_record.rs
+++ b/crates/policy/src/build_health/build_record.rs
@@ -60,7 +60,7 @@
 #[derive(PartialEq)]
 pub(super) enum BuildState {
     Soaking,
-    /// A failure was sustained: voted back until the platform says that the build is rolled back.
+    /// A failure was sustained: voted back until the release controller says that the build is rolled back.
     Failed,
 }
 
@@ -196,8 +196,8 @@
         earlier.find(|record| record.last_outcome_at > 0 && !record.has_failed())
     }
 
-    /// Whether a build is used only if there is no other: it has failed, or it is withheld. A class that fails
-    /// is still sent.
+    /// Whether a build is used only if there is no other: it has failed, or it is withheld. A class that
+    /// fails is still sent.
     pub(crate) fn is_avoided(&self, build: Build) -> bool {
         let Some(record) = self.builds.get(&build) else { return false };
         let withheld = record.suspicion.as_ref().is_some_and(|suspicion| suspicion.is_withheld(self.now));
--- a/crates/policy/src/build_health/fleet_health.rs
+++ b/crates/policy/src/build_health/fleet_health.rs
@@ -1,7 +1,7 @@
 //! Whether a build slows the whole fleet, old and new endpoints alike.
 //!
-//! Comparing the build's latency with the earlier build's shows nothing then. Instead the build is withheld for
-//! a while: a slowdown that goes, and comes back with the build, is its doing.
+//! Comparing the build's latency with the earlier build's shows nothing then. Instead the build is withheld
+//! for a while: a slowdown that goes, and comes back with the build, is its doing.
 
 use super::samples::{EndpointValue, SampleSummary};
 use super::{
@@ -87,18 +87,19 @@
 enum TestResult {
     Running,
     Blamed,
-    /// It tells nothing.
+    /// It is inconclusive.
     Void,
     Cleared,
 }
 
 impl Policy {
-    /// Assesses a build by what it does to the earlier one's endpoints. Once these are surely much slower than
-    /// before the trial, the clock is held and the build withheld for 3 s: a rise that goes, and comes back
-    /// with the build, is its doing. All instances see it at about the same time and withhold together.
+    /// Assesses a build by what it does to the earlier one's endpoints. Once these are surely much slower
+    /// than before the trial, the clock is held and the build withheld for 3 s: a rise that goes, and comes
+    /// back with the build, is its doing. All instances see it at about the same time and withhold together.
     /// Danger: a build slows old and new alike. Harm: a hold on a good build; a fault in step by chance.
     /// Exception: the stage moves on under the test, as statuses and holds travel. The build is withheld no
-    /// more, and blamed if old and new are still slow 3 s after it was suspected. Harm: a fault that came along.
+    /// more, and blamed if old and new are still slow 3 s after it was suspected. Harm: a fault that came
+    /// along.
     pub(super) fn assess_fleet(&mut self, status: RolloutStatus) -> Assessment {
         let fleet = self.fleet_latency(&status);
         self.record_slowdown_before(&status, &fleet);
@@ -183,7 +184,7 @@
         if stage_moved_on && fleet.exceeds(0.0) {
             return TestResult::Blamed;
         }
-        // Endpoints that come or go change the latency by themselves: such a test tells nothing.
+        // Endpoints that come or go change the latency by themselves: such a test is inconclusive.
         if self.endpoints.changed_at > suspicion.since {
             return TestResult::Void;
         }
--- a/crates/policy/src/build_health/samples.rs
+++ b/crates/policy/src/build_health/samples.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Ratio of the last samples, `max_samples` at the max_samples, of which something holds; 0 of none.
+/// Ratio of the last samples, at most `max_samples` of them, for which `holds` is true; 0 if there are none.
 pub(super) fn ratio(
     samples: &VecDeque<OutcomeSample>,
     max_samples: usize,
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what discovery tells, and when to poll it.
+//! The endpoint list: what discovery reports, and when to poll it.
 
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
         Endpoint { record, slow_start, ..Endpoint::default() }
     }
 
-    /// Whether the endpoint's entry in the list tells of another process than the one known.
+    /// Whether the endpoint's entry in the list names another process than the one known.
     fn is_replaced_by(&self, record: &EndpointRecord) -> bool {
         self.record.started != record.started || self.record.build != record.build
     }
@@ -173,7 +173,7 @@
         self.endpoints.prune();
     }
 
-    pub(crate) fn poll_endpoints(&mut self) {
+    pub(crate) fn request_watch_if_due(&mut self) {
         if self.endpoint_poll.take_due(self.now) {
             self.actions.push(Action::WatchEndpoints(true));
         }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -116,7 +116,7 @@
         self.update_served_loads();
         self.assess_newest_build();
         self.cast_vote();
-        self.poll_endpoints();
+        self.request_watch_if_due();
         self.count_overdue_attempts();
         let endpoint_count = self.endpoints.active_count();
         self.concurrency.update(endpoint_count, self.config.instance_count);
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -87,7 +87,7 @@
         self.build_record(build).attempts.count(now, counted) + 1.0 <= allowed
     }
 
-    /// A build on trial that the platform has not named yet is in the first stage.
+    /// A build on trial that the release controller has not named yet is in the first stage.
     fn trial_stage(&self, build: Build) -> TrialStage {
         match self.rollout.status() {
             Some(status) if status.build == build => {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A key that the build on trial has answered goes to no earlier build, where the platform says so.
+    /// A key that the build on trial has answered goes to no earlier build, where the settings say so.
     pub(crate) fn key_allows(&self, key: Option<KeyId>, build: Build) -> bool {
         let Some(answered_by) = key.and_then(|key| self.exposure.answered_keys.get(&key)) else {
             return true;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -91,8 +91,9 @@
         self.updated_at = now;
     }
 
-    /// Danger: an instance with few requests meets a failing endpoint now and then, and needs five meetings to
-    /// tell. An outcome after long without any says more; not a time-out: an overloaded fleet brings it, too.
+    /// Danger: an instance with few requests meets a failing endpoint now and then, and needs five meetings
+    /// to tell. An outcome after long without any says more; not a time-out: an overloaded fleet brings it,
+    /// too.
     fn update_fault_ratio(&mut self, outcome: Outcome, gap: Micros) {
         let smoothing = match outcome {
             Outcome::Success | Outcome::Error => SMOOTHING.max(1.0 - remaining_after(gap)),
@@ -120,7 +121,7 @@
 }
 
 impl Policy {
-    /// Records what an attempt tells of its endpoint: its slowdown, its faults, and whether to eject it.
+    /// Records what an attempt shows about its endpoint: its slowdown, its faults, and whether to eject it.
     pub(crate) fn record_endpoint_outcome(&mut self, id: EndpointId, outcome: Outcome, slowdown: f64) {
         let Some(build) = self.endpoints.get(id).map(|e| e.record.build) else { return };
         let build_errors = self.error_ratio(build);
--- a/crates/policy/src/request_lifecycle.rs
+++ b/crates/policy/src/request_lifecycle.rs
@@ -37,7 +37,7 @@
 #[derive(PartialEq)]
 enum RequestState {
     Unanswered,
-    /// Its answer has begun and belongs to the client.
+    /// Its response has started: it is neither retried nor cancelled.
     Responding,
     /// Remembered until its attempts have ended.
     Finished,
@@ -227,7 +227,8 @@
     }
 
     /// What has not been answered within its objective is late, and counts then. Danger: where late answers
-    /// are worth waiting for, an overloaded fleet would show as late as they come, and be sent more until then.
+    /// are worth waiting for, an overloaded fleet would show as late as they come, and be sent more until
+    /// then.
     pub(crate) fn count_overdue_attempts(&mut self) {
         for in_flight in self.requests.values_mut() {
             let objective = self.config.classes[in_flight.request.class.0].latency_objective;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -55,14 +55,11 @@
 
     /// Whether an endpoint discards the repeat of an attempt: it is in the same scope as the attempt's.
     fn discards_repeat(&self, attempt: &Attempt, candidate: &EndpointRecord, scope: KeyScope) -> bool {
-        if scope == KeyScope::All {
-            return true;
-        }
-        let Some(endpoint) = self.endpoints.get(attempt.endpoint) else { return false };
+        let record = || self.endpoints.get(attempt.endpoint).map(|endpoint| &endpoint.record);
         match scope {
             KeyScope::All => true,
-            KeyScope::Zone => endpoint.record.zone == candidate.zone,
-            KeyScope::Cell => endpoint.record.cell == candidate.cell,
+            KeyScope::Zone => record().is_some_and(|record| record.zone == candidate.zone),
+            KeyScope::Cell => record().is_some_and(|record| record.cell == candidate.cell),
         }
     }
 }
--- a/crates/policy/src/rollout_state.rs
+++ b/crates/policy/src/rollout_state.rs
@@ -1,4 +1,4 @@
-//! The platform's status of the newest build, as this instance last heard it.
+//! The release controller's status of the newest build, as this instance last received it.
 
 use crate::api::{Build, Micros, RolloutPhase, RolloutStatus};
 use crate::engine::Policy;
@@ -24,7 +24,7 @@
         self.status.filter(|status| status.phase.is_active())
     }
 
-    /// The newest build, if the platform says that it is on trial.
+    /// The newest build, if the release controller says that it is on trial.
     pub(crate) fn build_on_trial(&self) -> Option<Build> {
         let status = self.status.filter(|status| status.phase == RolloutPhase::OnTrial);
         status.map(|status| status.build)
--- a/crates/policy/src/rollout_vote.rs
+++ b/crates/policy/src/rollout_vote.rs
@@ -9,7 +9,7 @@
 
 /// First wait after a vote that did not count, doubled each time ...
 const BACKOFF_INITIAL: Micros = 250 * MILLISECOND;
-/// ... up to this: all instances share the platform's rate.
+/// ... up to this: all instances share the release controller's rate.
 const BACKOFF_MAX: Micros = 2 * SECOND;
 /// Renewal of a valid vote, unless its ttl asks for an earlier one.
 const RENEWAL: Micros = 4 * SECOND;
@@ -31,9 +31,9 @@
 
 /// The votes of this instance.
 pub(crate) struct VoteState {
-    /// The last vote that the platform counted.
+    /// The last vote that the release controller counted.
     counted: Option<CastVote>,
-    /// The vote that waits for the platform's answer.
+    /// The vote that waits for the release controller's answer.
     pending: Option<CastVote>,
     not_before: Micros,
     backoff: Micros,
@@ -71,7 +71,7 @@
         let Vote { build, stage, verdict } = vote;
         self.actions.push(Action::Vote { build, stage, verdict });
         let line = || format!("vote {verdict:?} on build {} stage {stage}", build.0);
-        // A changed verdict is this instance's own decision, a renewal is no news.
+        // A changed verdict is this instance's own decision, a renewal changes nothing.
         if valid.is_none_or(|before| before.vote.verdict != verdict) {
             self.log(line());
         } else {
@@ -113,7 +113,7 @@
         RENEWAL.min(ttl.saturating_sub(wait + 4 * TICK).max(ttl / 2))
     }
 
-    /// What this instance would have the platform do, if anything.
+    /// What this instance would have the release controller do, if anything.
     fn wished_vote(&self) -> Option<Vote> {
         let status = self.rollout.active_status()?;
         let record = self.builds.get(&status.build)?;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: budgets of endpoints that are warming up.
 //!
-//! A started endpoint has less than its full capacity for a while, and a server that is sent a multiple of its
-//! present capacity within a window falls over. Each instance therefore keeps to its own part of the budget;
-//! all parts together stay within it, without a message between instances.
+//! A started endpoint has less than its full capacity for a while, and a server that is sent a multiple of
+//! its present capacity within a window falls over. Each instance therefore keeps to its own part of the
+//! budget; all parts together stay within it, without a message between instances.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -99,10 +99,12 @@
 }
 
 impl SlowStartBudget {
-    /// Within a window the part is kept to the letter. Danger: hundreds of instances, one request each: where
-    /// a part is below a request it is due by turns, spread over the instances, and a turn that is not used
-    /// soon is lost: else all instances save one up and send it when a drain or a partition ends elsewhere.
-    /// Harm: busy instances use the budget up slowly.
+    /// Whether a request of this much work fits into the budget.
+    ///
+    /// Within a window the part is an exact limit, since hundreds of instances may each send one request at
+    /// once. Where a part is below one request, the request is due by turns that are spread over the
+    /// instances. A turn that is not used soon is lost: otherwise all instances would save one up and use it
+    /// when a drain or a partition ends elsewhere. The price: busy instances use the budget up slowly.
     fn admits(&mut self, now: Micros, window: Micros, allowance: &Allowance, work: f64, turn: f64) -> bool {
         while self.recent_work.pop_front_if(|sent| now - sent.at > window).is_some() {}
         let budget = allowance.in_window;
--- a/crates/policy/tests/fleet_health.rs
+++ b/crates/policy/tests/fleet_health.rs
@@ -107,7 +107,8 @@
     assert!(votes.contains(&Verdict::RollBack), "{votes:?}");
 }
 
-/// The same at low traffic, with these settings.
+/// A released fleet whose latency is known at low traffic, then a build on trial at its second stage, with these
+/// settings.
 fn large_tier_trial(config: Config) -> Harness {
     let mut harness = Harness::new(config);
     let old: Vec<_> = (1..=6).map(|m| endpoint_record(m, OLD)).collect();
