--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -1,10 +1,10 @@
-//! Counters, each only ever growing, shared by the agent's threads. A counter's name is its key in the JSON of the HTTP
-//! port, so names stay.
+//! Counters, each only ever growing, shared by the agent's threads. Each has a key in the JSON of the HTTP port, which
+//! is public and stays, and a name in full here.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counters {
-    ($($(#[$doc:meta])* $name:ident;)*) => {
+    ($($(#[$doc:meta])* $name:ident => $key:literal;)*) => {
         /// All counters of the agent.
         #[derive(Debug, Default)]
         pub struct Counters {
@@ -12,9 +12,9 @@
         }
 
         impl Counters {
-            /// All counters, by name.
+            /// All counters, by their public keys.
             pub fn all(&self) -> std::collections::BTreeMap<&'static str, u64> {
-                [$((stringify!($name), self.$name.load(Ordering::Relaxed)),)*].into()
+                [$(($key, self.$name.load(Ordering::Relaxed)),)*].into()
             }
         }
     };
@@ -22,45 +22,45 @@
 
 counters! {
     /// Messages queued for peers.
-    sent;
+    messages_sent => "sent";
     /// Messages to peers that were dropped: the queue was full or there was no connection.
-    unsent;
+    outbound_messages_dropped => "unsent";
     /// Messages received from peers.
-    received;
+    messages_received => "received";
     /// Messages from peers that were dropped: the engine's queue was full.
-    overrun;
+    inbound_messages_dropped => "overrun";
     /// Violations of the peer protocol, such as malformed frames; each ended its connection.
-    unreadable;
+    protocol_violations => "unreadable";
     /// Hellos of peers that were rejected.
-    hellos_refused;
+    hellos_rejected => "hellos_refused";
     /// Connections to peers that were established.
-    connected;
+    connections_established => "connected";
     /// Connections to peers that could not be established or that failed.
-    disconnected;
+    connections_failed => "disconnected";
     /// Batches committed to the store.
-    commits;
+    batches_committed => "commits";
     /// Log entries committed to the store.
-    entries;
+    entries_committed => "entries";
     /// Time spent in commits, in microseconds.
-    commit_us;
+    commit_time_us => "commit_us";
     /// Snapshots written, whether from compaction or from the leader.
-    snapshots;
+    snapshots_written => "snapshots";
     /// How often this instance became leader.
-    led;
+    elections_won => "led";
     /// How often the process was paused for longer than an election timeout.
-    freezes;
+    process_pauses => "freezes";
     /// Requests on the HTTP port.
-    requests;
+    http_requests => "requests";
     /// Requests shed because too many were pending.
-    busy;
+    requests_shed => "busy";
     /// Proposals that were applied within their timeout.
-    applied;
+    proposals_applied => "applied";
     /// Proposals that got no answer within their timeout.
-    unanswered;
+    proposals_timed_out => "unanswered";
     /// Leases acquired by this instance.
-    granted;
+    leases_acquired => "granted";
     /// Verdicts reported by proxies.
-    verdicts;
+    verdicts_reported => "verdicts";
 }
 
 /// Adds one to a counter.
--- a/crates/agent/src/engine/leadership.rs
+++ b/crates/agent/src/engine/leadership.rs
@@ -18,7 +18,7 @@
     pub(super) fn report_leadership(&mut self) {
         let is_leader = self.node.is_leader();
         if is_leader && !self.leadership.is_leader {
-            count(&self.peer_context.counters.led);
+            count(&self.peer_context.counters.elections_won);
         }
         self.leadership.is_leader = is_leader;
         let leader = self.node.leader();
--- a/crates/agent/src/engine/membership.rs
+++ b/crates/agent/src/engine/membership.rs
@@ -66,7 +66,7 @@
     pub(super) fn send(&self, message: &Message) {
         match self.connections.get(&InstanceId(message.to)) {
             Some(connection) => connection.sender.send(message),
-            None => count(&self.context.counters.unsent),
+            None => count(&self.context.counters.outbound_messages_dropped),
         }
     }
 
@@ -94,7 +94,7 @@
         self.targets = targets;
     }
 
-    /// Tells connections of callers who the members are.
+    /// Replaces the members that hellos of callers are checked against.
     fn publish_members(&self, members: &[Member]) {
         *self.context.members.write().unwrap_or_else(PoisonError::into_inner) = members.to_vec();
     }
--- a/crates/agent/src/engine/mod.rs
+++ b/crates/agent/src/engine/mod.rs
@@ -199,7 +199,7 @@
         }
         // The process was paused, and what the others have sent meanwhile waits in the sockets. If it caught up with
         // all ticks at once it would stand for election before it had read any of that.
-        count(&self.peer_context.counters.freezes);
+        count(&self.peer_context.counters.process_pauses);
         warn!(
             paused_ms = elapsed * self.config.tick_ms,
             "process was paused longer than an election timeout"
--- a/crates/agent/src/engine/replies.rs
+++ b/crates/agent/src/engine/replies.rs
@@ -116,17 +116,17 @@
         let counters = &self.peer_context.counters;
         match answer {
             Answer::Applied(reply) => {
-                count(&counters.applied);
+                count(&counters.proposals_applied);
                 ProposeResponse::Applied { reply }
             }
             Answer::Busy => {
-                count(&counters.busy);
+                count(&counters.requests_shed);
                 ProposeResponse::Busy
             }
             Answer::StoreFull => ProposeResponse::StoreFull,
             Answer::Rejected(reason) => ProposeResponse::Rejected { reason },
             Answer::NotProposed => {
-                count(&counters.unanswered);
+                count(&counters.proposals_timed_out);
                 ProposeResponse::NotProposed
             }
             Answer::Indeterminate
@@ -134,7 +134,7 @@
             | Answer::MembershipChanged
             | Answer::ReadTimedOut
             | Answer::NotLeader(_) => {
-                count(&counters.unanswered);
+                count(&counters.proposals_timed_out);
                 ProposeResponse::Indeterminate
             }
         }
--- a/crates/agent/src/engine/requests.rs
+++ b/crates/agent/src/engine/requests.rs
@@ -137,7 +137,7 @@
     }
 
     fn report_verdict(&mut self, report: VerdictReport, reply: oneshot::Sender<VerdictReceipt>) {
-        count(&self.peer_context.counters.verdicts);
+        count(&self.peer_context.counters.verdicts_reported);
         let now = self.clock.now();
         // Without a quorum the verdict would not reach the other instances, and the proxy has to know that.
         let accepted = self.is_quorum_available()
--- a/crates/agent/src/engine/votes.rs
+++ b/crates/agent/src/engine/votes.rs
@@ -96,7 +96,7 @@
             // deposed holder is one more instance's own vote, and the platform counts it as such.
             Some(LeaseAction::ObserveEpoch(epoch)) => {
                 info!(%epoch, "this instance casts the platform's vote for all");
-                count(&counters.granted);
+                count(&counters.leases_acquired);
                 self.lease.on_epoch_observed(epoch);
             }
             None => {}
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -71,7 +71,7 @@
 }
 
 impl AgentError {
-    /// Tells the operator: in the log once the agent runs, else on standard error.
+    /// Reports the error to the operator: in the log once the agent runs, else on standard error.
     pub(crate) fn report(&self) {
         match self {
             // The engine's end has been logged when it happened.
--- a/crates/agent/src/http_api/mod.rs
+++ b/crates/agent/src/http_api/mod.rs
@@ -82,9 +82,9 @@
 
     /// Counts a request and passes its input to the engine.
     fn send(&self, input: EngineInput) -> Result<(), ApiError> {
-        count(&self.counters.requests);
+        count(&self.counters.http_requests);
         if self.engine.try_send(input).is_err() {
-            count(&self.counters.busy);
+            count(&self.counters.requests_shed);
             return Err(ApiError::Busy);
         }
         Ok(())
--- a/crates/agent/src/http_api/watch_stream.rs
+++ b/crates/agent/src/http_api/watch_stream.rs
@@ -18,7 +18,7 @@
 /// Longest time between two lines, so that a proxy notices a paused agent by its silence.
 pub const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Tells the engine that a proxy's watch has ended, however its connection ends.
+/// Notifies the engine that a proxy's watch has ended, however its connection ends.
 struct WatchGuard {
     proxy: String,
     engine: SyncSender<EngineInput>,
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -23,8 +23,8 @@
 
 /// Takes part in one decision among several instances.
 ///
-/// Exit codes: 0 told to stop; 1 an address or the store can't be used, or the store has ended; 2 the command line or
-/// the configuration is wrong.
+/// Exit codes: 0 stopped by a signal; 1 an address or the store can't be used, or the store has ended; 2 the command
+/// line or the configuration is wrong.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Cli {
--- a/crates/agent/src/peer_protocol/mod.rs
+++ b/crates/agent/src/peer_protocol/mod.rs
@@ -58,7 +58,7 @@
     Message(Vec<u8>),
     /// A part of a Raft message that is too long for one frame.
     Chunk(Chunk),
-    /// Shows that the connection is alive.
+    /// A heartbeat: the connection is open.
     Heartbeat,
 }
 
--- a/crates/agent/src/peer_transport/inbound.rs
+++ b/crates/agent/src/peer_transport/inbound.rs
@@ -45,7 +45,7 @@
             let _permit = permit;
             if let Err(error) = serve_caller(stream, &context, &engine).await {
                 if error.is_violation() {
-                    count(&context.counters.unreadable);
+                    count(&context.counters.protocol_violations);
                 }
                 debug!(%address, %error, "peer's connection ended");
             }
@@ -77,7 +77,7 @@
 ) -> Result<Option<Member>, PeerProtocolError> {
     let hello: Hello = with_timeout(HANDSHAKE_TIMEOUT, peer_protocol::read(stream, MAX_HELLO_BYTES)).await?;
     if let Err(rejection) = check_hello(&hello, context) {
-        count(&context.counters.hellos_refused);
+        count(&context.counters.hellos_rejected);
         warn!(peer = hello.from.name, %rejection, "hello rejected");
         peer_protocol::write(stream, &HelloReply::Rejected(rejection.to_string())).await?;
         return Ok(None);
@@ -115,9 +115,9 @@
         if InstanceId(message.from) != caller {
             return Err(PeerProtocolError::ForeignMessage { from: message.from });
         }
-        count(&context.counters.received);
+        count(&context.counters.messages_received);
         if engine.try_send(EngineInput::PeerMessage(Box::new(message))).is_err() {
-            count(&context.counters.overrun);
+            count(&context.counters.inbound_messages_dropped);
         }
     }
 }
--- a/crates/agent/src/peer_transport/outbound.rs
+++ b/crates/agent/src/peer_transport/outbound.rs
@@ -49,8 +49,8 @@
     pub fn send(&self, message: &Message) {
         let counters = &self.context.counters;
         match self.queue.try_send(raft_node::encode_message(message)) {
-            Ok(()) => count(&counters.sent),
-            Err(QueueFull) => count(&counters.unsent),
+            Ok(()) => count(&counters.messages_sent),
+            Err(QueueFull) => count(&counters.outbound_messages_dropped),
         }
     }
 }
@@ -95,7 +95,7 @@
             let error = match self.connect().await {
                 Ok(stream) => {
                     info!(peer = self.peer.name, address = %self.address, "peer connected");
-                    count(&self.context.counters.connected);
+                    count(&self.context.counters.connections_established);
                     backoff.reset();
                     last_error.clear();
                     match send_until_closed(stream, &mut queue).await {
@@ -106,7 +106,8 @@
                 Err(error) => error,
             };
             self.report_failure(&error, &mut last_error);
-            let state = queue.discard_for(backoff.jittered(), &self.context.counters.unsent).await;
+            let state =
+                queue.discard_for(backoff.jittered(), &self.context.counters.outbound_messages_dropped).await;
             if matches!(state, QueueState::Closed) {
                 return;
             }
@@ -135,9 +136,9 @@
         }
     }
 
-    /// Counts a failure, tells the engine and logs it; the same error again and again is logged once.
+    /// Counts a failure, notifies the engine and logs it; the same error again and again is logged once.
     fn report_failure(&self, error: &PeerProtocolError, last_error: &mut String) {
-        count(&self.context.counters.disconnected);
+        count(&self.context.counters.connections_failed);
         let text = error.to_string();
         if *last_error != text {
             warn!(peer = self.peer.name, address = %self.address, %error, "peer not reached");
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -43,7 +43,7 @@
     http: TcpListener,
 }
 
-/// Runs the agent until it is told to stop.
+/// Runs the agent until it is signalled to stop.
 ///
 /// # Errors
 /// An address or the store can't be used, or the engine ended with an error.
--- a/crates/agent/src/storage_writer.rs
+++ b/crates/agent/src/storage_writer.rs
@@ -55,11 +55,11 @@
 fn commit(store: &mut Store, batch: &Batch, counters: &Counters) -> Result<(), StoreError> {
     let started = Instant::now();
     let result = store.commit(batch);
-    add(&counters.commit_us, started.elapsed().as_micros() as u64);
-    count(&counters.commits);
-    add(&counters.entries, batch.entries.len() as u64);
+    add(&counters.commit_time_us, started.elapsed().as_micros() as u64);
+    count(&counters.batches_committed);
+    add(&counters.entries_committed, batch.entries.len() as u64);
     if batch.snapshot.is_some() {
-        count(&counters.snapshots);
+        count(&counters.snapshots_written);
     }
     result
 }
--- a/crates/agent/tests/golden_peer_protocol.rs
+++ b/crates/agent/tests/golden_peer_protocol.rs
@@ -1,5 +1,5 @@
-//! Golden tests: the exact bytes on a connection between agents, from the hello on. Agents of two versions are connected
-//! during an upgrade: bytes may be added for a new version of the protocol, those of version 1 never change.
+//! Golden tests: the exact bytes on a connection between agents, from the hello on. Agents of two versions are
+//! connected during an upgrade: bytes may be added for a new version of the protocol, those of version 1 never change.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/consensus/examples/handover/world/checks.rs
+++ b/crates/consensus/examples/handover/world/checks.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Decisions that were acknowledged to a client and that an instance does not hold: any instance once all have settled,
-    /// else one that has applied the most.
+    /// Decisions that were acknowledged to a client and that an instance does not hold: any instance once all have
+    /// settled, else one that has applied the most.
     fn lost_decisions(&self, settled: bool) -> Vec<String> {
         let states = self.states();
         let furthest = states.iter().map(|state| state.applied()).max();
--- a/crates/consensus/src/chunking.rs
+++ b/crates/consensus/src/chunking.rs
@@ -47,7 +47,7 @@
     },
     /// The sizes contradict one another or the limit.
     #[error("a message of {0} bytes, {MAX_MESSAGE_BYTES} at the most, with a chunk that does not fit")]
-    TooLarge(u64),
+    InvalidSize(u64),
 }
 
 /// Assembles one sender's chunks.
@@ -70,7 +70,7 @@
         }
         if !self.fits(&chunk) {
             *self = Self::default();
-            return Err(ChunkError::TooLarge(chunk.total_len));
+            return Err(ChunkError::InvalidSize(chunk.total_len));
         }
         let expected = self.buffer.len() as u64;
         if chunk.offset != expected {
--- a/crates/consensus/src/raft_node/membership_changes.rs
+++ b/crates/consensus/src/raft_node/membership_changes.rs
@@ -3,7 +3,7 @@
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
 use super::codec::encode;
-use super::{MembershipRequest, RaftNode};
+use super::{PendingMembershipChange, RaftNode};
 use crate::ids::{InstanceId, Ticket};
 use crate::membership::{self, ChangeContext, ChangeDecision, ChangeOrigin, MembershipChange};
 use crate::pending_requests::Answer;
@@ -44,7 +44,7 @@
         match self.propose_conf_change(kind, id, Some(&context)) {
             Ok(()) => {
                 let deadline = self.deadline(within);
-                self.membership_request = Some(MembershipRequest { ticket, deadline });
+                self.membership_request = Some(PendingMembershipChange { ticket, deadline });
             }
             Err(error) => self.pending.answer(ticket, Answer::Rejected(error.to_string())),
         }
--- a/crates/consensus/src/raft_node/mod.rs
+++ b/crates/consensus/src/raft_node/mod.rs
@@ -56,7 +56,7 @@
 }
 
 /// A change of membership that a caller waits for.
-struct MembershipRequest {
+struct PendingMembershipChange {
     ticket: Ticket,
     deadline: Ticks,
 }
@@ -81,7 +81,7 @@
     pending_write: Option<ready::PendingWrite>,
     /// A snapshot from log compaction that goes into the next write.
     unsaved_snapshot: Option<store::Snapshot>,
-    membership_request: Option<MembershipRequest>,
+    membership_request: Option<PendingMembershipChange>,
     /// Followers that a snapshot is on its way to, and since when.
     snapshots_sent_at: BTreeMap<u64, Ticks>,
     /// Messages that a durable write has set free.
--- a/crates/consensus/src/raft_node/snapshots.rs
+++ b/crates/consensus/src/raft_node/snapshots.rs
@@ -80,8 +80,8 @@
     }
 
     /// Finds snapshots that were lost on their way. A lost one gets no answer, and the library sends that follower
-    /// nothing else until the loss is reported: after some elections' time the snapshot is taken for lost, and the library
-    /// probes the follower anew.
+    /// nothing else until the loss is reported: after some elections' time the snapshot is taken for lost, and the
+    /// library probes the follower anew.
     pub(super) fn expire_sent_snapshots(&mut self) {
         let timeout = SNAPSHOT_TIMEOUT_ELECTIONS * self.settings.election_ticks as u64;
         let receivers: Vec<u64> = (self.raw.raft.prs().iter())
--- a/crates/consensus/src/replicated_state/command.rs
+++ b/crates/consensus/src/replicated_state/command.rs
@@ -37,7 +37,7 @@
         #[serde(rename = "life")]
         ttl: u32,
     },
-    /// The holder's heartbeat.
+    /// The holder renews its lease.
     #[serde(rename = "Renew")]
     RenewLease {
         /// The role.
--- a/crates/consensus/tests/chunking.rs
+++ b/crates/consensus/tests/chunking.rs
@@ -21,9 +21,9 @@
         assert_eq!(assembler.push(chunk), Ok(Some(b"short".to_vec())), "a new transfer ends the old one");
     }
     let long = Chunk { transfer: 9, offset: 0, total_len: MAX_MESSAGE_BYTES + 1, bytes: vec![1] };
-    assert!(matches!(assembler.push(long), Err(ChunkError::TooLarge(_))));
+    assert!(matches!(assembler.push(long), Err(ChunkError::InvalidSize(_))));
     let beyond = Chunk { transfer: 9, offset: 0, total_len: 1, bytes: vec![1, 2] };
-    assert!(matches!(assembler.push(beyond), Err(ChunkError::TooLarge(_))));
+    assert!(matches!(assembler.push(beyond), Err(ChunkError::InvalidSize(_))));
     let wrapped = Chunk { transfer: 9, offset: u64::MAX, total_len: u64::MAX, bytes: vec![1] };
     assert!(assembler.push(wrapped).is_err());
 }
--- a/crates/consensus/tests/stored_data/main.rs
+++ b/crates/consensus/tests/stored_data/main.rs
@@ -1,10 +1,10 @@
 //! Decodes what an earlier version stored, down to each field, and goes on from it.
 //!
-//! The fixture `crates/agent/tests/fixtures/store-8a93f45/alma.redb` was written once by the code of commit 8a93f45,
-//! by an instance `alma` driven through the Raft node and the store as the agent drives them, with a second voter `birs`. It is
-//! never to be written anew. Its snapshot holds every kind of subject and every reply that a session keeps; the
-//! entries behind it every command, with a decided removal of a member and, not decided, one more member and one
-//! more decision. `state.txt` beside it names all of this in words of its own, so that renamed types don't touch it.
+//! The fixture `crates/agent/tests/fixtures/store-8a93f45/alma.redb` was written once by the code of commit 8a93f45, by
+//! an instance `alma` driven through the Raft node and the store as the agent drives them, with a second voter `birs`.
+//! It is never to be written anew. Its snapshot holds every kind of subject and every reply that a session keeps; the
+//! entries behind it every command, with a decided removal of a member and, not decided, one more member and one more
+//! decision. `state.txt` beside it names all of this in words of its own, so that renamed types don't touch it.
 
 mod probe;
 mod text;
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -135,7 +135,7 @@
 
     /// Reads and drops one trailer line; an empty one ends the body.
     fn read_trailer(&mut self, ring: &mut Ring) -> Result<Step, MessageError> {
-        let Framing::Trailers(read) = self else { return Ok(Step::Continue) };
+        let Framing::Trailers(read) = self else { return Ok(Step::NeedsMore) };
         let bytes = ring.contiguous();
         let Some(line_end) = bytes.iter().position(|byte| *byte == b'\n') else {
             if ring.len() > MAX_CHUNK_LINE_BYTES {
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -33,8 +33,8 @@
     ring.push(&text)
 }
 
-/// Appends a response to `ring`, complete or not at all. Without a body only the head is written, for a body that is sent
-/// in chunks afterwards.
+/// Appends a response to `ring`, complete or not at all. Without a body only the head is written, for a body that is
+/// sent in chunks afterwards.
 ///
 /// # Errors
 /// The ring has too little room.
--- a/crates/http/src/ring.rs
+++ b/crates/http/src/ring.rs
@@ -67,8 +67,8 @@
         Ok(())
     }
 
-    /// Reads once from `from`, as much as there is room for. Returns the number of bytes read, which is 0 at the end of the
-    /// input and without room: check [`Ring::free_bytes`] first.
+    /// Reads once from `from`, as much as there is room for. Returns the number of bytes read, which is 0 at the end of
+    /// the input and without room: check [`Ring::free_bytes`] first.
     ///
     /// # Errors
     /// The read failed.
--- a/crates/proxy/benches/brain.rs
+++ b/crates/proxy/benches/brain.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// Sends requests through the lock of `shared`, `batch` each time that it is taken, until `stop` is set. Returns how many
-/// were forwarded and answered.
+/// Sends requests through the lock of `shared`, `batch` each time that it is taken, until `stop` is set. Returns how
+/// many were forwarded and answered.
 fn worker(
     shared: &Shared,
     number: u32,
--- a/crates/proxy/benches/cores.rs
+++ b/crates/proxy/benches/cores.rs
@@ -1,6 +1,7 @@
 //! What a request costs: at full load by clients and endpoints, at a steady rate, and at rest.
 //!
-//! `cargo bench --locked -p garnetcrank-proxy --bench cores -- [--seconds S] [--load-only 1] [--cores 1,2,4]` prints tables.
+//! `cargo bench --locked -p garnetcrank-proxy --bench cores -- [--seconds S] [--load-only 1] [--cores 1,2,4]` prints
+//! tables.
 
 use std::time::Duration;
 
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Reads once, as much as the ring has room for. Returns whether nothing more will arrive. A message that is complete
-    /// after it needs no second read to learn that nothing else has arrived.
+    /// Reads once, as much as the ring has room for. Returns whether nothing more will arrive. A message that is
+    /// complete after it needs no second read to learn that nothing else has arrived.
     pub(crate) fn fill(&mut self) -> bool {
         if self.readable && !self.ended && self.input.free_bytes() > 0 {
             match self.input.fill(&mut &*self.stream) {
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -238,7 +238,7 @@
     let lost = discovery.reconfigure(address(&new), nothing, now);
     assert!(
         matches!(lost.endpoint_updates[..], [EndpointUpdate::Unavailable]),
-        "the decisions must hear: {lost:?}"
+        "the policy must be notified: {lost:?}"
     );
     // The old address answers after all.
     let body = r#"{"revision":9,"complete":true,"members":[]}"#;
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -26,7 +26,7 @@
 
 use in_flight::InFlightTable;
 
-/// The policy, the requests in flight, and the events that the policy has not been told of yet.
+/// The policy, the requests in flight, and the events that the policy has not been notified of yet.
 pub(crate) struct Dispatcher {
     policy: Policy,
     config: Config,
@@ -225,7 +225,7 @@
         let command = match action {
             Action::Forward { id, endpoint, timeout } => self.forward(now, id, endpoint, timeout),
             Action::Cancel { id, attempt } => Some(Command::Cancel { id, attempt }),
-            // Where nobody waits any more, the policy has not been told yet.
+            // Where nobody waits any more, the policy has not been notified yet.
             Action::Reject { id, retry_after } => {
                 self.end_request(id).map(|client| Command::Reject { client, retry_after })
             }
@@ -233,7 +233,7 @@
             Action::SetTimer { after, token } => Some(Command::SetTimer { at: now + after, token }),
             Action::HealthCheck(endpoint) => Some(Command::HealthCheck(endpoint)),
             Action::CloseIdle(endpoint) => Some(Command::CloseIdle(endpoint)),
-            // The platform's pages give instances no way to speak to each other, so no message leaves.
+            // The platform's pages give instances no way to communicate, so no message leaves.
             Action::SendGossip { .. } => None,
             Action::WatchEndpoints(watch) => Some(Command::WatchEndpoints(watch)),
             Action::PollEndpoints => Some(Command::PollEndpoints),
--- a/crates/proxy/src/dispatcher/in_flight.rs
+++ b/crates/proxy/src/dispatcher/in_flight.rs
@@ -15,7 +15,7 @@
 /// it, and the deployment's slack on deadlines is not used up.
 pub(super) const EXPIRATION_GRACE: Micros = 5 * MS;
 
-/// A request that the policy knows of or is about to be told of.
+/// A request that the policy knows of or is about to be notified of.
 pub(crate) struct InFlightRequest {
     /// The connection of the client that sent it.
     pub(crate) client: ConnId,
@@ -27,7 +27,7 @@
     pub(super) deadline: Micros,
     /// Attempts that the policy has asked for so far.
     pub(super) attempts: usize,
-    /// Its final answer has not been given. Once it has, the record stays until the policy has been told, since
+    /// Its final answer has not been given. Once it has, the record stays until the policy has been notified, since
     /// the policy may ask for something in between.
     pub(super) awaiting_answer: bool,
     /// The attempt whose streamed response has started.
--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -71,7 +71,7 @@
     assert!(matches!(fixture.events[..], [DownstreamEvent::Request(..)]));
     let mut silent = Fixture::not_listening();
     silent.downstream.close_idle(NOW + FIRST_REQUEST_TIMEOUT);
-    assert!(silent.downstream.is_drained(), "it never says a word");
+    assert!(silent.downstream.is_drained(), "it never sends a byte");
 }
 
 #[test]
@@ -121,7 +121,7 @@
     while !fixture.downstream.send_body_part(id, &part, NOW, &mut fixture.events) {}
     fixture.events.clear();
     fixture.downstream.on_tick(NOW + WRITE_TIMEOUT - 1, &mut fixture.events);
-    // What it reads makes room, which the loop tells.
+    // What it reads frees space, which the event loop reports.
     let mut some = vec![0; 1024 * 1024];
     fixture.client.read_exact(&mut some).expect("what has come so far");
     let (later, readiness) =
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -92,7 +92,7 @@
     }
 
     /// Moves on to the next state where that is due. `list_received`: discovery has sent an endpoint list; `drained`:
-    /// no worker accepts or has a client.
+    /// no request is in flight, and no worker listens or has a client.
     pub(crate) fn on_tick(&mut self, now: Micros, list_received: bool, drained: bool) {
         match self.state {
             State::Starting { since } if list_received || now >= since + MAX_START_WAIT => {
--- a/crates/proxy/src/proxy/accept.rs
+++ b/crates/proxy/src/proxy/accept.rs
@@ -45,7 +45,7 @@
         accepted
     }
 
-    /// Whether the next client is this worker's: every worker hears of it, and the one with the fewest accepts it.
+    /// Whether the next client is this worker's: every worker is notified of it, and the one with the fewest accepts it.
     fn is_next_to_accept(&self) -> bool {
         if self.shared.worker_count() == 1 {
             return true;
--- a/crates/proxy/src/proxy/budgets.rs
+++ b/crates/proxy/src/proxy/budgets.rs
@@ -14,7 +14,7 @@
 /// Fewest descriptors that a worker is given for clients and endpoints, however few the process may have.
 const MIN_DESCRIPTORS_PER_WORKER: usize = 8;
 /// This part (one in 32) of the descriptors is for clients beyond those whose requests can be in flight: their requests
-/// are rejected, so that nobody waits unheard. A connection is never closed before its answer: a request may be on its
+/// are rejected, so that nobody waits without an answer. A connection is never closed before its answer: a request may be on its
 /// way.
 const OVERFLOW_CLIENTS_DIVISOR: usize = 32;
 /// Bodies of requests in flight may take this part (one in 8) of the memory limit.
--- a/crates/proxy/src/proxy/commands.rs
+++ b/crates/proxy/src/proxy/commands.rs
@@ -120,7 +120,7 @@
     }
 
     /// Sends a request to its endpoint, unless the decision is out of date or no connection can be had. The policy is
-    /// told of an attempt that was not started.
+    /// notified of an attempt that was not started.
     fn start_attempt(&mut self, forward: &ForwardAttempt, now: Micros) {
         let ForwardAttempt { id, attempt, endpoint, deadline, stamp } = *forward;
         let request = self.shared.dispatcher().get(id).map(|r| (Arc::clone(&r.message), r.class));
--- a/crates/proxy/src/proxy/control_plane.rs
+++ b/crates/proxy/src/proxy/control_plane.rs
@@ -117,7 +117,7 @@
         self.apply_discovery_update(update);
     }
 
-    /// Moves the endpoints' addresses on all workers, then tells the policy.
+    /// Moves the endpoints' addresses on all workers, then notifies the policy.
     pub(super) fn apply_discovery_update(&mut self, update: DiscoveryUpdate) {
         let now = self.clock.now();
         for address in &update.addresses {
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Tells the policy what the release controller has sent. Rollout states pass by the agent's client first, which
-    /// may lower their cap.
+    /// Notifies the policy of what the release controller has sent. Rollout states pass by the agent's client first,
+    /// which may lower their cap.
     pub(super) fn apply_rollout_events(&mut self, events: Vec<Event>) {
         for event in events {
             if matches!(event, Event::VoteCompleted(VoteResult::Counted, _)) {
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -40,6 +40,20 @@
     since: Micros,
 }
 
+/// What became of a vote.
+struct VoteOutcome {
+    result: VoteResult,
+    /// The rollout status in its answer, unless that is older than the known one.
+    rollout: Option<RolloutStatus>,
+}
+
+impl From<VoteResult> for VoteOutcome {
+    /// Without a rollout status in the answer.
+    fn from(result: VoteResult) -> Self {
+        VoteOutcome { result, rollout: None }
+    }
+}
+
 /// Client of the release controller.
 pub(crate) struct ReleaseController {
     address: SocketAddr,
@@ -215,41 +229,44 @@
 
     /// What the policy is notified of when a vote ends: of a vote that it did not cast, only the rollout status.
     fn on_vote_ended(&mut self, ended: EndedCall<VoteOrigin>, now: Micros) -> Option<Event> {
-        let (result, status) = self.vote_result(ended.outcome, now);
+        let vote = self.vote_outcome(ended.outcome, now);
         match ended.context {
-            VoteOrigin::Own => Some(Event::VoteCompleted(result, status)),
-            VoteOrigin::Cluster => status.map(Event::RolloutUpdated),
+            VoteOrigin::Own => Some(Event::VoteCompleted(vote.result, vote.rollout)),
+            VoteOrigin::Cluster => vote.rollout.map(Event::RolloutUpdated),
         }
     }
 
-    fn vote_result(&mut self, outcome: CallOutcome, now: Micros) -> (VoteResult, Option<RolloutStatus>) {
+    fn vote_outcome(&mut self, outcome: CallOutcome, now: Micros) -> VoteOutcome {
         match outcome {
             CallOutcome::Response(response) => self.read_vote_answer(&response, now),
-            CallOutcome::NeverSent => (VoteResult::Failed, None),
-            CallOutcome::Unknown => (VoteResult::Unknown, None),
+            CallOutcome::NeverSent => VoteResult::Failed.into(),
+            CallOutcome::Unknown => VoteResult::Unknown.into(),
         }
     }
 
-    fn read_vote_answer(&mut self, response: &Response, now: Micros) -> (VoteResult, Option<RolloutStatus>) {
+    fn read_vote_answer(&mut self, response: &Response, now: Micros) -> VoteOutcome {
         match response.status {
             200 => match serde_json::from_slice::<RolloutState>(&response.body) {
-                Ok(state) => (VoteResult::Counted, self.on_rollout_state(state, now)),
+                Ok(state) => {
+                    let rollout = self.on_rollout_state(state, now);
+                    VoteOutcome { result: VoteResult::Counted, rollout }
+                }
                 Err(error) => {
                     warn!(%error, "unreadable answer to a vote");
-                    (VoteResult::Unknown, None)
+                    VoteResult::Unknown.into()
                 }
             },
-            409 => (VoteResult::Obsolete, None),
-            429 => (VoteResult::RateLimited, None),
-            500 => (VoteResult::Failed, None),
+            409 => VoteResult::Obsolete.into(),
+            429 => VoteResult::RateLimited.into(),
+            500 => VoteResult::Failed.into(),
             400 => {
                 let body = String::from_utf8_lossy(&response.body);
                 warn!(%body, "vote rejected as invalid");
-                (VoteResult::Failed, None)
+                VoteResult::Failed.into()
             }
             other => {
                 warn!(status = other, "unexpected status of the answer to a vote");
-                (VoteResult::Unknown, None)
+                VoteResult::Unknown.into()
             }
         }
     }
--- a/crates/proxy/src/release_controller/tests.rs
+++ b/crates/proxy/src/release_controller/tests.rs
@@ -57,8 +57,8 @@
         CallOutcome::Response(r)
     };
     let result = |outcome| {
-        let (result, status) = controller().vote_result(outcome, SECOND);
-        (result, status.map(|status| status.exposure_cap))
+        let vote = controller().vote_outcome(outcome, SECOND);
+        (vote.result, vote.rollout.map(|status| status.exposure_cap))
     };
     assert_eq!(result(answer(200, body)), (VoteResult::Counted, Some(0.28)));
     assert_eq!(result(answer(200, b"{")), (VoteResult::Unknown, None));
--- a/crates/proxy/src/runtime.rs
+++ b/crates/proxy/src/runtime.rs
@@ -53,7 +53,7 @@
     Signals::new(&signals).map_err(RunError::WatchSignals)
 }
 
-/// Runs the workers until the process has been told to stop and has answered its clients.
+/// Runs the workers until the process has been signalled to stop and has answered its clients.
 ///
 /// # Errors
 /// When something that the workers need can't be had at the start, or the first event loop breaks. A further worker
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -120,7 +120,7 @@
     }
 
     /// Writes what is left of a request, and reads what has arrived.
-    pub(crate) fn resume(&mut self, id: ConnId, now: Micros, events: &mut Vec<UpstreamEvent>) {
+    fn resume(&mut self, id: ConnId, now: Micros, events: &mut Vec<UpstreamEvent>) {
         loop {
             let Some(connection) = self.pool.get_mut(id) else { return };
             if connection.paused {
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -97,14 +97,14 @@
         stream
     }
 
-    /// The loop tells that something is there.
+    /// The event loop reports readiness.
     fn report_ready(&mut self, now: Micros) {
         let ids: Vec<ConnId> = self.upstream.pool.iter().map(|(id, _)| *id).collect();
         let readiness = Readiness { readable: true, writable: true, error: false };
         ids.into_iter().for_each(|id| self.upstream.on_ready(id, readiness, now, &mut self.events));
     }
 
-    /// Waits until bytes lie at a connection; nobody is told.
+    /// Waits until a connection has bytes to read; readiness is not reported.
     fn wait_for_bytes(&self) {
         while self.upstream.pool.iter().all(|(_, connection)| connection.connection.is_quiet()) {
             std::thread::yield_now();
--- a/crates/proxy/src/watch_stream.rs
+++ b/crates/proxy/src/watch_stream.rs
@@ -21,8 +21,8 @@
 /// Wait before a connection that broke or was refused is made again. The wait is drawn between half of the present
 /// limit and the limit, so that proxies do not reconnect in step; the limit doubles from `initial` to `max`.
 ///
-/// A silent connection is replaced at once, as its timeout bounds the rate: a peer that comes back speaks to the
-/// connections that are open, and what it says then may count from that moment on.
+/// A silent connection is replaced at once, as its timeout bounds the rate: a peer that comes back sends on the
+/// connections that are open, and what it sends then may count from that moment on.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReconnectBackoff {
     /// The first limit.
@@ -43,20 +43,20 @@
 /// How long a connection may be silent before it is dead.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WatchTimeouts {
-    /// Between two bytes.
+    /// Between two bytes, once a line has arrived.
     pub(crate) silence: Micros,
-    /// Before the first byte.
+    /// Without a byte, until the first line has arrived.
     pub(crate) first_byte: Micros,
 }
 
-/// Timeout of the first byte for a peer that speaks at once where it is alive. What it has to say counts soon after,
+/// Timeout of the first byte for a peer that sends its first line at once. What it sends matters soon after,
 /// whether or not it arrived, so a silent connection must leave time for two more.
 pub(crate) const FIRST_BYTE_TIMEOUT: Micros = 1_000 * MS;
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Micros = 1_000 * MS;
 /// Capacity of each of the connection's ring buffers, in bytes.
 const RING_BYTES: usize = 64 * 1024;
-/// Maximum length of a line, in bytes: a list of some ten thousand endpoints.
+/// Maximum length of a line, in bytes: a list of about 20,000 endpoints.
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A supervised stream of events from one peer.
--- a/crates/proxy/src/watch_stream/tests.rs
+++ b/crates/proxy/src/watch_stream/tests.rs
@@ -56,13 +56,13 @@
         stream
     }
 
-    /// What the watch takes when it is told that something is there.
+    /// What the watch reads when readiness is reported.
     fn receive(&mut self) -> WatchEvents {
         let id = self.watch.open.as_ref().expect("a connection").id;
         self.watch.on_ready(id, Readiness { readable: true, writable: true, error: false }, self.now)
     }
 
-    /// Connected, and told a first line.
+    /// Connected, with a first line received.
     fn connected(seed: u64) -> (Fixture, TcpStream) {
         let mut fixture = Fixture::new(seed);
         fixture.tick();
@@ -77,7 +77,7 @@
     }
 }
 
-/// Waits until bytes lie at the watch's socket; the watch is not told.
+/// Waits until the watch's socket has bytes to read; readiness is not reported.
 fn wait_for_bytes(fixture: &Fixture) {
     let conn = &fixture.watch.open.as_ref().expect("a connection").connection;
     while conn.is_quiet() {
--- a/crates/proxy/src/workers.rs
+++ b/crates/proxy/src/workers.rs
@@ -151,14 +151,12 @@
         (0..self.worker_count()).map(WorkerId).filter(move |other| *other != worker)
     }
 
-    /// Publishes a worker's state for the others.
+    /// Publishes a worker's state for the others; called with several workers only.
     pub(crate) fn publish(&self, worker: WorkerId, client_count: usize, drained: bool, counters: &Counters) {
         let slot = &self.slots[worker.0];
         slot.client_count.store(client_count, Ordering::Relaxed);
         slot.drained.store(drained, Ordering::SeqCst);
-        if self.worker_count() > 1 {
-            *lock(&slot.counters) = counters.clone();
-        }
+        *lock(&slot.counters) = counters.clone();
     }
 
     /// Publishes a worker's number of clients alone.
--- a/crates/proxy/tests/proxy/common.rs
+++ b/crates/proxy/tests/proxy/common.rs
@@ -1,8 +1,8 @@
 //! Scripted endpoints, discovery and release controller around one proxy.
 
-use std::net::SocketAddr;
 use std::process::{Command, Output};
 
+pub use garnetcrank_test_support::load_generator::proxy_setup;
 use garnetcrank_test_support::scripted_servers::{
     EndpointBehavior, ProxySetup, ScriptedEndpoint, ScriptedStream, config_file, free_address, list, member,
     program, progress, state,
@@ -12,14 +12,8 @@
     EndpointBehavior::Respond(200, "X-Made-By: machine\r\n", body.as_bytes().to_vec())
 }
 
-/// Discovery, a release controller and a setup of a proxy for these endpoints, which run a released build.
-pub fn proxy_setup(endpoints: &[SocketAddr]) -> (ScriptedStream, ScriptedStream, ProxySetup) {
-    let members: Vec<String> =
-        endpoints.iter().enumerate().map(|(i, a)| member(&format!("s-{i}"), *a, 4, "Ready")).collect();
-    setup_with(&members, state(4, 1, "COMPLETE", 1.0))
-}
-
-/// The same for an endpoint of the released build and one of a build on trial that may take everything.
+/// Discovery, a release controller and a setup of a proxy for an endpoint of the released build and one of a build on
+/// trial that may take everything.
 pub fn trial_setup(
     old: &ScriptedEndpoint,
     new: &ScriptedEndpoint,
--- a/crates/proxy/tests/proxy/consensus.rs
+++ b/crates/proxy/tests/proxy/consensus.rs
@@ -37,7 +37,7 @@
     wait_until("it is joined", || proxy.log().contains("votes go to the agent"));
     assert_eq!(agent.requested_targets()[0], "/v1/watch?front=n1");
     let mut client = proxy.client();
-    wait_until("the agent hears a hold, then the word to go back", || {
+    wait_until("the agent receives a hold, then a vote to roll back", || {
         client.get();
         let said = agent.votes();
         said.iter().any(|s| s.contains(r#""word":"hold""#))
@@ -67,18 +67,18 @@
     let proxy = RunningProxy::start(&with_agent(setup, &agent));
     wait_until("it is joined", || proxy.log().contains("votes go to the agent"));
     let mut client = proxy.client();
-    wait_until("the agent hears a hold", || {
+    wait_until("the agent receives a hold", || {
         client.get();
         agent.votes().iter().any(|s| s.contains(r#""word":"hold""#))
     });
     // Its connections stay open and nothing comes on them, and no verdict is answered.
     agent.set_silent(true);
     agent.answer_votes(0, "");
-    wait_until("the front casts by itself", || {
+    wait_until("the proxy casts its vote itself", || {
         client.get();
         votes(&controller, "HOLD") + votes(&controller, "ROLLBACK") > 0
     });
-    wait_until("and goes on to the word to go back", || {
+    wait_until("and goes on to a vote to roll back", || {
         client.get();
         votes(&controller, "ROLLBACK") > 0
     });
--- a/crates/proxy/tests/proxy/endpoints.rs
+++ b/crates/proxy/tests/proxy/endpoints.rs
@@ -56,11 +56,11 @@
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
     assert_eq!(client.get().body, b"first");
-    // An entry that stands twice: the last word counts.
+    // An entry that stands twice: the last entry counts.
     let twice = [member("s-0", first.address, 4, "Ready"), member("s-0", second.address, 4, "Ready")];
     let now = list(2, true, &twice);
     discovery.publish(&now, &now);
-    wait_until("the last of two words", || client.get().body == b"second");
+    wait_until("the last of two entries", || client.get().body == b"second");
     // A list of nothing: there is nowhere to send to, which is said at once and harmless to try again.
     let now = list(3, true, &[]);
     discovery.publish(&now, &now);
--- a/crates/proxy/tests/proxy/forwarding.rs
+++ b/crates/proxy/tests/proxy/forwarding.rs
@@ -25,7 +25,8 @@
         assert!(text.contains(got.header("request-id").expect("an id")));
         let wait: u64 = got.header("request-timeout-ms").and_then(|t| t.parse().ok()).expect("a time");
         assert!((1..=5000).contains(&wait), "{wait} ms in round {round}");
-        // A connection rests after an response, as a second one may come late; it is used again however long that takes.
+        // A connection rests after an response, as a second one may come late; it is used again however long that
+        // takes.
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(endpoint.connections(), 1, "a kept connection is used again");
--- a/crates/proxy/tests/proxy/rollout.rs
+++ b/crates/proxy/tests/proxy/rollout.rs
@@ -44,5 +44,5 @@
         voted("ROLLBACK")
     });
     assert!(controller.votes()[0].contains(r#""release":5,"tranche":0,"ruling":"HOLD""#));
-    wait_until("the answer is taken as news", || proxy.log().contains("RollingBack"));
+    wait_until("the answer is taken as a rollout update", || proxy.log().contains("RollingBack"));
 }
--- a/crates/proxy/tests/proxy/shutdown.rs
+++ b/crates/proxy/tests/proxy/shutdown.rs
@@ -18,9 +18,9 @@
     let mut proxy = RunningProxy::start(&setup);
     let (mut held, mut kept) = (proxy.client(), proxy.client());
     held.send(&request("GET", "/look", 25_000, ""));
-    wait_until("the request at the machine", || endpoint.requests().len() == 1);
+    wait_until("the request at the endpoint", || endpoint.requests().len() == 1);
     proxy.signal("TERM");
-    wait_until("the front drains", || proxy.log().contains("draining"));
+    wait_until("the proxy drains", || proxy.log().contains("draining"));
     // Clients still come, on kept connections and on new ones; one kept idle stays open for a while.
     endpoint.set_behavior(ok("still here"));
     std::thread::sleep(Duration::from_millis(100));
@@ -51,7 +51,7 @@
     let answer = client.read().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(client.is_closed() && proxy.exit().success());
-    wait_until("its last words", || proxy.log().contains("counters requests="));
+    wait_until("its last log lines", || proxy.log().contains("counters requests="));
     assert!(!proxy.log().contains("with requests unanswered"), "{}", proxy.log());
 }
 
@@ -62,7 +62,7 @@
     let mut proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
     client.send(&request("POST", "/pay", 25_000, "x"));
-    wait_until("the request at the machine", || endpoint.requests().len() == 1);
+    wait_until("the request at the endpoint", || endpoint.requests().len() == 1);
     proxy.signal("TERM");
     // Long before its own time, for it is not what the process is given.
     assert_eq!(client.read().expect("an answer").status(), 504);
--- a/crates/proxy/tests/proxy/streaming.rs
+++ b/crates/proxy/tests/proxy/streaming.rs
@@ -6,7 +6,8 @@
 
 #[test]
 fn a_streamed_response_is_forwarded_as_it_arrives() {
-    let endpoint = ScriptedEndpoint::start(EndpointBehavior::Stream(vec!["one", "two"], true));
+    let endpoint =
+        ScriptedEndpoint::start(EndpointBehavior::Stream { parts: vec!["one", "two"], complete: true });
     let (_discovery, _controller, setup) = proxy_setup(&[endpoint.address]);
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
@@ -30,7 +31,7 @@
 
 #[test]
 fn a_broken_stream_is_seen_to_be_incomplete() {
-    let endpoint = ScriptedEndpoint::start(EndpointBehavior::Stream(vec!["one"], false));
+    let endpoint = ScriptedEndpoint::start(EndpointBehavior::Stream { parts: vec!["one"], complete: false });
     let (_discovery, _controller, setup) = proxy_setup(&[endpoint.address]);
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
--- a/crates/proxy/tests/proxy/watch_streams.rs
+++ b/crates/proxy/tests/proxy/watch_streams.rs
@@ -36,11 +36,13 @@
     let endpoint = ScriptedEndpoint::start(ok("yes"));
     let (discovery, controller, setup) = proxy_setup(&[endpoint.address]);
     let proxy = RunningProxy::start(&setup);
-    let (asked, heard) = (discovery.requested_targets().len(), controller.requested_targets().len());
+    let (discovery_requests, controller_requests) =
+        (discovery.requested_targets().len(), controller.requested_targets().len());
     discovery.publish("{\"revision\":", &setup.cached_list);
     controller.publish("][", &progress(&setup.rollout));
     wait_until("new connections", || {
-        discovery.requested_targets().len() > asked && controller.requested_targets().len() > heard
+        discovery.requested_targets().len() > discovery_requests
+            && controller.requested_targets().len() > controller_requests
     });
     assert!(proxy.log().contains("unreadable endpoint list"));
     assert_eq!(proxy.client().get().status(), 200);
@@ -52,12 +54,12 @@
     let (discovery, controller, setup) = proxy_setup(&[old.address]);
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
-    // What was whole before the noise stands, and every connection after it is spoilt from its first line on.
+    // What was whole before the noise stands, and every connection after it is corrupted from its first line on.
     let change = [member("s-0", old.address, 4, "Terminating"), member("s-9", new.address, 4, "Ready")];
     discovery.publish_corrupt(&list(2, false, &change), "][");
     controller.publish("][", "{\"type\":");
     wait_until("answers from the machine told before the noise", || client.get().body == b"new");
-    wait_until("several connections, all spoilt", || {
+    wait_until("several connections, all corrupted", || {
         discovery.requested_targets().len() > 4 && controller.requested_targets().len() > 4
     });
     let back = list(3, true, &[member("s-0", old.address, 4, "Ready")]);
--- a/crates/proxy/tests/proxy/workers.rs
+++ b/crates/proxy/tests/proxy/workers.rs
@@ -67,7 +67,7 @@
     let sent = || endpoints.iter().map(|m| m.requests().len()).sum::<usize>();
     let served = ask(&proxy, 16, || sent() > 2_000);
     assert_eq!(served, sent(), "each was sent once and answered once");
-    // Each thread tells its own part at the end of a turn.
+    // Each thread publishes its own counters at the end of a turn.
     wait_until("all are counted", || counter(&proxy, "passed") == served);
     assert!(proxy.log().contains("4 threads"));
 }
@@ -75,10 +75,10 @@
 #[test]
 fn the_exposure_cap_is_shared_by_all_workers() {
     let (old, new) = (ScriptedEndpoint::start(ok("old")), ScriptedEndpoint::start(ok("new")));
-    let (_discovery, _controller, setup) = trial_setup(&old, &new);
+    let (_discovery, controller, setup) = trial_setup(&old, &new);
     let rollout = state(5, 0, "IN_PROGRESS", 0.2);
     let setup = on_threads(ProxySetup { rollout: rollout.clone(), ..setup });
-    _controller.publish(&progress(&rollout), &progress(&rollout));
+    controller.publish(&progress(&rollout), &progress(&rollout));
     let proxy = RunningProxy::start(&setup);
     let began = Instant::now();
     ask(&proxy, 12, || new.requests().len() > 100);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -24,7 +24,7 @@
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1000.0;
-/// Latest time that is told apart, in microseconds: about 31 years, so that sums of times stay in range.
+/// Times beyond this are limited to it, in microseconds: about 31 years, so that sums of times stay in range.
 const MAX_MICROS: f64 = 1e15;
 
 /// A settings object that was parsed and checked.
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -35,7 +35,7 @@
 /// What is wrong with a line of the simulator's.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// It is no line of the protocol, or a reply could not be put into words.
+    /// It is no line of the protocol, or a reply could not be serialized.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// A batch begins inside another.
@@ -61,9 +61,6 @@
         /// The list's number.
         list_id: u32,
     },
-    /// A line that is no event of an instance.
-    #[error("a line that is no event of an instance")]
-    NotAnEvent,
     /// A class that the settings do not have.
     #[error("class {name:?} is not among the grades of the settings")]
     UnknownClass {
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The event that a line tells of; none: the line tells nothing that the policy has to know.
+    /// The event that a line stands for; none if it holds nothing for the policy.
     ///
     /// # Errors
     /// The line names a class, a list or a phase that does not exist, or a message that can't be decoded.
@@ -59,14 +59,14 @@
         line: Input,
         lists: &HashMap<u32, Vec<EndpointRow>>,
     ) -> Result<Option<Event>, ProtocolError> {
-        match line {
+        Ok(Some(match line {
             Input::BatchBegin { .. }
             | Input::BatchEnd {}
             | Input::EndpointList { .. }
             | Input::StartInstance { .. }
-            | Input::StopInstance { .. } => Ok(None),
+            | Input::StopInstance { .. } => return Ok(None),
             Input::EndpointUpdate { how, list_id, .. } => {
-                self.endpoint_update(how, list_id, lists).map(|update| Some(Event::EndpointsUpdated(update)))
+                Event::EndpointsUpdated(self.endpoint_update(how, list_id, lists)?)
             }
             Input::RolloutStatus { build, stage, phase, how, outcome, exposure_cap, age, .. } => {
                 let status = RolloutStatus {
@@ -76,21 +76,13 @@
                     exposure_cap,
                     age: micros(age),
                 };
-                Ok(rollout_event(how, outcome, status))
+                return Ok(rollout_event(how, outcome, status));
             }
-            Input::Timer { token, .. } => Ok(Some(Event::Timer(token))),
+            Input::Timer { token, .. } => Event::Timer(token),
             Input::Gossip { from, bytes_hex, .. } => {
                 let bytes = decode_hex(&bytes_hex)?;
-                Ok(Some(Event::GossipReceived { from: PeerId(from), bytes }))
+                Event::GossipReceived { from: PeerId(from), bytes }
             }
-            Input::BuildTally { .. } | Input::AnswerFlagged { .. } => self.report_event(line).map(Some),
-            _ => self.request_event(line).map(Some),
-        }
-    }
-
-    /// The event of a line about a request, an attempt or a health check.
-    fn request_event(&mut self, line: Input) -> Result<Event, ProtocolError> {
-        Ok(match line {
             Input::Request { request, class, tenant, key, deadline, work_hint, flags, .. } => {
                 let hinted = flags & FLAG_HINTED != 0;
                 Event::Request(Request {
@@ -131,13 +123,6 @@
                     load_report: load_report.unwrap_or_default(),
                 }
             }
-            _ => return Err(ProtocolError::NotAnEvent),
-        })
-    }
-
-    /// The event of a line with counts of a build, or with a wrong answer.
-    fn report_event(&mut self, line: Input) -> Result<Event, ProtocolError> {
-        Ok(match line {
             Input::BuildTally { class, build, latency, errors, age, count, .. } => Event::Tally {
                 build: Build(build),
                 class: self.class(&class)?,
@@ -151,8 +136,7 @@
                 class: self.class(&class)?,
                 age: micros(age),
             },
-            _ => return Err(ProtocolError::NotAnEvent),
-        })
+        }))
     }
 
     /// The line that an action becomes.
@@ -286,7 +270,7 @@
     }
 }
 
-/// What a rollout line tells: the answer to a vote, or the state of the newest build where that is known.
+/// What a rollout line holds: the answer to a vote, or the state of the newest build where that is known.
 fn rollout_event(how: u8, outcome: OutcomeCode, status: RolloutStatus) -> Option<Event> {
     let known = (outcome == OutcomeCode::Pass).then_some(status);
     if how == VOTE_ANSWER {
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -27,7 +27,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // There is nobody left to tell where standard error is closed.
+            // If standard error is closed there is nowhere to report the error.
             let _ = writeln!(io::stderr(), "garnetcrank-sim-adapter: {error}");
             ExitCode::FAILURE
         }
--- a/crates/sim-adapter/src/protocol.rs
+++ b/crates/sim-adapter/src/protocol.rs
@@ -59,7 +59,7 @@
         #[serde(rename = "front")]
         instance: u32,
     },
-    /// News of the endpoint list for one instance.
+    /// An endpoint update for one instance.
     #[serde(rename = "fleet")]
     EndpointUpdate {
         #[serde(rename = "front")]
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The store: `open` makes or recovers it, `commit` writes to it, `load` and `keys` read it, `scrub` checks and measures
-//! it.
+//! The store: `open` makes or recovers it, `commit` writes to it, `load` and `keys` read it, `scrub` checks and
+//! measures it.
 
 use redb::Database;
 
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -63,7 +63,8 @@
         Ok(Self { db, identity: owner, starts, end, failure: None })
     }
 
-    /// Opens an existing file of any owner, to look at it. The file is not changed.
+    /// Opens an existing file of any owner, to look at it. No stored value is changed; the database library may still
+    /// write to the file, such as to recover it.
     ///
     /// # Errors
     /// The file does not exist or is in use, and as [`Store::open`].
--- a/crates/test-support/src/scripted_servers/endpoint.rs
+++ b/crates/test-support/src/scripted_servers/endpoint.rs
@@ -23,7 +23,12 @@
     /// Waits for [`ScriptedEndpoint::release`], then responds with 200.
     WaitForRelease,
     /// Streams parts, each once released; then completes the stream, or breaks it off for `false`.
-    Stream(Vec<&'static str>, bool),
+    Stream {
+        /// Its chunks.
+        parts: Vec<&'static str>,
+        /// Whether the last chunk is sent; else the connection is closed before it.
+        complete: bool,
+    },
 }
 
 #[derive(Default)]
@@ -111,14 +116,14 @@
                 wait();
                 answer(200, "", b"late")
             }
-            EndpointBehavior::Stream(parts, whole) => {
+            EndpointBehavior::Stream { parts, complete } => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 for part in parts {
                     wait();
                     let _ = stream.write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes());
                 }
                 wait();
-                if !whole {
+                if !complete {
                     return;
                 }
                 b"0\r\n\r\n".to_vec()
--- a/crates/test-support/src/virtual_fleet.rs
+++ b/crates/test-support/src/virtual_fleet.rs
@@ -172,7 +172,7 @@
         .for_each(|instance| world.start_instance(START, instance, world.initial_records.clone()));
     let requests = LOAD * ENDPOINTS as f64 * plan.speed / (WORK / SECOND as f64);
     let requests_per_step = requests / f64::from(INSTANCES) * STEP as f64 / SECOND as f64;
-    for now in (START..START + RUN).step_by(STEP as usize).map(|initial_records| initial_records + STEP) {
+    for now in (START..START + RUN).step_by(STEP as usize).map(|step_start| step_start + STEP) {
         (0..world.policies.len()).for_each(|instance| world.deliver_updates(now, instance));
         world.deliver_outcomes(now);
         for (instance, skew) in skew.iter().enumerate() {
@@ -298,17 +298,17 @@
         } = settings(0);
         let of_each = self.restarted.iter().zip(&self.received_work).flat_map(|(entry, received_work)| {
             let started_at = entry.started.unwrap_or_default();
-            let cold: Vec<_> = received_work
+            let in_slow_start: Vec<_> = received_work
                 .iter()
                 .filter(|(at, _)| *at > started_at && *at < started_at + duration)
                 .collect();
-            let ratios = (0..cold.len()).map(move |last| {
-                let at = cold[last].0;
-                let within = cold[..=last].iter().rev().take_while(|(t, _)| t + window >= at);
-                let risen = (at - started_at) as f64 / duration as f64;
-                let bears = initial + (1.0 - initial) * risen;
-                let bears = multiple * bears * self.plan.speed * window as f64;
-                within.map(|(_, work)| work).sum::<f64>() / bears
+            let ratios = (0..in_slow_start.len()).map(move |last| {
+                let at = in_slow_start[last].0;
+                let within = in_slow_start[..=last].iter().rev().take_while(|(t, _)| t + window >= at);
+                let progress = (at - started_at) as f64 / duration as f64;
+                let share = initial + (1.0 - initial) * progress;
+                let capacity = multiple * share * self.plan.speed * window as f64;
+                within.map(|(_, work)| work).sum::<f64>() / capacity
             });
             ratios.collect::<Vec<_>>()
         });
