--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -1,4 +1,4 @@
-//! Build health: whether the newest build is failing, by its record beside the earlier build's.
+//! Build health: assesses whether the newest build is failing, compared with the build before it.
 
 mod build_record;
 mod fleet_health;
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-pub(crate) use build_record::{BuildRecord, SUSTAINED_FAILURE};
+pub(crate) use build_record::{BuildRecord, SUSTAINED_FAILURE_TIME};
 pub(crate) use samples::OutcomeSample;
 
 use crate::api::{Micros, Outcome};
@@ -15,71 +15,74 @@
 use build_record::{Assessment, BuildState, Criterion, RETAINED_OUTCOMES};
 use samples::{EndpointValue, SampleSummary, exceeds_on_majority, ratio};
 
-/// Outcomes that a class is judged by: older ones say what was, not what is.
+/// Number of latest outcomes from which a class is assessed; older ones may not reflect its present state.
 const RECENT_OUTCOMES: usize = 20;
-/// Outcomes below which a class is unjudged: a verdict on less is chance.
+/// Fewest outcomes needed to assess a class; with fewer, the result would be down to chance.
 pub(crate) const MIN_OUTCOMES: usize = 10;
-/// Outcomes, or comparable latencies, below which a build is never judged.
+/// Fewest outcomes, or comparable latencies, needed for any assessment, whatever the rollback quorum.
 pub(crate) const MIN_SAMPLES: usize = 4;
-/// Errors that judge a class before its ten outcomes: no chance brings so many.
-const OBVIOUS_ERRORS: f64 = 3.0;
-/// The earlier build can be compared with for so long after an outcome.
+/// Number of errors that suffices to assess a class with fewer than [`MIN_OUTCOMES`], as chance does not
+/// explain them.
+const CONCLUSIVE_ERRORS: f64 = 3.0;
+/// Age up to which an outcome is valid for a comparison with current ones.
 pub(crate) const COMPARISON_WINDOW: Micros = 4 * SECOND;
 
-/// By how much a ratio of failures must exceed the earlier build's, over 20 outcomes.
+/// Margin over the earlier build's failure ratio above which a build fails, for a ratio over 20 outcomes.
 const FAILURE_MARGIN: f64 = 0.1;
-/// Factor on that margin below which a failure ends, so that it does not flicker about it.
+/// Factor on [`FAILURE_MARGIN`] while a build is failing; the hysteresis prevents flapping.
 const RECOVERY_FACTOR: f64 = 0.5;
-/// Logarithm by which a build must surely be slower to fail by its latency: 1.35 times.
-const LATENCY_SLOWDOWN: f64 = 0.3;
-/// Standard errors taken off a difference before it counts ...
-const CONFIDENCE_ERRORS: f64 = 2.5;
-/// ... less so many times the logarithm of the number of instances that must agree on a rollback.
-const ERRORS_PER_LOG_QUORUM: f64 = 0.5;
-/// Logarithm by which single latencies differ at the least, whatever a few show.
+/// Slowdown (natural logarithm; a factor of 1.35) that a build must exceed, with confidence, to fail by
+/// latency.
+const MAX_BUILD_SLOWDOWN: f64 = 0.3;
+/// Standard errors subtracted from a difference before it counts, where one instance decides alone.
+const CONFIDENCE_STANDARD_ERRORS: f64 = 2.5;
+/// Reduction of [`CONFIDENCE_STANDARD_ERRORS`] per unit of the rollback quorum's natural logarithm.
+const STANDARD_ERRORS_PER_LOG_QUORUM: f64 = 0.5;
+/// Lowest standard deviation assumed for single latencies (natural logarithm); a few may agree by chance.
 const MIN_SAMPLE_DEVIATION: f64 = 0.5;
-/// Logarithm by which good endpoints of a kind differ, by speed and by others' load.
+/// Standard deviation between healthy endpoints of one kind (natural logarithm), due to differences in speed
+/// and to load from others.
 const ENDPOINT_DEVIATION: f64 = 0.2;
 
-/// An assessment, and what it is by.
+/// An assessment by one criterion.
 struct CriterionAssessment {
     criterion: Criterion,
     assessment: Assessment,
 }
 
 impl Policy {
-    /// Brings the record of the newest build up to date: assessments, failure timers, state. Once a tick:
-    /// judging at every outcome finds more by chance.
+    /// Updates the record of the newest build: its assessments, failure timers and state. Runs once per tick;
+    /// an assessment at every outcome would produce more false positives.
     pub(crate) fn assess_newest_build(&mut self) {
         let Some(status) = self.rollout.active_status() else { return };
         let build = status.build;
-        let by_fleet = self.assess_fleet(status);
+        let fleet_assessment = self.assess_fleet(status);
         let Some(record) = self.builds.get(&build).filter(|r| !r.has_failed()) else { return };
-        let assessments = self.assess(record, self.earlier_record(build), by_fleet);
+        let assessments = self.assess(record, self.earlier_record(build), fleet_assessment);
         let now = self.now;
-        let judged = self.judges_some_class(&assessments);
+        let has_assessed_class = self.has_assessed_class(&assessments);
         let record = self.build_record(build);
-        record.judged = judged;
-        let mut sustained = None;
+        record.has_assessed_class = has_assessed_class;
+        let mut failed_criterion = None;
         for CriterionAssessment { criterion, assessment } in assessments {
             let failed = record.record_assessment(now, criterion, assessment);
-            if failed && sustained.is_none() {
-                sustained = Some(criterion);
+            if failed && failed_criterion.is_none() {
+                failed_criterion = Some(criterion);
             }
         }
-        if let Some(criterion) = sustained {
+        if let Some(criterion) = failed_criterion {
             record.state = BuildState::Failed;
-            let what = self.name_of(criterion);
+            let what = self.criterion_name(criterion);
             self.log(format!("build {}: {what} kept failing, voting to roll back", build.0));
         }
     }
 
-    /// The assessments of a build by all criteria, in their order.
+    /// Assesses a build by all criteria, in the order of [`Criterion::all`].
     fn assess(
         &self,
         record: &BuildRecord,
         earlier: Option<&BuildRecord>,
-        by_fleet: Assessment,
+        fleet_assessment: Assessment,
     ) -> Vec<CriterionAssessment> {
         let criteria = Criterion::all(self.config.classes.len());
         let assessments = criteria.map(|criterion| {
@@ -88,16 +91,16 @@
                     self.assess_failures(record, earlier, criterion)
                 }
                 Criterion::Latency => self.assess_latency(record),
-                Criterion::FleetLatency => by_fleet,
+                Criterion::FleetLatency => fleet_assessment,
             };
             CriterionAssessment { criterion, assessment }
         });
         assessments.collect()
     }
 
-    /// Whether some class is judged. Where many instances must agree all classes together count: an instance
-    /// that sees little would stay silent.
-    fn judges_some_class(&self, assessments: &[CriterionAssessment]) -> bool {
+    /// Returns whether some class has been assessed. Where a rollback takes several votes, an assessment of
+    /// all classes together suffices, since an instance with little traffic would otherwise not vote.
+    fn has_assessed_class(&self, assessments: &[CriterionAssessment]) -> bool {
         let needs_agreement = self.config.rollout.rollback_quorum > 1;
         assessments.iter().any(|assessed| {
             let counts = match assessed.criterion {
@@ -105,12 +108,12 @@
                 Criterion::AllClasses => needs_agreement,
                 Criterion::Latency | Criterion::FleetLatency => false,
             };
-            counts && assessed.assessment != Assessment::Unjudged
+            counts && assessed.assessment != Assessment::Inconclusive
         })
     }
 
-    /// A criterion's name for log lines.
-    fn name_of(&self, criterion: Criterion) -> String {
+    /// Returns the name of a criterion for log lines.
+    fn criterion_name(&self, criterion: Criterion) -> String {
         match criterion {
             Criterion::Class(class) => self.config.classes[class.0].name.clone(),
             Criterion::AllClasses => "all classes together".to_owned(),
@@ -119,10 +122,12 @@
         }
     }
 
-    /// Assesses a class, or all together, by the ratio of failures over the last outcomes, against the
-    /// earlier build's. Danger: time-outs come from load or a stall as easily as from a build, so they count
-    /// only as far as surely above chance, beside an earlier build that serves. Harm: one that hangs a few is
-    /// found late.
+    /// Assesses one class, or all classes together, by the ratio of failures among the latest outcomes,
+    /// compared with the earlier build's ratio.
+    ///
+    /// Time-outs are as likely to come from load or a stall as from the build. They therefore count only as
+    /// far as they exceed chance, and only while the earlier build is serving. The cost is that a build which
+    /// hangs on a few requests is detected late.
     fn assess_failures(
         &self,
         record: &BuildRecord,
@@ -134,19 +139,21 @@
         let is_timeout = |s: &OutcomeSample| comparable && s.outcome == Outcome::TimedOut;
         let is_failure = |s: &OutcomeSample| is_error(s) || is_timeout(s);
         let samples = record.samples_of(criterion);
-        // All classes together are judged by more outcomes, among which a smaller ratio is no chance.
+        // All classes together are assessed by more outcomes, among which a smaller ratio is significant.
         let max_samples =
             if criterion == Criterion::AllClasses { RETAINED_OUTCOMES } else { RECENT_OUTCOMES };
         let count = samples.len().min(max_samples);
         let errors = ratio(samples, max_samples, is_error);
-        let enough = count >= self.min_samples(MIN_OUTCOMES) || errors * count as f64 >= OBVIOUS_ERRORS;
-        if !enough {
-            return Assessment::Unjudged;
+        let has_enough =
+            count >= self.min_samples(MIN_OUTCOMES) || errors * count as f64 >= CONCLUSIVE_ERRORS;
+        if !has_enough {
+            return Assessment::Inconclusive;
         }
-        let before = earlier.map_or(0.0, |e| ratio(e.samples_of(criterion), RETAINED_OUTCOMES, is_failure));
+        let earlier_ratio =
+            earlier.map_or(0.0, |e| ratio(e.samples_of(criterion), RETAINED_OUTCOMES, is_failure));
         let timeouts = self.significant_timeouts(samples, max_samples, is_timeout);
-        let bar = failure_margin(count, record.is_failing_by(criterion));
-        if errors + timeouts <= before + bar {
+        let margin = failure_margin(count, record.is_failing_by(criterion));
+        if errors + timeouts <= earlier_ratio + margin {
             return Assessment::Pass;
         }
         let failures = samples.iter().map(|s| {
@@ -156,7 +163,7 @@
         fail_if(exceeds_on_majority(failures, 0.0))
     }
 
-    /// The ratio of time-outs that surely exceeds chance.
+    /// Returns the part of the time-out ratio that exceeds chance, with confidence.
     fn significant_timeouts(
         &self,
         samples: &VecDeque<OutcomeSample>,
@@ -165,13 +172,15 @@
     ) -> f64 {
         let timeouts = ratio(samples, max_samples, is_timeout);
         let count = samples.len().min(max_samples).min(RECENT_OUTCOMES);
-        let error = (timeouts / count as f64).sqrt();
-        (timeouts - self.confidence_margin() * error).max(0.0)
+        let standard_error = (timeouts / count as f64).sqrt();
+        (timeouts - self.confidence_margin() * standard_error).max(0.0)
     }
 
-    /// Assesses a build's latency, all classes together: each outcome as its logarithm over the baseline of
-    /// its class and kind of endpoint, and over what the released builds took in its zone at that moment.
-    /// Danger: a build that is only slow passes by its errors until it takes the fleet down.
+    /// Assesses a build's latency over all classes together. Each outcome counts by its
+    /// [`OutcomeSample::excess`]: the logarithm of its latency relative to the baseline of its class and kind
+    /// of endpoint, and to the released builds in its zone at that time.
+    ///
+    /// Without it, a build that is slow but returns no errors would pass until it overloads the fleet.
     fn assess_latency(&self, record: &BuildRecord) -> Assessment {
         let excesses = record
             .samples
@@ -180,36 +189,41 @@
         let excesses: Vec<EndpointValue> = excesses.collect();
         let summary = SampleSummary::of(&excesses);
         if summary.count < self.min_samples(RECENT_OUTCOMES) {
-            return Assessment::Unjudged;
+            return Assessment::Inconclusive;
         }
-        // However many outcomes, a build's few endpoints may be slow ones, and the zone's mean is no
-        // certainty.
-        let endpoints_error = ENDPOINT_DEVIATION * (1.0 / summary.endpoints + 0.5).sqrt();
-        let error = summary.error(MIN_SAMPLE_DEVIATION).hypot(endpoints_error);
-        // A failure starts once it is sure, and ends once it is not even likely.
+        // More outcomes do not remove two uncertainties: the build's few endpoints may be slow ones, and the
+        // mean of the zone is itself an estimate.
+        let endpoint_error = ENDPOINT_DEVIATION * (1.0 / summary.endpoints + 0.5).sqrt();
+        let standard_error = summary.standard_error(MIN_SAMPLE_DEVIATION).hypot(endpoint_error);
+        // Hysteresis: the confidence margin applies to the start of a failure, not to its end.
         let failing = record.is_failing_by(Criterion::Latency);
-        let margin = if failing { 0.0 } else { self.confidence_margin() * error };
-        if summary.mean - margin <= LATENCY_SLOWDOWN {
+        let margin = if failing { 0.0 } else { self.confidence_margin() * standard_error };
+        if summary.mean - margin <= MAX_BUILD_SLOWDOWN {
             return Assessment::Pass;
         }
-        fail_if(exceeds_on_majority(excesses.into_iter(), LATENCY_SLOWDOWN))
+        fail_if(exceeds_on_majority(excesses.into_iter(), MAX_BUILD_SLOWDOWN))
     }
 
-    /// How sure an instance must be, in standard errors. Danger: an instance with a handful of outcomes a
-    /// stage never is. Where many must agree they guard against its chance. Harm: a fault misleads many
-    /// alike.
+    /// Returns the confidence margin that this instance applies, in standard errors.
+    ///
+    /// An instance with a handful of outcomes per stage never reaches the full margin. Where several
+    /// instances must agree on a rollback, their agreement guards against chance, so the margin is smaller.
+    /// The cost is that a fault can mislead many instances alike.
     fn confidence_margin(&self) -> f64 {
         let quorum = f64::from(self.config.rollout.rollback_quorum.max(1));
-        (CONFIDENCE_ERRORS - ERRORS_PER_LOG_QUORUM * quorum.ln()).max(1.0)
+        (CONFIDENCE_STANDARD_ERRORS - STANDARD_ERRORS_PER_LOG_QUORUM * quorum.ln()).max(1.0)
     }
 
-    /// From how many outcomes an instance judges, where one alone needs so many; for the same reason.
-    fn min_samples(&self, alone: usize) -> usize {
-        (alone / self.config.rollout.rollback_quorum.max(1) as usize).max(MIN_SAMPLES)
+    /// Returns the number of outcomes that this instance needs for an assessment. `single_instance` is the
+    /// number needed with a rollback quorum of 1; a larger quorum reduces it, as in
+    /// [`Self::confidence_margin`].
+    fn min_samples(&self, single_instance: usize) -> usize {
+        (single_instance / self.config.rollout.rollback_quorum.max(1) as usize).max(MIN_SAMPLES)
     }
 }
 
-/// By how much a ratio over so many outcomes must exceed the earlier build's to fail.
+/// Returns the margin over the earlier build's failure ratio above which a build fails. `outcomes` is the
+/// number of outcomes in its ratio; `failing` tells whether it is failing already.
 fn failure_margin(outcomes: usize, failing: bool) -> f64 {
     let margin = FAILURE_MARGIN * (RECENT_OUTCOMES as f64 / outcomes as f64).sqrt();
     if failing { margin * RECOVERY_FACTOR } else { margin }
--- a/crates/policy/src/build_health/build_record.rs
+++ b/crates/policy/src/build_health/build_record.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of one build.
+//! This instance's record of one build: its outcomes and the state of its assessment.
 
 use std::collections::VecDeque;
 
@@ -9,22 +9,24 @@
 use crate::units::SECOND;
 use crate::window::SlidingWindow;
 
-/// How long a criterion must stay failed; also the soak after a start.
-pub(crate) const SUSTAINED_FAILURE: Micros = 3 * SECOND;
-/// Outcomes kept for each class: for the earlier build's ratio, and to see on how many endpoints it fails.
+/// Time for which a criterion must keep failing before the build fails; also the soak time after a start.
+pub(crate) const SUSTAINED_FAILURE_TIME: Micros = 3 * SECOND;
+/// Number of outcomes kept per class, for the earlier build's failure ratio and to tell on how many endpoints
+/// a build fails.
 pub(super) const RETAINED_OUTCOMES: usize = 60;
-/// Builds remembered: the newest, the one before, and any withdrawn between.
+/// Number of builds remembered: the newest, the one before, and any withdrawn in between.
 const MAX_RECORDS: usize = 4;
 
-/// What an assessment by one criterion comes to.
+/// Result of an assessment by one criterion.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Assessment {
-    Unjudged,
+    /// There is not enough evidence to pass or fail the build.
+    Inconclusive,
     Pass,
     Fail,
 }
 
-/// What a build is assessed by.
+/// Criterion for the assessment of a build.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Criterion {
     /// The failures of one class.
@@ -33,94 +35,95 @@
     AllClasses,
     /// The build's latency.
     Latency,
-    /// What the build does to the latency of the whole fleet.
+    /// The build's effect on the latency of all endpoints.
     FleetLatency,
 }
 
 impl Criterion {
-    /// All criteria, in the order of the assessment: where several have failed, the first is named.
-    pub(super) fn all(classes: usize) -> impl Iterator<Item = Criterion> {
-        let by_class = (0..classes).map(|class| Criterion::Class(ClassId(class)));
+    /// Returns all criteria in the order of assessment; if several have failed, the log line names the first.
+    pub(super) fn all(class_count: usize) -> impl Iterator<Item = Criterion> {
+        let by_class = (0..class_count).map(|class| Criterion::Class(ClassId(class)));
         by_class.chain([Criterion::AllClasses, Criterion::Latency, Criterion::FleetLatency])
     }
 
-    /// Position among all criteria.
-    fn position(self, classes: usize) -> usize {
+    /// Returns the position in [`Criterion::all`].
+    fn position(self, class_count: usize) -> usize {
         match self {
             Criterion::Class(class) => class.0,
-            Criterion::AllClasses => classes,
-            Criterion::Latency => classes + 1,
-            Criterion::FleetLatency => classes + 2,
+            Criterion::AllClasses => class_count,
+            Criterion::Latency => class_count + 1,
+            Criterion::FleetLatency => class_count + 2,
         }
     }
 }
 
-/// State of a record. It lives on after the release until newer builds push it out, so that a released build
-/// can still be voted back.
+/// State of a build's assessment. The record is kept after the release until newer builds displace it, so
+/// that this instance can still vote to roll a released build back.
 #[derive(PartialEq)]
 pub(super) enum BuildState {
     Soaking,
-    /// A failure was sustained: voted back until the release controller says that the build is rolled back.
+    /// A failure was sustained: this instance votes to roll the build back until the release controller
+    /// reports the rollback.
     Failed,
 }
 
-/// What this instance knows of one build.
+/// Outcomes of one build at this instance, and the state of its assessment.
 ///
-/// Empty when the build appears: outcomes of attempts sent before that do not count, as results of another
-/// build must not satisfy a gate.
+/// The record is empty when the build appears. Outcomes of attempts sent before that do not count, because
+/// results of another build must not let this one advance.
 pub(crate) struct BuildRecord {
     pub(super) state: BuildState,
     pub(crate) created_at: Micros,
     pub(super) last_outcome_at: Micros,
-    /// Of slowing the whole fleet.
+    /// Suspicion that the build slows all endpoints, while the test of it runs.
     pub(crate) suspicion: Option<FleetSuspicion>,
-    /// The stage at which the build was last cleared of that.
+    /// Stage at which the build was last cleared of that suspicion.
     pub(super) cleared_at_stage: Option<usize>,
-    /// The fleet's slowdown while the build was too small to matter.
-    pub(super) slowdown_before: f64,
-    /// Whether some class is judged.
-    pub(crate) judged: bool,
-    /// Attempts at the build in the exposure window.
+    /// Mean slowdown of the fleet (natural logarithm) while the build's share was too small to affect it.
+    pub(super) baseline_slowdown: f64,
+    /// Whether some class has enough outcomes to be assessed.
+    pub(crate) has_assessed_class: bool,
+    /// Attempts sent to the build within the exposure window.
     pub(crate) attempts: SlidingWindow,
     samples_by_class: Vec<VecDeque<OutcomeSample>>,
-    /// The last outcomes of all classes together.
+    /// Latest outcomes of all classes together.
     pub(super) samples: VecDeque<OutcomeSample>,
-    /// Since when each criterion fails, by its position.
+    /// Time since which each criterion has been failing, by its position in [`Criterion::all`].
     failing_since: Vec<Option<Micros>>,
 }
 
 impl BuildRecord {
-    fn new(created_at: Micros, classes: usize, exposure_span: Micros) -> Self {
+    fn new(created_at: Micros, class_count: usize, exposure_span: Micros) -> Self {
         BuildRecord {
             state: BuildState::Soaking,
             created_at,
             last_outcome_at: 0,
             suspicion: None,
             cleared_at_stage: None,
-            slowdown_before: 0.0,
-            judged: false,
-            attempts: SlidingWindow::new(exposure_span, classes),
-            samples_by_class: vec![VecDeque::new(); classes],
+            baseline_slowdown: 0.0,
+            has_assessed_class: false,
+            attempts: SlidingWindow::new(exposure_span, class_count),
+            samples_by_class: vec![VecDeque::new(); class_count],
             samples: VecDeque::new(),
-            failing_since: vec![None; Criterion::all(classes).count()],
+            failing_since: vec![None; Criterion::all(class_count).count()],
         }
     }
 
-    /// Adds the outcome of an attempt sent at `sent`, unless that was before the record.
+    /// Adds the outcome of an attempt sent at `sent`, unless the record was created later.
     pub(crate) fn add(&mut self, class: ClassId, sample: OutcomeSample, sent: Micros) {
         if sent < self.created_at {
             return;
         }
         self.last_outcome_at = sample.at;
-        for ring in [&mut self.samples_by_class[class.0], &mut self.samples] {
-            ring.push_back(sample);
-            if ring.len() > RETAINED_OUTCOMES {
-                ring.pop_front();
+        for samples in [&mut self.samples_by_class[class.0], &mut self.samples] {
+            samples.push_back(sample);
+            if samples.len() > RETAINED_OUTCOMES {
+                samples.pop_front();
             }
         }
     }
 
-    /// The last outcomes that a criterion on failures goes by.
+    /// Returns the latest outcomes that a criterion on failures uses.
     pub(super) fn samples_of(&self, criterion: Criterion) -> &VecDeque<OutcomeSample> {
         match criterion {
             Criterion::Class(class) => &self.samples_by_class[class.0],
@@ -132,7 +135,7 @@
         self.state == BuildState::Failed
     }
 
-    /// Whether any criterion fails now, or the build is suspected of slowing the fleet.
+    /// Returns whether any criterion is failing, or the build is suspected of slowing all endpoints.
     pub(crate) fn is_failing(&self) -> bool {
         self.suspicion.is_some() || self.failing_since.iter().any(Option::is_some)
     }
@@ -141,7 +144,7 @@
         self.failing_since[criterion.position(self.samples_by_class.len())].is_some()
     }
 
-    /// Notes one assessment; whether the failure has been sustained.
+    /// Records an assessment; returns whether the criterion has failed for [`SUSTAINED_FAILURE_TIME`].
     pub(super) fn record_assessment(
         &mut self,
         now: Micros,
@@ -153,30 +156,30 @@
             self.failing_since[position] = None;
             return false;
         }
-        // What the fleet showed has been running since the build was suspected.
+        // The test of a suspected build takes time: its failure counts from the start of the suspicion.
         let suspected_since = self.suspicion.as_ref().map(|suspicion| suspicion.since);
-        let began = match criterion {
+        let failing_from = match criterion {
             Criterion::FleetLatency => suspected_since.unwrap_or(now),
             _ => now,
         };
-        let since = self.failing_since[position].unwrap_or(began);
+        let since = self.failing_since[position].unwrap_or(failing_from);
         self.failing_since[position] = Some(since);
-        now - since >= SUSTAINED_FAILURE
+        now - since >= SUSTAINED_FAILURE_TIME
     }
 
-    /// The ratio of errors among the last outcomes, of whatever class.
+    /// Returns the ratio of errors among the latest outcomes of all classes.
     fn error_ratio(&self) -> f64 {
         ratio(&self.samples, RETAINED_OUTCOMES, |sample| sample.outcome == Outcome::Error)
     }
 }
 
 impl Policy {
-    /// The record of a build, which is made when the build appears.
+    /// Returns the record of a build, and creates it when the build first appears.
     pub(crate) fn build_record(&mut self, build: Build) -> &mut BuildRecord {
         let now = self.now;
-        let classes = self.config.classes.len();
+        let class_count = self.config.classes.len();
         let exposure_span = self.config.rollout.exposure_window + self.config.resolution;
-        self.builds.entry(build).or_insert_with(|| BuildRecord::new(now, classes, exposure_span))
+        self.builds.entry(build).or_insert_with(|| BuildRecord::new(now, class_count, exposure_span))
     }
 
     pub(crate) fn drop_oldest_build_record(&mut self) {
@@ -185,22 +188,24 @@
         }
     }
 
-    /// The ratio of errors among a build's last outcomes, wherever they came from.
+    /// Returns the ratio of errors among a build's latest outcomes, over all classes and endpoints; 0 for an
+    /// unknown build.
     pub(crate) fn error_ratio(&self, build: Build) -> f64 {
         self.builds.get(&build).map_or(0.0, BuildRecord::error_ratio)
     }
 
-    /// The build that a trial is measured against: the newest earlier one with outcomes of its own.
+    /// Returns the record with which a build on trial is compared: that of the newest earlier build that has
+    /// outcomes and has not failed.
     pub(super) fn earlier_record(&self, build: Build) -> Option<&BuildRecord> {
         let mut earlier = self.builds.range(..build).rev().map(|(_, record)| record);
         earlier.find(|record| record.last_outcome_at > 0 && !record.has_failed())
     }
 
-    /// Whether a build is used only if there is no other: it has failed, or it is withheld. A class that
-    /// fails is still sent.
+    /// Returns whether a build is used only if no other is available, because it has failed or is withheld.
+    /// Requests of a class that has not failed for long enough are still sent to it.
     pub(crate) fn is_avoided(&self, build: Build) -> bool {
         let Some(record) = self.builds.get(&build) else { return false };
         let withheld = record.suspicion.as_ref().is_some_and(|suspicion| suspicion.is_withheld(self.now));
-        record.has_failed() || (withheld && self.in_exposure_range())
+        record.has_failed() || (withheld && self.has_testable_fleet_share())
     }
 }
--- a/crates/policy/src/build_health/samples.rs
+++ b/crates/policy/src/build_health/samples.rs
@@ -1,17 +1,18 @@
-//! Outcomes of attempts as samples, and what a number of them come to.
+//! Samples of attempt outcomes, and statistics over them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::api::{EndpointId, Micros, Outcome};
 
-/// One outcome on a build's record.
+/// One outcome in a build's record.
 #[derive(Clone, Copy)]
 pub(crate) struct OutcomeSample {
     pub(crate) at: Micros,
     pub(crate) outcome: Outcome,
-    /// Logarithm of latency over the baseline of its class and kind of endpoint, where comparable.
+    /// Natural logarithm of the latency relative to the baseline of its class and kind of endpoint; none
+    /// where the two can't be compared.
     pub(crate) slowdown: Option<f64>,
-    /// The same over what released builds took in its zone at that moment.
+    /// Slowdown beyond that of the released builds in the endpoint's zone at that time; none where unknown.
     pub(crate) excess: Option<f64>,
     pub(crate) endpoint: EndpointId,
 }
@@ -22,50 +23,53 @@
     pub(super) value: f64,
 }
 
-/// What a number of values come to: how many there are and from how many endpoints, their mean and its
-/// standard error.
+/// Statistics over a set of values.
 #[derive(Clone, Copy)]
 pub(super) struct SampleSummary {
     pub(super) count: usize,
+    /// Number of distinct endpoints.
     pub(super) endpoints: f64,
     pub(super) mean: f64,
-    error: f64,
+    /// Standard error of the mean.
+    standard_error: f64,
 }
 
 impl SampleSummary {
     pub(super) fn of(samples: &[EndpointValue]) -> Self {
-        // Two at the least: one value alone has no deviation.
+        // At least two, since a single value has no deviation.
         let n = samples.len().max(2) as f64;
         let mean = samples.iter().map(|s| s.value).sum::<f64>() / n;
         let variance = samples.iter().map(|s| (s.value - mean).powi(2)).sum::<f64>() / (n - 1.0);
         let endpoints = samples.iter().map(|s| s.endpoint).collect::<BTreeSet<_>>().len() as f64;
-        SampleSummary { count: samples.len(), endpoints, mean, error: (variance / n).sqrt() }
+        SampleSummary { count: samples.len(), endpoints, mean, standard_error: (variance / n).sqrt() }
     }
 
-    /// The standard error of the mean, however alike a few values happen to be: single ones differ by
-    /// `min_deviation`.
-    pub(super) fn error(&self, min_deviation: f64) -> f64 {
-        self.error.max(min_deviation / (self.count.max(1) as f64).sqrt())
+    /// Returns the standard error of the mean. Single values are taken to have a standard deviation of at
+    /// least `min_deviation`, because a few of them may agree by chance.
+    pub(super) fn standard_error(&self, min_deviation: f64) -> f64 {
+        self.standard_error.max(min_deviation / (self.count.max(1) as f64).sqrt())
     }
 }
 
-/// Ratio of the last samples, at most `max_samples` of them, for which `holds` is true; 0 if there are none.
+/// Returns the fraction of the latest samples, at most `max_samples`, that match a predicate; 0 without
+/// samples.
 pub(super) fn ratio(
     samples: &VecDeque<OutcomeSample>,
     max_samples: usize,
-    holds: impl Fn(&OutcomeSample) -> bool,
+    predicate: impl Fn(&OutcomeSample) -> bool,
 ) -> f64 {
-    let last = samples.iter().rev().take(max_samples);
-    last.filter(|sample| holds(sample)).count() as f64 / samples.len().clamp(1, max_samples) as f64
+    let latest = samples.iter().rev().take(max_samples);
+    latest.filter(|sample| predicate(sample)).count() as f64 / samples.len().clamp(1, max_samples) as f64
 }
 
-/// Whether a failure shows on most endpoints of a build, each by its mean over a bar.
-/// Danger: endpoints with quick errors, a noisy neighbour or a crash among many fail a good build. Harm: a
-/// build that is bad on fewer than half of its endpoints goes on.
-pub(super) fn exceeds_on_majority(values: impl Iterator<Item = EndpointValue>, bar: f64) -> bool {
+/// Returns whether the mean of the values exceeds `threshold` on more than half of the endpoints.
+///
+/// Otherwise a few endpoints with quick errors, a noisy neighbour or a crash would fail a good build. The
+/// cost is that a build which is bad on at most half of its endpoints passes.
+pub(super) fn exceeds_on_majority(values: impl Iterator<Item = EndpointValue>, threshold: f64) -> bool {
     let means = means_by_endpoint(values);
-    let over = means.iter().filter(|mean| **mean > bar).count();
-    over * 2 > means.len()
+    let exceeding = means.iter().filter(|mean| **mean > threshold).count();
+    exceeding * 2 > means.len()
 }
 
 fn means_by_endpoint(values: impl Iterator<Item = EndpointValue>) -> Vec<f64> {
--- a/crates/policy/src/rollout_state.rs
+++ b/crates/policy/src/rollout_state.rs
@@ -3,14 +3,14 @@
 use crate::api::{Build, Micros, RolloutPhase, RolloutStatus};
 use crate::engine::Policy;
 
-/// Shares of the fleet at which withholding a build can show its effect.
-const EXPOSURE_RANGE: std::ops::Range<f64> = 0.1..0.5;
+/// Shares of the fleet at which withholding a build has a measurable effect on latency.
+const TESTABLE_FLEET_SHARES: std::ops::Range<f64> = 0.1..0.5;
 
-/// The status of the newest build.
+/// Last received status of the newest build.
 #[derive(Default)]
 pub(crate) struct RolloutState {
     status: Option<RolloutStatus>,
-    /// When the build, its stage or its phase last changed.
+    /// Time of the last change of the newest build, its stage or its phase.
     pub(crate) changed_at: Micros,
 }
 
@@ -19,12 +19,12 @@
         self.status.as_ref()
     }
 
-    /// The status, if the newest build serves or may come to.
+    /// Returns the status, unless the newest build is being rolled back or has been withdrawn.
     pub(crate) fn active_status(&self) -> Option<RolloutStatus> {
         self.status.filter(|status| status.phase.is_active())
     }
 
-    /// The newest build, if the release controller says that it is on trial.
+    /// Returns the newest build if the release controller reports it as on trial.
     pub(crate) fn build_on_trial(&self) -> Option<Build> {
         let status = self.status.filter(|status| status.phase == RolloutPhase::OnTrial);
         status.map(|status| status.build)
@@ -46,8 +46,9 @@
         self.exposure.on_status_changed(self.now, self.config.drain_grace, before, &status);
     }
 
-    /// Whether a build is on trial for this instance: the newest until it is said to be released, and any
-    /// later one.
+    /// Returns whether this instance treats a build as on trial. That holds for the newest build until the
+    /// release controller reports it as released, and for any build newer than that. Before the first status,
+    /// every known build but the oldest counts as on trial.
     pub(crate) fn is_on_trial(&self, build: Build) -> bool {
         match self.rollout.status {
             Some(status) => {
@@ -58,16 +59,16 @@
         }
     }
 
-    /// Whether the newest build's stage is the last one; also while no build is known.
+    /// Returns whether the newest build is at the last stage; true before the first status.
     pub(crate) fn is_last_stage(&self) -> bool {
         let stages = self.config.rollout.stages.len();
         self.rollout.status.is_none_or(|status| status.stage + 1 >= stages)
     }
 
-    /// Whether the newest build has such a share of the fleet that withholding it can show its effect.
-    pub(crate) fn in_exposure_range(&self) -> bool {
+    /// Returns whether the newest build's share of the fleet is in [`TESTABLE_FLEET_SHARES`].
+    pub(crate) fn has_testable_fleet_share(&self) -> bool {
         let Some(status) = &self.rollout.status else { return false };
         let share = self.config.rollout.stages.get(status.stage);
-        share.is_some_and(|share| EXPOSURE_RANGE.contains(share))
+        share.is_some_and(|share| TESTABLE_FLEET_SHARES.contains(share))
     }
 }
--- a/crates/policy/src/rollout_vote.rs
+++ b/crates/policy/src/rollout_vote.rs
@@ -3,18 +3,18 @@
 use fastrand::Rng;
 
 use crate::api::{Action, Build, Micros, RolloutPhase, RolloutStatus, Verdict, VoteMode, VoteResult};
-use crate::build_health::{BuildRecord, SUSTAINED_FAILURE};
+use crate::build_health::{BuildRecord, SUSTAINED_FAILURE_TIME};
 use crate::engine::{Policy, TICK};
 use crate::units::{MILLISECOND, SECOND};
 
-/// First wait after a vote that did not count, doubled each time ...
+/// Mean wait after the first vote that was not counted; doubled after each further one.
 const BACKOFF_INITIAL: Micros = 250 * MILLISECOND;
-/// ... up to this: all instances share the release controller's rate.
+/// Upper limit of that wait; all instances share the release controller's rate limit.
 const BACKOFF_MAX: Micros = 2 * SECOND;
-/// Renewal of a valid vote, unless its ttl asks for an earlier one.
-const RENEWAL: Micros = 4 * SECOND;
+/// Longest interval at which a valid vote is renewed; a short vote TTL requires an earlier renewal.
+const MAX_RENEWAL_INTERVAL: Micros = 4 * SECOND;
 
-/// A vote cast or wished.
+/// A verdict on a build at one of its stages.
 #[derive(Clone, Copy, PartialEq)]
 struct Vote {
     build: Build,
@@ -22,68 +22,70 @@
     verdict: Verdict,
 }
 
-/// A vote, and when it was cast.
+/// A vote with the time at which it was cast.
 #[derive(Clone, Copy)]
 struct CastVote {
     vote: Vote,
-    at: Micros,
+    cast_at: Micros,
 }
 
-/// The votes of this instance.
+/// State of this instance's votes.
 pub(crate) struct VoteState {
-    /// The last vote that the release controller counted.
+    /// Last vote that the release controller counted.
     counted: Option<CastVote>,
-    /// The vote that waits for the release controller's answer.
+    /// Vote that the release controller has not answered yet.
     pending: Option<CastVote>,
-    not_before: Micros,
+    /// Earliest time of the next vote.
+    next_vote_at: Micros,
     backoff: Micros,
 }
 
 impl VoteState {
     pub(crate) fn new() -> Self {
-        VoteState { counted: None, pending: None, not_before: 0, backoff: BACKOFF_INITIAL }
+        VoteState { counted: None, pending: None, next_vote_at: 0, backoff: BACKOFF_INITIAL }
     }
 
-    /// Waits for a random span about the present backoff before the next vote.
+    /// Delays the next vote by a random 0.5 to 1.5 times the current backoff, and doubles the backoff.
     fn back_off(&mut self, now: Micros, rng: &mut Rng) {
-        self.not_before = now + self.backoff / 2 + rng.u64(0..self.backoff);
+        self.next_vote_at = now + self.backoff / 2 + rng.u64(0..self.backoff);
         self.backoff = (self.backoff * 2).min(BACKOFF_MAX);
     }
 
-    /// The counted vote, while it is valid.
-    fn valid(&self, now: Micros, ttl: Micros) -> Option<CastVote> {
-        self.counted.filter(|cast| now < cast.at + ttl)
+    /// Returns the counted vote, unless it has expired.
+    fn valid_vote(&self, now: Micros, ttl: Micros) -> Option<CastVote> {
+        self.counted.filter(|cast| now < cast.cast_at + ttl)
     }
 }
 
 impl Policy {
-    /// Casts the vote that is due, if any.
+    /// Casts a vote if one is due.
     pub(crate) fn cast_vote(&mut self) {
         if self.awaits_vote_result() {
             return;
         }
-        let valid = self.votes.valid(self.now, self.config.rollout.vote_ttl);
+        let valid = self.votes.valid_vote(self.now, self.config.rollout.vote_ttl);
         let Some(vote) = self.vote_due(valid) else { return };
-        if self.now < self.votes.not_before {
+        if self.now < self.votes.next_vote_at {
             return;
         }
-        self.votes.pending = Some(CastVote { vote, at: self.now });
+        self.votes.pending = Some(CastVote { vote, cast_at: self.now });
         let Vote { build, stage, verdict } = vote;
         self.actions.push(Action::Vote { build, stage, verdict });
         let line = || format!("vote {verdict:?} on build {} stage {stage}", build.0);
-        // A changed verdict is this instance's own decision, a renewal changes nothing.
-        if valid.is_none_or(|before| before.vote.verdict != verdict) {
+        // A changed verdict is this instance's own decision; only some instances log their renewals.
+        if valid.is_none_or(|previous| previous.vote.verdict != verdict) {
             self.log(line());
         } else {
             self.log_shared_event(line);
         }
     }
 
-    /// Whether the last vote still waits for its result; without one for long, it is given up.
+    /// Returns whether the last vote is still waiting for its result. After twice the vote time-out the vote
+    /// is abandoned and the backoff applies.
     fn awaits_vote_result(&mut self) -> bool {
         let timeout = 2 * self.config.rollout.vote_timeout;
         let Some(pending) = self.votes.pending else { return false };
-        if self.now < pending.at + timeout {
+        if self.now < pending.cast_at + timeout {
             return true;
         }
         self.votes.pending = None;
@@ -91,14 +93,14 @@
         false
     }
 
-    /// The vote to cast now, given the one that is valid.
+    /// Returns the vote to cast now, given the vote that is still valid.
     fn vote_due(&self, valid: Option<CastVote>) -> Option<Vote> {
-        match (self.wished_vote(), valid) {
-            (Some(wish), Some(cast)) if wish == cast.vote => {
-                (self.now >= cast.at + self.vote_renewal()).then_some(wish)
+        match (self.desired_vote(), valid) {
+            (Some(desired), Some(cast)) if desired == cast.vote => {
+                (self.now >= cast.cast_at + self.vote_renewal_interval()).then_some(desired)
             }
-            (Some(wish), _) => Some(wish),
-            // A hold that no failure backs any more is withdrawn, so that it costs no further delay.
+            (Some(desired), _) => Some(desired),
+            // The failure behind the hold has ended: withdrawing the vote avoids further delay.
             (None, Some(cast)) if cast.vote.verdict == Verdict::Hold => {
                 Some(Vote { verdict: Verdict::Abstain, ..cast.vote })
             }
@@ -106,23 +108,24 @@
         }
     }
 
-    /// How long after it was cast a vote is renewed: the answer to the renewal must arrive while it is valid.
-    fn vote_renewal(&self) -> Micros {
+    /// Returns the age at which a vote is renewed. The answer to the renewal must arrive before the vote
+    /// expires.
+    fn vote_renewal_interval(&self) -> Micros {
         let ttl = self.config.rollout.vote_ttl;
-        let wait = self.config.rollout.vote_timeout;
-        RENEWAL.min(ttl.saturating_sub(wait + 4 * TICK).max(ttl / 2))
+        let timeout = self.config.rollout.vote_timeout;
+        MAX_RENEWAL_INTERVAL.min(ttl.saturating_sub(timeout + 4 * TICK).max(ttl / 2))
     }
 
-    /// What this instance would have the release controller do, if anything.
-    fn wished_vote(&self) -> Option<Vote> {
+    /// Returns the vote that follows from this instance's assessment of the newest build, if any.
+    fn desired_vote(&self) -> Option<Vote> {
         let status = self.rollout.active_status()?;
         let record = self.builds.get(&status.build)?;
-        let verdict = self.wished_verdict(&status, record)?;
+        let verdict = self.desired_verdict(&status, record)?;
         Some(Vote { build: status.build, stage: status.stage, verdict })
     }
 
-    fn wished_verdict(&self, status: &RolloutStatus, record: &BuildRecord) -> Option<Verdict> {
-        let stages_advance_alone = self.config.rollout.mode == VoteMode::Timer;
+    fn desired_verdict(&self, status: &RolloutStatus, record: &BuildRecord) -> Option<Verdict> {
+        let stages_advance_by_timer = self.config.rollout.mode == VoteMode::Timer;
         if record.has_failed() {
             return Some(Verdict::RollBack);
         }
@@ -130,16 +133,17 @@
             return None;
         }
         if record.is_failing() {
-            return stages_advance_alone.then_some(Verdict::Hold);
+            return stages_advance_by_timer.then_some(Verdict::Hold);
         }
-        if stages_advance_alone || !record.judged {
+        if stages_advance_by_timer || !record.has_assessed_class {
             return None;
         }
-        let soaked = self.now >= self.latest_start(status.build, record) + SUSTAINED_FAILURE;
+        let soaked = self.now >= self.latest_start(status.build, record) + SUSTAINED_FAILURE_TIME;
         soaked.then_some(Verdict::Advance)
     }
 
-    /// When the latest endpoint of a build started, as far as known.
+    /// Returns the latest known start time of a build's active endpoints, or the time at which the build
+    /// appeared if no start time is known.
     fn latest_start(&self, build: Build, record: &BuildRecord) -> Micros {
         let endpoints = self.endpoints.active().filter(|endpoint| endpoint.record.build == build);
         endpoints.filter_map(|endpoint| endpoint.record.started).max().unwrap_or(record.created_at)
@@ -152,8 +156,8 @@
                     self.votes.backoff = BACKOFF_INITIAL;
                     self.votes.counted = (cast.vote.verdict != Verdict::Abstain).then_some(cast);
                 }
-                // Not repeated at once: the stage has moved on, and the status is on its way.
-                VoteResult::Obsolete => self.votes.not_before = self.now + BACKOFF_MAX / 2,
+                // The stage has changed since; the next vote waits for the new status, which arrives shortly.
+                VoteResult::Obsolete => self.votes.next_vote_at = self.now + BACKOFF_MAX / 2,
                 VoteResult::RateLimited | VoteResult::Failed | VoteResult::Unknown => {
                     self.votes.back_off(self.now, &mut self.rng);
                 }
