--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt shows about its endpoint, the fleet's load and its build.
+//! Evaluation of completed attempts, for the endpoint, the fleet's load and the build.
 
 use crate::api::{EndpointRecord, Micros, Outcome, Request};
 use crate::build_health::OutcomeSample;
@@ -7,25 +7,25 @@
 use crate::outlier_detection::FAULT_SLOWDOWN;
 use crate::request_lifecycle::Attempt;
 
-/// An attempt that has ended, with what is known of where it ran.
+/// A completed attempt, with its endpoint.
 struct CompletedAttempt<'a> {
     request: &'a Request,
     attempt: &'a Attempt,
     outcome: Outcome,
     latency: Micros,
-    /// Its endpoint, as the list says now.
+    /// Current record of its endpoint in the endpoint list.
     record: EndpointRecord,
     /// Whether its build is on trial.
     on_trial: bool,
 }
 
 impl CompletedAttempt<'_> {
-    /// Whether its endpoint had warmed up when it was sent.
+    /// Returns whether the endpoint had warmed up when the attempt was sent.
     fn is_warm(&self) -> bool {
         self.attempt.slow_start_factor.is_none()
     }
 
-    /// How slow the attempt was (logarithm), where it says something of the endpoint.
+    /// Returns how slow the attempt was (natural logarithm), if the outcome depends on the endpoint.
     fn slowdown(&self, over_baseline: &Slowdown) -> Option<f64> {
         match self.outcome {
             Outcome::Success | Outcome::TimedOut => over_baseline.over_kind,
@@ -34,8 +34,9 @@
         }
     }
 
-    /// Whether the outcome says something of the build. A warming endpoint's time-outs say nothing of it.
-    fn is_evidence_on_build(&self) -> bool {
+    /// Returns whether the outcome is evidence about the build. A time-out at an endpoint that is warming up
+    /// is not.
+    fn is_evidence_about_build(&self) -> bool {
         match self.outcome {
             Outcome::Success | Outcome::Error => true,
             Outcome::TimedOut => self.is_warm(),
@@ -45,7 +46,7 @@
 }
 
 impl Policy {
-    /// Records the end of an attempt wherever it counts.
+    /// Records a completed attempt in all estimates and counts that depend on it.
     pub(crate) fn record_outcome(
         &mut self,
         request: &Request,
@@ -67,18 +68,18 @@
         let over_baseline = self.compare_with_baselines(&completed);
         self.record_endpoint_outcome(attempt.endpoint, outcome, over_baseline.over_class.unwrap_or(0.0));
         let slowdown = completed.slowdown(&over_baseline);
-        // A warming endpoint is slow by itself: it is compared with no other.
+        // An endpoint that is warming up is slow for that reason, so it is not compared with others.
         let comparable = slowdown.filter(|_| completed.is_warm());
         if let Some(slowdown) = comparable
             && !on_trial
         {
             self.latency.add_to_zone(self.now, record.zone, slowdown);
         }
-        if completed.is_evidence_on_build() {
+        if completed.is_evidence_about_build() {
             self.record_build_outcome(&completed, slowdown, comparable);
-            self.record_exposure_test(&completed, comparable);
+            self.record_fleet_test_sample(&completed, comparable);
         }
-        self.bind_key(&completed);
+        self.bind_idempotency_key(&completed);
     }
 
     fn record_served_load(&mut self, completed: &CompletedAttempt) {
@@ -88,16 +89,17 @@
         }
     }
 
-    /// Records how much of its latency objective the attempt took.
+    /// Records the attempt's latency as a fraction of its latency objective.
     fn record_latency_ratio(&mut self, completed: &CompletedAttempt) {
         let &CompletedAttempt { request, attempt, outcome, latency, .. } = completed;
         let objective = self.config.classes[request.class.0].latency_objective.max(1);
-        // A quick rejection is no quick answer.
+        // Other outcomes count as late: a quick rejection must not pass for a quick answer.
         let ratio = match outcome {
             Outcome::Success => (latency as f64 / objective as f64).min(1.0),
             _ => 1.0,
         };
-        // What was counted late counts once; a stalled endpoint is no full fleet, a lost connection nothing.
+        // An attempt that was counted as overdue is not counted again. A failed connect points to a stalled
+        // endpoint rather than to an overloaded fleet, and a lost connection says nothing about load.
         let counts =
             !attempt.counted_overdue && !matches!(outcome, Outcome::ConnectFailed | Outcome::ConnectionLost);
         if counts {
@@ -109,8 +111,9 @@
     }
 
     fn compare_with_baselines(&mut self, completed: &CompletedAttempt) -> Slowdown {
-        let teaches = completed.outcome == Outcome::Success && completed.is_warm() && !completed.on_trial;
-        let update = if !teaches {
+        let updates_baseline =
+            completed.outcome == Outcome::Success && completed.is_warm() && !completed.on_trial;
+        let update = if !updates_baseline {
             BaselineUpdate::Skip
         } else if self.rollout.build_on_trial().is_some() {
             BaselineUpdate::LearnUntilKnown
@@ -121,7 +124,7 @@
         self.latency.slowdown(self.now, completed.request, kind, completed.latency, update)
     }
 
-    /// Adds the outcome to its build's record.
+    /// Adds the outcome to the record of the attempt's build.
     fn record_build_outcome(
         &mut self,
         completed: &CompletedAttempt,
@@ -139,10 +142,11 @@
         self.build_record(attempt.build).add(completed.request.class, sample, attempt.sent);
     }
 
-    /// By how much an attempt at a build on trial was slower than what released builds took in its zone at
-    /// the same moment (logarithm). A warming endpoint is taken for as slow as it may be.
+    /// Returns how much slower an attempt at a build on trial was than the released builds in its zone at
+    /// that time (natural logarithm). If its endpoint was warming up, the largest slowdown that this explains
+    /// is deducted.
     fn excess_over_zone(&self, completed: &CompletedAttempt, slowdown: Option<f64>) -> Option<f64> {
-        // At the last stage the earlier endpoints are being emptied and no measure any more.
+        // At the last stage the earlier endpoints are being drained and are no longer a valid comparison.
         if !completed.on_trial || self.is_last_stage() {
             return None;
         }
@@ -151,9 +155,9 @@
         Some(slowdown? + slow_start_factor.ln() - zone_baseline)
     }
 
-    /// Adds an earlier build's slowdown to the test of the build on trial, while that is suspected of slowing
-    /// the whole fleet.
-    fn record_exposure_test(&mut self, completed: &CompletedAttempt, comparable: Option<f64>) {
+    /// Adds the slowdown of an attempt at an earlier build to the test of the build on trial, if that is
+    /// suspected of slowing all endpoints.
+    fn record_fleet_test_sample(&mut self, completed: &CompletedAttempt, comparable: Option<f64>) {
         let attempt = completed.attempt;
         let Some(on_trial) = self.rollout.build_on_trial() else { return };
         if attempt.build >= on_trial {
@@ -167,13 +171,13 @@
         }
     }
 
-    /// Where the settings say so, a key answered by a build on trial stays with it.
-    fn bind_key(&mut self, completed: &CompletedAttempt) {
+    /// Binds the request's idempotency key to the build on trial that answered it, if keys are forward-only.
+    fn bind_idempotency_key(&mut self, completed: &CompletedAttempt) {
         let binds = self.config.rollout.forward_only_keys
             && completed.outcome == Outcome::Success
             && completed.on_trial;
         if binds && let Some(key) = completed.request.key {
-            self.exposure.bind_key(key, completed.attempt.build);
+            self.exposure.bind_idempotency_key(key, completed.attempt.build);
         }
     }
 }
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -1,4 +1,4 @@
-//! Exposure: caps on the traffic of builds on trial, and where their keys may go.
+//! Exposure: limits on the traffic to builds on trial, and on the routing of idempotency keys they answered.
 
 use std::collections::BTreeMap;
 
@@ -6,88 +6,96 @@
 use crate::engine::Policy;
 use crate::window::SlidingWindow;
 
-/// What the exposure of builds on trial is counted by.
+/// Counts and idempotency keys for limiting the exposure of builds on trial.
 pub(crate) struct Exposure {
-    /// Requests taken in the exposure window.
+    /// Requests received within the exposure window.
     pub(crate) requests: SlidingWindow,
-    /// When requests and attempts are counted anew, after a lower cap.
-    recount_at: Option<Micros>,
-    /// The build on trial that answered a key.
+    /// Time at which the counts of requests and attempts are reset, after the cap was lowered.
+    reset_at: Option<Micros>,
+    /// Idempotency keys that a build on trial has answered, with that build.
     answered_keys: BTreeMap<KeyId, Build>,
 }
 
 impl Exposure {
     pub(crate) fn new(config: &Config) -> Self {
-        // A tick short, as attempts are counted a tick long: rounding never favours this instance.
+        // Requests are counted over a window shortened by the event resolution, attempts over one
+        // lengthened by it, so that rounding never lets this instance exceed the cap.
         let span = config.rollout.exposure_window.saturating_sub(config.resolution);
         Exposure {
             requests: SlidingWindow::new(span, config.classes.len()),
-            recount_at: None,
+            reset_at: None,
             answered_keys: BTreeMap::new(),
         }
     }
 
-    pub(crate) fn bind_key(&mut self, key: KeyId, build: Build) {
+    pub(crate) fn bind_idempotency_key(&mut self, key: KeyId, build: Build) {
         self.answered_keys.insert(key, build);
     }
 
-    /// A lower cap of the same build counts anew after the grace.
+    /// Schedules a reset of the counts after the drain grace if the cap of the same build was lowered. A
+    /// higher cap or another build cancels it.
     pub(crate) fn on_status_changed(
         &mut self,
         now: Micros,
         drain_grace: Micros,
-        before: Option<RolloutStatus>,
-        after: &RolloutStatus,
+        previous: Option<RolloutStatus>,
+        current: &RolloutStatus,
     ) {
-        let cap_before = before.filter(|b| b.build == after.build).map(|b| b.exposure_cap);
-        self.recount_at = match cap_before {
-            Some(cap) if after.exposure_cap < cap => Some(now + drain_grace),
-            Some(cap) if after.exposure_cap == cap => self.recount_at,
+        let previous_cap =
+            previous.filter(|status| status.build == current.build).map(|status| status.exposure_cap);
+        self.reset_at = match previous_cap {
+            Some(cap) if current.exposure_cap < cap => Some(now + drain_grace),
+            Some(cap) if current.exposure_cap == cap => self.reset_at,
             _ => None,
         };
     }
 
-    /// Whether to count anew now; true once.
-    fn take_recount(&mut self, now: Micros) -> bool {
-        let due = self.recount_at.is_some_and(|at| now >= at);
+    /// Returns whether the counts are due to be reset; true once for each scheduled reset.
+    fn take_due_reset(&mut self, now: Micros) -> bool {
+        let due = self.reset_at.is_some_and(|at| now >= at);
         if due {
-            self.recount_at = None;
+            self.reset_at = None;
         }
         due
     }
 }
 
-/// The stage of a build on trial and its cap on exposure, 0 to 1.
+/// Stage of a build on trial.
 struct TrialStage {
     stage: usize,
+    /// Cap on the build's exposure, 0 to 1.
     cap: f64,
 }
 
 impl Policy {
-    /// Whether exposure allows one more attempt at a build. Attempts at a build on trial stay within the
-    /// allowance plus the cap times the requests taken, over the window that ends now; by class where so
-    /// counted; none at cap 0.
+    /// Returns whether the exposure limits allow one more attempt at a build.
+    ///
+    /// Attempts at a build on trial may not exceed the allowance plus the cap times the requests received,
+    /// over the window that ends now; both are counted per class where so configured. No attempt is allowed
+    /// at a cap of 0, nor for a class that is not idempotent in a guarded stage.
     pub(crate) fn exposure_allows(&mut self, build: Build, class: ClassId) -> bool {
         if !self.is_on_trial(build) {
             return true;
         }
         let now = self.now;
-        if self.exposure.take_recount(now) {
-            self.clear_exposure_counts();
+        if self.exposure.take_due_reset(now) {
+            self.reset_exposure_counts();
         }
         let TrialStage { stage, cap } = self.trial_stage(build);
         let rollout = &self.config.rollout;
-        let safe = self.config.classes[class.0].idempotency == Idempotency::Idempotent;
-        let guarded = stage < rollout.guarded_stages && !safe;
+        let is_idempotent = self.config.classes[class.0].idempotency == Idempotency::Idempotent;
+        let guarded = stage < rollout.guarded_stages && !is_idempotent;
         if cap <= 0.0 || guarded {
             return false;
         }
-        let counted = rollout.exposure_by_class.then_some(class);
-        let allowed = rollout.exposure_allowance + cap * self.exposure.requests.count(now, counted);
-        self.build_record(build).attempts.count(now, counted) + 1.0 <= allowed
+        let counted_class = rollout.exposure_by_class.then_some(class);
+        let max_attempts =
+            rollout.exposure_allowance + cap * self.exposure.requests.count(now, counted_class);
+        self.build_record(build).attempts.count(now, counted_class) + 1.0 <= max_attempts
     }
 
-    /// A build on trial that the release controller has not named yet is in the first stage.
+    /// Returns the stage and cap of a build on trial. One that the release controller has not reported yet is
+    /// at the first stage.
     fn trial_stage(&self, build: Build) -> TrialStage {
         match self.rollout.status() {
             Some(status) if status.build == build => {
@@ -100,14 +108,16 @@
         }
     }
 
-    fn clear_exposure_counts(&mut self) {
+    fn reset_exposure_counts(&mut self) {
         self.exposure.requests.clear();
         for record in self.builds.values_mut() {
             record.attempts.clear();
         }
     }
 
-    /// A key that the build on trial has answered goes to no earlier build, where the settings say so.
+    /// Returns whether a request with this idempotency key may go to a build. If keys are forward-only, one
+    /// that the newest build answered on trial goes to no earlier build, unless the newest is being rolled
+    /// back or has been withdrawn.
     pub(crate) fn key_allows(&self, key: Option<KeyId>, build: Build) -> bool {
         let Some(answered_by) = key.and_then(|key| self.exposure.answered_keys.get(&key)) else {
             return true;
--- a/crates/policy/src/request_lifecycle.rs
+++ b/crates/policy/src/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to its final answer.
+//! Lifecycle of a request, from its arrival to its final answer.
 
 use crate::api::{
     Action, AttemptResult, Build, Class, EndpointId, Idempotency, KeyScope, Micros, Outcome, Request,
@@ -7,19 +7,20 @@
 use crate::engine::Policy;
 use crate::units::MILLISECOND;
 
-/// Share of the latency objective after which a rejected client should retry, on average: the answer must
-/// still be worth something then.
+/// Fraction of the latency objective after which a rejected client should retry, on average; an answer to the
+/// retry must still be useful.
 const RETRY_AFTER_FRACTION: f64 = 0.2;
 
-/// One sending of a request.
+/// One attempt at a request.
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) build: Build,
     pub(crate) sent: Micros,
-    /// Of its endpoint when it was sent, if that was warming up.
+    /// Slow-start factor of the endpoint when the attempt was sent; none if it was not warming up.
     pub(crate) slow_start_factor: Option<f64>,
-    /// Open for longer than the latency objective, which was counted then.
+    /// Whether the attempt was open for its latency objective and has been counted as overdue.
     pub(crate) counted_overdue: bool,
+    /// Outcome, once the attempt has ended.
     pub(crate) outcome: Option<Outcome>,
 }
 
@@ -33,17 +34,17 @@
     }
 }
 
-/// Whether a request still needs its answer.
+/// State of a request's answer.
 #[derive(PartialEq)]
 enum RequestState {
     Unanswered,
-    /// Its response has started: it is neither retried nor cancelled.
+    /// The response has started: the request is neither retried nor cancelled.
     Responding,
-    /// Remembered until its attempts have ended.
+    /// The request needs no answer any more, and is kept until its attempts have ended.
     Finished,
 }
 
-/// A request that is owed an answer, or has attempts open.
+/// A request that needs an answer or has open attempts.
 pub(crate) struct InFlightRequest {
     pub(crate) request: Request,
     arrived: Micros,
@@ -68,7 +69,7 @@
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Marks the attempts that are open for longer than the objective: how many were not marked before.
+    /// Marks attempts that have been open for the latency objective; returns the number of newly marked ones.
     fn mark_overdue(&mut self, now: Micros, latency_objective: Micros) -> i32 {
         let mut newly_overdue = 0;
         for attempt in &mut self.attempts {
@@ -81,8 +82,8 @@
     }
 }
 
-/// What follows the end of an attempt.
-enum NextStep {
+/// Action on a request after one of its attempts has ended.
+enum NextAction {
     Finish,
     Wait,
     Retry,
@@ -118,38 +119,38 @@
             attempt.outcome = Some(result.outcome);
             self.record_outcome(&in_flight.request, attempt, result.outcome, result.latency);
         }
-        let next_step = self.next_step(&in_flight, result.request_finished);
+        let next_action = self.next_action(&in_flight, result.request_finished);
         self.requests.insert(id, in_flight);
-        match next_step {
-            NextStep::Finish => self.finish_request(id),
-            NextStep::Wait => {}
-            NextStep::Retry => {
+        match next_action {
+            NextAction::Finish => self.finish_request(id),
+            NextAction::Wait => {}
+            NextAction::Retry => {
                 self.retry_budget.spend();
                 self.forward(id);
             }
-            NextStep::GiveUp => self.give_up(id),
+            NextAction::GiveUp => self.give_up(id),
         }
     }
 
-    fn next_step(&self, in_flight: &InFlightRequest, finished: bool) -> NextStep {
+    fn next_action(&self, in_flight: &InFlightRequest, finished: bool) -> NextAction {
         if finished || in_flight.state == RequestState::Finished {
-            return NextStep::Finish;
+            return NextAction::Finish;
         }
         if in_flight.has_open_attempt() || in_flight.state == RequestState::Responding {
-            return NextStep::Wait;
+            return NextAction::Wait;
         }
         let objective = self.config.classes[in_flight.request.class.0].latency_objective;
         let useful_until = in_flight.request.deadline.min(in_flight.arrived + objective);
         let in_time = self.now + self.config.resolution < useful_until;
         let attempts_left = in_flight.attempts.len() < self.config.max_attempts;
         if attempts_left && in_time && self.retry_budget.allows_retry() {
-            NextStep::Retry
+            NextAction::Retry
         } else {
-            NextStep::GiveUp
+            NextAction::GiveUp
         }
     }
 
-    /// Starts an attempt at an eligible endpoint; without one the request gets its answer at once.
+    /// Starts an attempt at an eligible endpoint. If there is none, the request is answered at once.
     fn forward(&mut self, id: RequestId) {
         let Some(mut in_flight) = self.requests.remove(&id) else { return };
         let choice = self.choose_endpoint(&in_flight);
@@ -183,7 +184,8 @@
         self.actions.push(Action::Forward { id: in_flight.request.id, endpoint: id, timeout });
     }
 
-    /// An answer that earns nothing is not waited for: the work is better spent on others.
+    /// Returns the time-out of an attempt, if it ends before the client's deadline. An attempt whose late
+    /// answer would be worthless is not waited for, since its work is better spent on other requests.
     fn attempt_timeout(&self, in_flight: &InFlightRequest) -> Option<Micros> {
         let class = &self.config.classes[in_flight.request.class.0];
         let deadline = in_flight.request.deadline;
@@ -192,27 +194,32 @@
         } else {
             in_flight.arrived + class.latency_objective
         };
-        let cut = useful_until < deadline && !class.streamed;
-        cut.then(|| useful_until.saturating_sub(self.now).max(MILLISECOND))
+        let ends_early = useful_until < deadline && !class.streamed;
+        ends_early.then(|| useful_until.saturating_sub(self.now).max(MILLISECOND))
     }
 
-    /// The final answer, at once: rejected where the rules allow it, with advice when to retry.
+    /// Answers a request that no endpoint will answer: with a rejection and a time to retry after if the
+    /// request may safely be sent again, else with a failure.
     fn give_up(&mut self, id: RequestId) {
         let Some(in_flight) = self.requests.get(&id) else { return };
         let may_have_run = in_flight.may_have_run();
         let Class { idempotency, latency_objective, .. } = self.config.classes[in_flight.request.class.0];
-        let repeatable =
+        let safe_to_repeat =
             matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. });
-        let spread = 0.5 + self.rng.f64();
-        let wait = (latency_objective as f64 * RETRY_AFTER_FRACTION * spread) as Micros;
-        let retry_after = self.config.retry_after.map(|longest| wait.min(longest));
-        let answer =
-            if repeatable || !may_have_run { Action::Reject { id, retry_after } } else { Action::Fail(id) };
+        let jitter = 0.5 + self.rng.f64();
+        let wait = (latency_objective as f64 * RETRY_AFTER_FRACTION * jitter) as Micros;
+        let retry_after = self.config.retry_after.map(|max_wait| wait.min(max_wait));
+        let answer = if safe_to_repeat || !may_have_run {
+            Action::Reject { id, retry_after }
+        } else {
+            Action::Fail(id)
+        };
         self.actions.push(answer);
         self.finish_request(id);
     }
 
-    /// The request is over: open attempts are cancelled, and remembered until they end.
+    /// Ends a request. Its open attempts are cancelled if that is allowed and no response has started; the
+    /// request is kept until they end.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
         let Some(mut in_flight) = self.requests.remove(&id) else { return };
         if self.config.cancellation && in_flight.state == RequestState::Unanswered {
@@ -226,9 +233,9 @@
         }
     }
 
-    /// What has not been answered within its objective is late, and counts then. Danger: where late answers
-    /// are worth waiting for, an overloaded fleet would show as late as they come, and be sent more until
-    /// then.
+    /// Counts attempts as overdue once they have been open for their latency objective. Otherwise, where late
+    /// answers are worth waiting for, an overloaded fleet would be noticed only when these arrive, and would
+    /// be sent more requests until then.
     pub(crate) fn count_overdue_attempts(&mut self) {
         for in_flight in self.requests.values_mut() {
             let objective = self.config.classes[in_flight.request.class.0].latency_objective;
