--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,49 +1,49 @@
-//! Admission: the limit on requests in flight, priorities and tenant quotas.
+//! Admission control: the concurrency limit, priorities and tenant quotas.
 
 use crate::api::{ClassId, Micros, Request, TenantId};
 use crate::engine::{Policy, TICK};
 use crate::units::SECOND;
 
-/// Mean latency over objective above which fewer requests are admitted: queues build up.
+/// Mean ratio of latency to objective above which the limit is lowered: queues are building up.
 const OVERLOAD_RATIO: f64 = 0.55;
-/// Mean latency over objective below which more requests are admitted.
+/// Mean ratio of latency to objective below which the limit is raised.
 const HEADROOM_RATIO: f64 = 0.45;
 /// Weight of the newest outcome in that mean.
 const LATENCY_SMOOTHING: f64 = 0.05;
-/// By how much the limit moves a tick: quicker, it swings.
+/// Relative change of the limit per tick: faster changes make it oscillate.
 const LIMIT_ADJUSTMENT: f64 = 0.01;
-/// Lowest limit for each endpoint, over all instances: some outcomes are needed to measure by.
+/// Minimum limit per endpoint, over all instances: some outcomes are needed to measure the latency.
 const MIN_LIMIT_PER_ENDPOINT: f64 = 2.0;
-/// Lowest limit of one instance, over what it has in flight while all goes well.
-const MIN_LIMIT_OVER_NORMAL: f64 = 2.0;
-/// Highest limit, from which it still falls in time.
-const LIMIT_MAX: f64 = 1e6;
-/// How far back the mean of what is in flight while all goes well goes.
-const NORMAL_MEMORY: Micros = 5 * SECOND;
-
-/// Fraction of the limit open to requests worth nothing; those of the highest priority use all.
-const LOWEST_PRIORITY_FRACTION: f64 = 0.7;
-/// The highest priority weight counts as this at the least: others are divided by it.
+/// Minimum limit of one instance, as a multiple of its attempts in flight without overload.
+const MIN_LIMIT_NORMAL_MULTIPLE: f64 = 2.0;
+/// Maximum limit, from which it can still fall fast enough.
+const MAX_LIMIT: f64 = 1e6;
+/// Time constant of the mean number of attempts in flight without overload.
+const NORMAL_IN_FLIGHT_TIME_CONSTANT: Micros = 5 * SECOND;
+
+/// Fraction of the limit available to requests of priority 0; the highest priority can use all of it.
+const LOWEST_PRIORITY_LIMIT_FRACTION: f64 = 0.7;
+/// Lower bound of the highest priority weight, since weights are divided by it.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-9;
-/// Multiple of its share from which a tenant is served after the others.
+/// Multiple of its share above which a tenant's requests get a lower priority.
 const OVER_QUOTA_MULTIPLE: f64 = 1.25;
 
-/// Weight of the newest request in a class's or tenant's fraction of the traffic.
+/// Weight of the newest request in the fraction of the traffic of a class or tenant.
 const TRAFFIC_SMOOTHING: f64 = 0.01;
 /// Weight of the newest outcome in a miss ratio.
 const MISS_SMOOTHING: f64 = 0.15;
 /// Miss ratio above which the requests of a class or tenant are mostly rejected.
-const MOSTLY_FAILING: f64 = 0.75;
-/// Share of these requests still admitted, to see when the fault ends.
-const PROBE_RATIO: f64 = 0.03;
+const MOSTLY_FAILING_MISS_RATIO: f64 = 0.75;
+/// Fraction of these requests that is still admitted, to detect the end of the fault.
+const MOSTLY_FAILING_ADMITTED_RATIO: f64 = 0.03;
 
-/// The limit on this instance's attempts in flight, which follows how late answers come.
+/// Limit on this instance's attempts in flight, adjusted by the latency of responses.
 pub(crate) struct ConcurrencyLimit {
     in_flight: u32,
     limit: f64,
-    /// Smoothed latency over objective of all outcomes.
+    /// Smoothed ratio of latency to objective, over all outcomes.
     latency_ratio: f64,
-    /// Smoothed count of attempts in flight, while answers come in time.
+    /// Smoothed number of attempts in flight while the latency is low.
     normal_in_flight: f64,
 }
 
@@ -60,55 +60,55 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes the latency of an answer over its objective into the mean.
+    /// Adds an outcome's ratio of latency to objective to the mean.
     pub(crate) fn record_latency(&mut self, ratio: f64) {
         self.latency_ratio += (ratio - self.latency_ratio) * LATENCY_SMOOTHING;
     }
 
-    /// Takes so many attempts that are as late as their objective into the mean. With none the mean is still
-    /// rounded anew: leaving that out would change the decisions in the last digit.
+    /// Adds `attempts` attempts with a ratio of 1 to the mean. Zero attempts must not be skipped: the
+    /// computation rounds the mean even then, and decisions would change with its last digit.
     pub(crate) fn record_overdue(&mut self, attempts: i32) {
-        let kept = (1.0 - LATENCY_SMOOTHING).powi(attempts);
-        self.latency_ratio = 1.0 - (1.0 - self.latency_ratio) * kept;
+        let old_mean_weight = (1.0 - LATENCY_SMOOTHING).powi(attempts);
+        self.latency_ratio = 1.0 - (1.0 - self.latency_ratio) * old_mean_weight;
     }
 
-    pub(crate) fn answers_in_time(&self) -> bool {
+    pub(crate) fn is_below_overload(&self) -> bool {
         self.latency_ratio < OVERLOAD_RATIO
     }
 
-    /// Moves the limit by a step, once a tick.
+    /// Raises or lowers the limit; called once per tick.
     pub(crate) fn update(&mut self, endpoints: usize, instances: u32) {
         let in_flight = f64::from(self.in_flight);
         if self.latency_ratio > OVERLOAD_RATIO {
-            let by_endpoints = MIN_LIMIT_PER_ENDPOINT * endpoints as f64 / f64::from(instances);
-            let lowest = by_endpoints.max(MIN_LIMIT_OVER_NORMAL * self.normal_in_flight);
-            self.limit = (self.limit.min(in_flight) * (1.0 - LIMIT_ADJUSTMENT)).max(lowest).max(1.0);
+            let min_by_endpoints = MIN_LIMIT_PER_ENDPOINT * endpoints as f64 / f64::from(instances);
+            let min_limit = min_by_endpoints.max(MIN_LIMIT_NORMAL_MULTIPLE * self.normal_in_flight);
+            self.limit = (self.limit.min(in_flight) * (1.0 - LIMIT_ADJUSTMENT)).max(min_limit).max(1.0);
         } else if self.latency_ratio < HEADROOM_RATIO {
             self.normal_in_flight +=
-                (in_flight - self.normal_in_flight) * (TICK as f64 / NORMAL_MEMORY as f64);
-            self.limit = (self.limit * (1.0 + LIMIT_ADJUSTMENT)).min(LIMIT_MAX);
+                (in_flight - self.normal_in_flight) * (TICK as f64 / NORMAL_IN_FLIGHT_TIME_CONSTANT as f64);
+            self.limit = (self.limit * (1.0 + LIMIT_ADJUSTMENT)).min(MAX_LIMIT);
         }
     }
 
-    /// Whether a request of a priority of 0 to 1 is within its fraction of the limit.
+    /// Returns whether a request of the given priority, 0 to 1, is within its fraction of the limit.
     fn admits(&self, priority: f64) -> bool {
-        let fraction = LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * priority;
+        let fraction = LOWEST_PRIORITY_LIMIT_FRACTION + (1.0 - LOWEST_PRIORITY_LIMIT_FRACTION) * priority;
         f64::from(self.in_flight) < self.limit * fraction
     }
 }
 
-/// What was seen of a class or a tenant of late.
+/// Recent traffic of a class or a tenant.
 #[derive(Clone, Default)]
 struct TrafficStats {
     /// Smoothed fraction of all requests, 0 to 1.
     traffic_fraction: f64,
-    /// Smoothed share of its requests that were not answered within their objective, 0 to 1.
+    /// Smoothed fraction of its attempts that missed their latency objective, 0 to 1.
     miss_ratio: f64,
 }
 
 impl TrafficStats {
-    fn record_request(&mut self, own: bool) {
-        self.traffic_fraction += (f64::from(u8::from(own)) - self.traffic_fraction) * TRAFFIC_SMOOTHING;
+    fn record_request(&mut self, in_group: bool) {
+        self.traffic_fraction += (f64::from(u8::from(in_group)) - self.traffic_fraction) * TRAFFIC_SMOOTHING;
     }
 
     fn record_answer(&mut self, missed: bool) {
@@ -116,7 +116,7 @@
     }
 }
 
-/// The traffic by class and by tenant.
+/// Recent traffic by class and by tenant.
 pub(crate) struct TrafficByGroup {
     classes: Vec<TrafficStats>,
     tenants: Vec<TrafficStats>,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// An answer came, or its time ran out.
+    /// Records a response, or a time-out, and whether it missed the latency objective.
     pub(crate) fn record_answer(&mut self, class: ClassId, tenant: Option<TenantId>, missed: bool) {
         self.classes[class.0].record_answer(missed);
         if let Some(tenant) = tenant {
@@ -151,33 +151,37 @@
         self.tenants[tenant.0].traffic_fraction
     }
 
-    /// Whether a request's class or tenant is mostly failing.
+    /// Returns whether the class or the tenant of a request is mostly failing.
     fn is_mostly_failing(&self, class: ClassId, tenant: Option<TenantId>) -> bool {
         mostly_failing(&self.classes, class.0)
             || tenant.is_some_and(|tenant| mostly_failing(&self.tenants, tenant.0))
     }
 }
 
-/// Whether a class or tenant misses nearly always where another one does not.
-/// Danger: requests that wait for something of their own hold all slots until every one misses.
-/// What else: clients that give up too early. Harm: the few that would have made it.
+/// Returns whether a class or tenant mostly misses its objective while another one rarely does.
+///
+/// Guards against requests that wait for a dependency of their own and occupy the concurrency limit until all
+/// classes miss their objectives. Clients that give up too early look the same. The cost is the rejection of
+/// the few requests that would have met the objective.
 fn mostly_failing(groups: &[TrafficStats], index: usize) -> bool {
-    groups[index].miss_ratio > MOSTLY_FAILING
-        && groups.iter().any(|group| group.miss_ratio < MOSTLY_FAILING / 2.0)
+    groups[index].miss_ratio > MOSTLY_FAILING_MISS_RATIO
+        && groups.iter().any(|group| group.miss_ratio < MOSTLY_FAILING_MISS_RATIO / 2.0)
 }
 
 impl Policy {
-    /// Whether to admit a request. Of mostly failing ones few are; under overload those within the limit on
-    /// requests in flight, where classes of lower priority and tenants beyond their share are shed first.
+    /// Returns whether to admit a request.
+    ///
+    /// Few requests of a mostly failing class or tenant are admitted. Under overload the limit sheds classes
+    /// of lower priority and tenants above their share first.
     pub(crate) fn admits(&mut self, request: &Request) -> bool {
         let mostly_failing = self.traffic.is_mostly_failing(request.class, request.tenant);
-        if mostly_failing && self.rng.f64() > PROBE_RATIO {
+        if mostly_failing && self.rng.f64() > MOSTLY_FAILING_ADMITTED_RATIO {
             return false;
         }
         self.concurrency.admits(self.priority(request))
     }
 
-    /// The priority of a request against that of the highest class, 0 to 1.
+    /// Returns the priority of a request relative to the class of the highest priority, 0 to 1.
     fn priority(&self, request: &Request) -> f64 {
         let weights = self.config.classes.iter().map(|class| class.priority_weight);
         let highest = weights.fold(MIN_PRIORITY_WEIGHT, f64::max);
@@ -186,7 +190,7 @@
         priority * if over_quota { self.config.over_quota_weight } else { 1.0 }
     }
 
-    /// Whether a tenant's fraction of the traffic is over its `share`; `quota_per_s` is not used here.
+    /// Returns whether a tenant's fraction of the traffic is above its `share`. Ignores `quota_per_s`.
     fn is_over_quota(&self, tenant: TenantId) -> bool {
         let share = self.config.tenants[tenant.0].share;
         self.traffic.tenant_fraction(tenant) > OVER_QUOTA_MULTIPLE * share
--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -1,66 +1,66 @@
-//! What an instance asks its caller to do.
+//! Actions that an instance asks its caller to carry out.
 
 use super::{Build, EndpointId, Micros, PeerId, RequestId, Verdict};
 
-/// One thing that this instance asks for.
+/// An action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Starts an attempt of a request.
     Forward {
         /// The request.
         id: RequestId,
-        /// Where.
+        /// Endpoint that the attempt is sent to.
         endpoint: EndpointId,
-        /// Its time-out; none: until the client gives up.
+        /// Time-out of the attempt; none: until the client gives up.
         timeout: Option<Micros>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0 in the order of forwarding.
         attempt: usize,
     },
-    /// Final answer: rejected, safe to send again.
+    /// Answers the client with a rejection: the request is safe to send again.
     Reject {
         /// The request.
         id: RequestId,
-        /// After which time the client should retry.
+        /// Time after which the client should retry; none: the rejection does not say.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Answers the client with a failure, which does not tell whether the request has run.
     Fail(RequestId),
-    /// Deliver [`Event::Timer`](super::Event::Timer) later.
+    /// Requests an [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// Span from now.
+        /// Time from now until the timer is due.
         after: Micros,
-        /// Returned with the timer.
+        /// Token that the event carries.
         token: u64,
     },
-    /// Health-check an endpoint.
+    /// Sends a health check to an endpoint.
     HealthCheck(EndpointId),
-    /// Close idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Send a message to one peer, or to all.
+    /// Sends a gossip message.
     SendGossip {
-        /// One peer; none: all.
+        /// Receiver; none: all peers.
         to: Option<PeerId>,
-        /// Its content.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
-    /// Watch the endpoint list for changes (`true`), or no longer (`false`).
+    /// Starts (`true`) or stops (`false`) watching the endpoint list for changes.
     WatchEndpoints(bool),
-    /// Fetch the whole endpoint list once.
+    /// Fetches the full endpoint list once.
     PollEndpoints,
-    /// Cast this instance's vote.
+    /// Casts this instance's vote.
     Vote {
-        /// The build.
+        /// Build that the vote is on.
         build: Build,
-        /// The stage meant.
+        /// Stage that the vote is for, from 0.
         stage: usize,
-        /// What it says.
+        /// Verdict of the vote.
         verdict: Verdict,
     },
-    /// A line for the people on call.
+    /// Logs a line for operators.
     Log(String),
 }
--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -1,11 +1,11 @@
-//! What is known at the start of an instance.
+//! The settings of an instance, fixed at its start.
 
 use super::{Micros, Rollout, ZoneId};
 
-/// Which endpoints discard the repeat of a keyed request.
+/// Set of endpoints that discard the repeat of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every endpoint.
+    /// All endpoints.
     All,
     /// The endpoints of one zone.
     Zone,
@@ -13,99 +13,99 @@
     Cell,
 }
 
-/// What running a request twice would do.
+/// Effect of running a request twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated and rejected freely.
+    /// No effect: the request may be repeated and rejected freely.
     Idempotent,
-    /// Nothing within `window` of the first send, at endpoints of the same `scope`.
+    /// No effect if the repeat comes within `window` of the first send, at an endpoint of the same `scope`.
     Keyed {
-        /// Who discards the repeat.
+        /// Endpoints that discard the repeat.
         scope: KeyScope,
-        /// For how long.
+        /// How long they discard it.
         window: Micros,
     },
-    /// Harm: it must never run twice.
+    /// A harmful effect: the request must never run twice.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// For log lines only.
+    /// Name, for log lines only.
     pub name: String,
-    /// What a repeat would do.
+    /// Effect of a repeat.
     pub idempotency: Idempotency,
-    /// An answer within this time earns the full priority weight.
+    /// Time within which a response earns the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits across all its attempts.
+    /// How long a client waits, over all attempts of its request.
     pub deadline: Micros,
     /// Value of one request (or of one unit of work), 0 or more.
     pub priority_weight: f64,
-    /// Share of that value that a late answer earns, 0 to 1.
+    /// Fraction of that value that a response after the latency objective earns, 0 to 1.
     pub late_priority_weight: f64,
-    /// Answers are streamed.
+    /// Whether responses are streamed.
     pub streamed: bool,
 }
 
-/// A tenant and its share of the service.
+/// A tenant and its part of the service.
 #[derive(Debug, Clone)]
 pub struct Tenant {
-    /// Its portion of the service, 0 to 1.
+    /// Fraction of the service that is the tenant's, 0 to 1.
     pub share: f64,
-    /// Requests a second, across all instances, that count as its own.
+    /// Quota in requests per second, over all instances.
     pub quota_per_s: f64,
 }
 
 /// The settings of one instance.
 #[derive(Debug, Clone, Default)]
 pub struct Config {
-    /// Instances in this tier.
+    /// Number of instances in this tier.
     pub instance_count: u32,
-    /// This instance's number among them, from 0.
+    /// Number of this instance among them, from 0.
     pub instance_index: u32,
-    /// This instance's own zone.
+    /// Zone of this instance.
     pub zone: ZoneId,
-    /// The classes of request.
+    /// Classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants, if any.
+    /// Tenants, if any.
     pub tenants: Vec<Tenant>,
-    /// Priority goes by work, not by request.
+    /// Whether priority weights apply to a unit of work instead of a request.
     pub priority_by_work: bool,
-    /// Factor on the priority of traffic beyond a tenant's share, 0 to 1.
+    /// Factor on the priority of traffic above a tenant's share, 0 to 1.
     pub over_quota_weight: f64,
-    /// The endpoint list must be polled or watched; it does not come by itself.
+    /// Whether the endpoint list must be polled or watched; otherwise it is pushed.
     pub poll_endpoints: bool,
-    /// After so long without a poll, the instance counts as informed.
+    /// Time without a poll after which the instance is assumed to know the endpoint list.
     pub poll_timeout: Micros,
-    /// Endpoints may be health-checked.
+    /// Whether endpoints may be health-checked.
     pub health_checks: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Two attempts of a request may be in flight together.
+    /// Whether two attempts of a request may be in flight at the same time (hedged requests).
     pub hedging: bool,
-    /// Messages to peers are allowed.
+    /// Whether gossip with peers is allowed.
     pub gossip: bool,
-    /// Rejections may tell the client when to retry, up to this span.
+    /// Longest retry delay that a rejection may tell the client; none: it must not tell any.
     pub retry_after: Option<Micros>,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// Smallest gap between two rounds of events.
+    /// Shortest time between two rounds of events.
     pub resolution: Micros,
-    /// Grace after the notice of a drain or of a lower exposure cap.
+    /// Grace period after the notice of a drain or of a lower exposure cap.
     pub drain_grace: Micros,
-    /// Share of its capacity that a started endpoint has at the least, 0 to 1.
+    /// Minimum fraction of its capacity that an endpoint has when it starts, 0 to 1.
     pub slow_start_initial: f64,
-    /// Time within which it has warmed up.
+    /// Time after its start within which an endpoint has warmed up.
     pub slow_start_duration: Micros,
-    /// Multiple of its present capacity that overloads an endpoint that is warming up.
+    /// Multiple of its current capacity that overloads an endpoint while it is warming up.
     pub overload_multiple: f64,
-    /// Window of that multiple.
+    /// Window over which that load is measured.
     pub overload_window: Micros,
-    /// Price of an attempt that crosses zones.
+    /// Price of an attempt at an endpoint in another zone.
     pub cross_zone_price: f64,
-    /// The ratings of endpoints compare their sizes.
+    /// Whether the ratings of endpoints are a measure of their sizes.
     pub rated: bool,
-    /// How releases come.
+    /// Settings of rollouts.
     pub rollout: Rollout,
 }
--- a/crates/policy/src/api/endpoints.rs
+++ b/crates/policy/src/api/endpoints.rs
@@ -2,15 +2,15 @@
 
 use super::{Build, CellId, EndpointId, KindId, Micros, ZoneId};
 
-/// What the endpoint list says of an endpoint.
+/// Status of an endpoint in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EndpointStatus {
-    /// It serves.
+    /// Serving requests.
     #[default]
     Active,
-    /// It completes its work and takes nothing new.
+    /// Completing open requests and accepting no new ones.
     Draining,
-    /// It is no longer part of the list.
+    /// No longer in the list.
     Removed,
 }
 
@@ -25,28 +25,28 @@
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// The build it runs.
+    /// Build that it runs.
     pub build: Build,
-    /// Whether it serves.
+    /// Its status.
     pub status: EndpointStatus,
-    /// Its latest start, unless that is long past.
+    /// Time of its latest start, unless that is long past.
     pub started: Option<Micros>,
-    /// A figure to compare with other endpoints'.
+    /// Rating relative to those of other endpoints.
     pub rating: f64,
 }
 
 /// An update of the endpoint list.
 #[derive(Debug, Clone)]
 pub enum EndpointUpdate {
-    /// The whole list: an endpoint that is not in it has gone.
+    /// The full list: an endpoint that is not in it has been removed.
     Snapshot {
-        /// Every endpoint.
+        /// All endpoints.
         endpoints: Vec<EndpointRecord>,
-        /// It is what an earlier run last stored, and may be outdated.
+        /// Whether the list was stored by an earlier run, in which case it may be outdated.
         cached: bool,
     },
     /// Changed entries only.
     Delta(Vec<EndpointRecord>),
-    /// A poll of the list failed, or the watch broke.
+    /// A failed poll of the list, or a lost watch stream.
     Unavailable,
 }
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -1,74 +1,74 @@
-//! What happens to an instance.
+//! Events that an instance handles.
 
 use super::{
     AttemptResult, Build, ClassId, EndpointId, EndpointUpdate, Micros, Outcome, PeerId, Request, RequestId,
     RolloutStatus, VoteResult,
 };
 
-/// One thing that happened to this instance.
+/// An event that this instance handles.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The endpoint list changed.
+    /// A change of the endpoint list.
     EndpointsUpdated(EndpointUpdate),
-    /// A request arrived.
+    /// A new request.
     Request(Request),
-    /// The response to an attempt has started; no other attempt may answer the client any more.
+    /// The start of the response to an attempt; no other attempt may answer the client from here on.
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0 in the order of forwarding.
         attempt: usize,
     },
-    /// An attempt ended.
+    /// The end of an attempt.
     AttemptCompleted(AttemptResult),
-    /// The client has disconnected: the request needs no answer any more.
+    /// The disconnection of a client: its request needs no response any more.
     ClientDisconnected(RequestId),
-    /// A timer is due; carries its token.
+    /// A timer that is due, by its token.
     Timer(u64),
-    /// A health check ended.
+    /// The end of a health check.
     HealthCheckCompleted {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Outcome of the check.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from the start to the end of the check.
         latency: Micros,
-        /// The endpoint's load report.
+        /// Load report of the endpoint.
         load_report: Vec<f64>,
     },
-    /// A message came from a peer.
+    /// A gossip message from a peer.
     GossipReceived {
-        /// Who sent it.
+        /// Sender.
         from: PeerId,
-        /// Its content.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
-    /// The release controller's status of the newest build changed.
+    /// A change of the release controller's status of the newest build.
     RolloutUpdated(RolloutStatus),
-    /// The release controller's answer to this instance's vote; the status too where it is known.
+    /// The release controller's response to this instance's vote, with the rollout status if it is known.
     VoteCompleted(VoteResult, Option<RolloutStatus>),
-    /// The release controller's count of one build and class over a past period.
+    /// The release controller's totals for one build and class over a past period.
     Tally {
         /// The build.
         build: Build,
         /// The class.
         class: ClassId,
-        /// Attempts counted.
+        /// Number of attempts.
         count: u32,
-        /// Those that were not served.
+        /// Number of attempts that were not served.
         errors: u32,
-        /// Mean time of the rest.
+        /// Mean latency of the attempts that were served.
         mean: Micros,
-        /// Time since the period ended.
+        /// Time since the end of the period.
         age: Micros,
     },
-    /// A client found an answer wrong.
+    /// A client's report that a response was wrong.
     AnswerFlagged {
-        /// Who answered.
+        /// Endpoint that sent the response.
         endpoint: EndpointId,
         /// The class.
         class: ClassId,
-        /// Time since that attempt was sent.
+        /// Time since the attempt was sent.
         age: Micros,
     },
 }
--- a/crates/policy/src/api/ids.rs
+++ b/crates/policy/src/api/ids.rs
@@ -1,6 +1,6 @@
 //! Identifiers, and the unit of time.
 
-/// A point on the caller's clock, or a span of it, in microseconds.
+/// A time on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
 macro_rules! ids {
@@ -14,9 +14,9 @@
 ids! {
     /// A client's request, numbered by the caller.
     RequestId(u32);
-    /// An endpoint, numbered by this instance's own caller.
+    /// An endpoint, numbered by the caller of this instance.
     EndpointId(u32);
-    /// The subject of a request; requests on one subject belong together.
+    /// The subject of a request, shared by the requests that belong together.
     KeyId(u32);
     /// A build of the servers' software; later builds have higher numbers.
     Build(u32);
@@ -28,7 +28,7 @@
     ZoneId(usize);
     /// Position in the caller's list of endpoint kinds (hardware types).
     KindId(usize);
-    /// A small set of endpoints that share what they know of idempotency keys.
+    /// A small group of endpoints that share their record of idempotency keys.
     CellId(u32);
     /// Another instance of the same tier.
     PeerId(u32);
--- a/crates/policy/src/api/request.rs
+++ b/crates/policy/src/api/request.rs
@@ -1,30 +1,30 @@
-//! Requests, and how their attempts end.
+//! Requests and the outcomes of their attempts.
 
 use super::{ClassId, KeyId, Micros, RequestId, TenantId};
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// A response without an error.
     Success,
-    /// The endpoint answered with an error; it may have run.
+    /// An error response; the request may have run.
     Error,
-    /// No answer in time; it may have run or be running.
+    /// No response in time; the request may have run or may still be running.
     TimedOut,
-    /// The connection broke; it may have run.
+    /// A lost connection; the request may have run.
     ConnectionLost,
-    /// Cancelled by this instance; it may have run.
+    /// Cancellation by this instance; the request may have run.
     Cancelled,
-    /// Rejected by the endpoint before it started: never ran.
+    /// Rejection by the endpoint before the request started; it has not run.
     Overloaded,
-    /// No connection: never ran.
+    /// No connection to the endpoint; the request has not run.
     ConnectFailed,
-    /// Not sent at all: never ran.
+    /// Not sent; the request has not run.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -37,31 +37,31 @@
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant, where known.
+    /// Its tenant, if known.
     pub tenant: Option<TenantId>,
-    /// Its subject.
+    /// Its subject, if any.
     pub key: Option<KeyId>,
-    /// When the client gives it up.
+    /// Time at which the client gives up.
     pub deadline: Micros,
-    /// Expected work, where hinted.
+    /// Expected work, if the client gives a hint.
     pub work_hint: Option<Micros>,
-    /// A client's own retry, where clients say so.
+    /// Whether it is the client's own retry, where clients report that.
     pub is_retry: bool,
 }
 
-/// The end of an attempt.
+/// Result of an attempt.
 #[derive(Debug, Clone)]
 pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt, from 0 in the order of forwarding.
     pub attempt: usize,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from the send to the end of the attempt.
     pub latency: Micros,
-    /// The request is finished; no retry is wanted.
+    /// Whether the request is finished and must not be retried.
     pub request_finished: bool,
-    /// The endpoint's load report, in the order of the settings.
+    /// Load report of the endpoint, in the order of the settings.
     pub load_report: Vec<f64>,
 }
--- a/crates/policy/src/api/rollout.rs
+++ b/crates/policy/src/api/rollout.rs
@@ -1,87 +1,87 @@
-//! How builds are released, and how instances vote on them.
+//! The release of builds, and the votes of instances on them.
 
 use super::{Build, Micros};
 
-/// How votes move a build.
+/// Condition on which a build advances to the next stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum VoteMode {
-    /// One vote to advance is enough.
+    /// A single vote to advance.
     #[default]
     Any,
-    /// A number of instances must vote to advance.
+    /// Votes to advance from a number of instances.
     Share,
-    /// The stage advances by itself; votes can hold its clock.
+    /// The end of the stage's duration, whose clock votes can hold.
     Timer,
 }
 
-/// Whether earlier endpoints remain while their successors are on trial.
+/// Way in which endpoints are replaced by those of a build on trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ReplacementMode {
-    /// They stay until the release.
+    /// The earlier endpoints remain until the release.
     #[default]
     SideBySide,
-    /// Each is drained once its successor runs.
+    /// Each earlier endpoint is drained once its successor runs.
     InPlace,
 }
 
-/// How the release controller introduces builds, and what the votes do.
+/// Settings of the release controller's rollouts and of the votes on them.
 #[derive(Debug, Clone, Default)]
 pub struct Rollout {
-    /// How votes move a build.
+    /// Condition on which a build advances to the next stage.
     pub mode: VoteMode,
     /// How endpoints are replaced.
     pub replacement: ReplacementMode,
-    /// Share of the fleet at each stage, 0 to 1.
+    /// Fraction of the fleet at each stage, 0 to 1.
     pub stages: Vec<f64>,
     /// Exposure cap at each stage, 0 to 1.
     pub exposure_caps: Vec<f64>,
     /// Window over which exposure is counted.
     pub exposure_window: Micros,
-    /// Attempts in each window that the cap does not count.
+    /// Number of attempts in each window that are allowed in addition to the cap.
     pub exposure_allowance: f64,
-    /// Exposure counts for each class by itself.
+    /// Whether exposure is counted for each class separately.
     pub exposure_by_class: bool,
-    /// Number of first stages in which only idempotent classes may go to the build on trial.
+    /// Number of initial stages in which only idempotent classes may go to the build on trial.
     pub guarded_stages: usize,
-    /// A key answered by the build on trial goes to no earlier one.
+    /// Whether a key that the build on trial has served must not go to an earlier build.
     pub forward_only_keys: bool,
     /// How long a vote is valid.
     pub vote_ttl: Micros,
-    /// Longest wait for the answer to a vote.
+    /// Time-out of the response to a vote.
     pub vote_timeout: Micros,
-    /// Instances whose votes must be valid together to roll a build back.
+    /// Number of instances whose votes must be valid at the same time to roll a build back.
     pub rollback_quorum: u32,
-    /// Votes a second that the release controller takes from all instances.
+    /// Rate limit of the release controller in votes per second, over all instances.
     pub votes_per_s: f64,
-    /// How long a stage lasts under [`VoteMode::Timer`].
+    /// Duration of a stage under [`VoteMode::Timer`].
     pub stage_duration: Micros,
-    /// Price of serving everything by an old build.
+    /// Price of serving all traffic from an old build.
     pub delay_price: f64,
-    /// Price of wrong answers and of failed effects.
+    /// Price of wrong responses and of failed effects.
     pub harm_price: f64,
 }
 
 /// Phase of a build's release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutPhase {
-    /// It is on trial.
+    /// On trial.
     OnTrial,
-    /// It is being rolled back.
+    /// Being rolled back.
     RollingBack,
-    /// It is released.
+    /// Released.
     Released,
-    /// It has been taken out of service.
+    /// Taken out of service.
     Withdrawn,
 }
 
 impl RolloutPhase {
-    /// Whether the build serves or may come to: neither being rolled back nor withdrawn.
+    /// Returns whether the build is on trial or released, so that it may serve requests.
     pub fn is_active(self) -> bool {
         matches!(self, RolloutPhase::OnTrial | RolloutPhase::Released)
     }
 }
 
-/// What the release controller says of the newest build.
+/// Status of the newest build at the release controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RolloutStatus {
     /// The newest build.
@@ -92,34 +92,34 @@
     pub phase: RolloutPhase,
     /// Cap on its exposure, 0 to 1.
     pub exposure_cap: f64,
-    /// Time since this status began.
+    /// Time since this status took effect.
     pub age: Micros,
 }
 
-/// The release controller's answer to a vote.
+/// Response of the release controller to a vote.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VoteResult {
-    /// It counts.
+    /// Accepted: the vote counts.
     Counted,
-    /// Not the present build or stage, or no such verdict here.
+    /// Rejected: not the current build or stage, or a verdict that does not apply here.
     Obsolete,
-    /// The release controller takes no more votes just now.
+    /// Rejected: the release controller accepts no more votes at the moment.
     RateLimited,
-    /// An error: it does not count.
+    /// An error: the vote does not count.
     Failed,
-    /// No answer: it may count.
+    /// No response: the vote may count.
     Unknown,
 }
 
-/// What a vote says of a build.
+/// Verdict of a vote on a build.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Go on to the next stage.
+    /// Advance to the next stage.
     Advance,
     /// Hold the stage's clock.
     Hold,
     /// Roll the build back.
     RollBack,
-    /// Withdraw this instance's vote.
+    /// Withdraw the instance's earlier vote.
     Abstain,
 }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what discovery reports, and when to poll it.
+//! The endpoint table, kept from discovery's endpoint list, and the schedule for polling that list.
 
 use std::collections::BTreeMap;
 
@@ -10,42 +10,42 @@
 use crate::slow_start::SlowStartBudget;
 use crate::units::SECOND;
 
-/// Mean wait to poll the list after a first failure, doubled each time ...
-const POLL_BACKOFF_INITIAL: Micros = SECOND;
-/// ... up to this: the registry serves all instances.
-const POLL_BACKOFF_MAX: Micros = 4 * SECOND;
+/// Mean delay of the next poll after a first failure; doubled with each further failure.
+const INITIAL_POLL_BACKOFF: Micros = SECOND;
+/// Maximum mean delay of the next poll; all instances poll the same registry, hence the backoff.
+const MAX_POLL_BACKOFF: Micros = 4 * SECOND;
 
-/// An endpoint, and this instance's own view of it.
+/// An endpoint and what this instance has observed of it.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub(crate) record: EndpointRecord,
-    /// Whether the list says that it serves.
+    /// Whether the endpoint list reports it as serving.
     pub(crate) active: bool,
-    /// Attempts of this instance that are open there.
+    /// Number of this instance's attempts that are open at the endpoint.
     pub(crate) in_flight: u32,
     pub(crate) health: EndpointHealth,
     pub(crate) slow_start: SlowStartBudget,
 }
 
 impl Endpoint {
-    /// A process that nothing is known of yet.
+    /// Creates an endpoint whose process has not been observed yet.
     fn new(record: EndpointRecord, slow_start: SlowStartBudget) -> Self {
         Endpoint { record, slow_start, ..Endpoint::default() }
     }
 
-    /// Whether the endpoint's entry in the list names another process than the one known.
+    /// Returns whether `record` describes another process than the existing one.
     fn is_replaced_by(&self, record: &EndpointRecord) -> bool {
         self.record.started != record.started || self.record.build != record.build
     }
 }
 
-/// The endpoints that serve, and those that have left while attempts are still open there.
+/// The endpoints that serve, and removed ones that still have open attempts.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Those that serve, in the order of the latest draws.
+    /// Endpoints that serve, in the order of the latest random draws.
     active: Vec<EndpointId>,
-    /// When an endpoint last came or went.
+    /// Time at which an endpoint last became active or inactive.
     pub(crate) changed_at: Micros,
 }
 
@@ -66,7 +66,7 @@
         self.active.len()
     }
 
-    /// Draws the endpoint at a position of a random order, of which all earlier positions are drawn already.
+    /// Draws the endpoint for `position` of a random order; all earlier ones must have been drawn.
     pub(crate) fn draw(&mut self, position: usize, rng: &mut Rng) -> EndpointId {
         let drawn = rng.usize(position..self.active.len());
         self.active.swap(position, drawn);
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes an entry of the list over; `slow_start` is for a process not known so far.
+    /// Updates the table from an entry of the list. `slow_start` is used if it describes a new process.
     fn update(&mut self, now: Micros, record: EndpointRecord, slow_start: SlowStartBudget) {
         let active = record.status == EndpointStatus::Active;
         let endpoint = match self.endpoints.get_mut(&record.endpoint) {
@@ -87,13 +87,13 @@
                 let new = Endpoint::new(record, slow_start);
                 self.endpoints.entry(record.endpoint).or_insert(new)
             }
-            Some(known) => {
-                if known.is_replaced_by(&record) {
-                    // What was known of the earlier process is void, what is in flight is not.
-                    let in_flight = known.in_flight;
-                    *known = Endpoint { in_flight, ..Endpoint::new(record, slow_start) };
+            Some(existing) => {
+                if existing.is_replaced_by(&record) {
+                    // Only the open attempts outlive the earlier process; observations of it are discarded.
+                    let in_flight = existing.in_flight;
+                    *existing = Endpoint { in_flight, ..Endpoint::new(record, slow_start) };
                 }
-                known
+                existing
             }
         };
         endpoint.record = record;
@@ -103,7 +103,7 @@
         endpoint.active = active;
     }
 
-    /// Forgets the endpoints that have left and have nothing in flight, and lists those that serve.
+    /// Removes inactive endpoints without open attempts, and rebuilds the list of active ones.
     fn prune(&mut self) {
         self.endpoints.retain(|_, endpoint| endpoint.active || endpoint.in_flight > 0);
         let active = self.endpoints.iter().filter(|(_, endpoint)| endpoint.active);
@@ -111,7 +111,7 @@
     }
 }
 
-/// When to poll the endpoint list next.
+/// Schedule of the next poll of the endpoint list.
 pub(crate) struct EndpointPoll {
     enabled: bool,
     due_at: Option<Micros>,
@@ -120,27 +120,27 @@
 
 impl EndpointPoll {
     pub(crate) fn new(enabled: bool) -> Self {
-        EndpointPoll { enabled, due_at: enabled.then_some(0), backoff: POLL_BACKOFF_INITIAL }
+        EndpointPoll { enabled, due_at: enabled.then_some(0), backoff: INITIAL_POLL_BACKOFF }
     }
 
-    /// A poll has failed: the next one is due after a random wait of the present backoff's mean.
+    /// Schedules the next poll after a random delay, whose mean is the current backoff.
     fn on_failure(&mut self, now: Micros, rng: &mut Rng) {
-        let wait = self.backoff / 2 + rng.u64(0..self.backoff);
-        self.due_at = self.enabled.then_some(now + wait);
-        self.backoff = (self.backoff * 2).min(POLL_BACKOFF_MAX);
+        let delay = self.backoff / 2 + rng.u64(0..self.backoff);
+        self.due_at = self.enabled.then_some(now + delay);
+        self.backoff = (self.backoff * 2).min(MAX_POLL_BACKOFF);
     }
 
-    /// The list is being watched: no poll is due.
+    /// Cancels the next poll: the list is being watched.
     fn on_success(&mut self) {
         self.due_at = None;
-        self.backoff = POLL_BACKOFF_INITIAL;
+        self.backoff = INITIAL_POLL_BACKOFF;
     }
 
-    /// Whether a poll is due now; if so the next one is due later, lest the answer is lost.
+    /// Returns whether a poll is due now, and if so schedules another one in case the response is lost.
     fn take_due(&mut self, now: Micros) -> bool {
         let due = self.due_at.is_some_and(|at| now >= at);
         if due {
-            self.due_at = Some(now + 2 * POLL_BACKOFF_MAX);
+            self.due_at = Some(now + 2 * MAX_POLL_BACKOFF);
         }
         due
     }
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -1,7 +1,7 @@
 use super::Endpoint;
 
 #[test]
-fn an_endpoint_costs_a_few_hundred_bytes() {
-    // docs/sizes.md says so; what is sent while it warms up comes to a few entries more.
-    assert!(size_of::<Endpoint>() <= 256, "{} bytes", size_of::<Endpoint>());
+fn an_endpoint_takes_at_most_256_bytes() {
+    // Documented in docs/sizes.md. The work sent to an endpoint that is warming up takes a few entries more.
+    assert!(size_of::<Endpoint>() <= 256, "an endpoint takes {} bytes", size_of::<Endpoint>());
 }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,4 +1,4 @@
-//! [`Policy`]: takes events, calls the module that is concerned, and does the periodic work.
+//! The event dispatch and the periodic work of [`Policy`].
 
 use std::collections::BTreeMap;
 
@@ -17,21 +17,21 @@
 use crate::slow_start::ServedLoads;
 use crate::units::MILLISECOND;
 
-/// Period of housekeeping: assessment of the build, votes, the concurrency limit.
+/// Interval of the periodic work, such as the assessment of the build, votes and the concurrency limit.
 pub(crate) const TICK: Micros = 25 * MILLISECOND;
 
-/// Instances, on average, that log what all instances of the tier see alike.
-const SHARED_EVENT_LOGGERS: f64 = 8.0;
+/// Mean number of instances that log an event which all instances of the tier see.
+const MEAN_SHARED_EVENT_LOGGERS: f64 = 8.0;
 
-/// The decisions of one instance: a state machine over events and the clock that comes with them.
+/// The decisions of one instance, as a state machine over events and the caller's clock.
 ///
-/// It keeps nothing but its own state: the same seed, settings and events bring the same actions.
+/// It depends on nothing outside: the same seed, settings and events always give the same actions.
 pub struct Policy {
     pub(crate) config: Config,
     pub(crate) rng: Rng,
-    /// The time of the event that is being handled.
+    /// Time of the event that is being handled.
     pub(crate) now: Micros,
-    /// What the event that is being handled has brought so far.
+    /// Actions for the event that is being handled.
     pub(crate) actions: Vec<Action>,
     started: bool,
     logs_shared_events: bool,
@@ -50,10 +50,10 @@
 }
 
 impl Policy {
-    /// A new instance that knows nothing but its settings. `seed` determines all of its random choices.
+    /// Creates an instance that knows only its settings. `seed` determines all its random choices.
     pub fn new(seed: u64, config: Config) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let logs_shared_events = rng.f64() * f64::from(config.instance_count) < SHARED_EVENT_LOGGERS;
+        let logs_shared_events = rng.f64() * f64::from(config.instance_count) < MEAN_SHARED_EVENT_LOGGERS;
         Policy {
             rng,
             now: 0,
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Takes one event at the time `now` and appends what is to be done to `out`.
+    /// Handles an event at the time `now` and appends the resulting actions to `out`.
     ///
-    /// `now` must not decrease from one call to the next. The first call asks for a timer; whoever delivers
-    /// each [`Event::Timer`] keeps the periodic work going.
+    /// `now` must not decrease from one call to the next. The first call requests a timer, and so does each
+    /// [`Event::Timer`]: the periodic work runs as long as the caller delivers these events.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         if !self.started {
@@ -92,17 +92,17 @@
             Event::ResponseStarted { id, .. } => self.on_response_started(id),
             Event::AttemptCompleted(result) => self.on_attempt_completed(&result),
             Event::ClientDisconnected(id) => self.finish_request(id),
-            Event::Timer(_) => self.housekeeping(),
+            Event::Timer(_) => self.run_periodic_work(),
             Event::RolloutUpdated(status) => self.on_rollout_updated(status),
             Event::VoteCompleted(result, status) => self.on_vote_completed(result, status),
             Event::AnswerFlagged { endpoint, class, age } => self.on_answer_flagged(endpoint, class, age),
-            // Understood on the interface, but no measurement has asked for their use so far.
+            // Part of the interface, but not used: no measurement has shown a need for them so far.
             Event::Tally { .. } | Event::HealthCheckCompleted { .. } | Event::GossipReceived { .. } => {}
         }
         out.append(&mut self.actions);
     }
 
-    /// A client found an answer wrong that looked good: one more failed outcome of the endpoint's build.
+    /// Records an error of the endpoint's build: a client reported a wrong response that looked successful.
     fn on_answer_flagged(&mut self, endpoint: EndpointId, class: ClassId, age: Micros) {
         let Some(build) = self.endpoints.get(endpoint).map(|e| e.record.build) else { return };
         let sample =
@@ -111,7 +111,7 @@
         self.build_record(build).add(class, sample, sent);
     }
 
-    fn housekeeping(&mut self) {
+    fn run_periodic_work(&mut self) {
         self.set_timer();
         self.update_served_loads();
         self.assess_newest_build();
@@ -127,12 +127,12 @@
         self.actions.push(Action::SetTimer { after: TICK, token: 0 });
     }
 
-    /// Logs what this instance alone has seen or decided.
+    /// Logs a line about what this instance alone has seen or decided.
     pub(crate) fn log(&mut self, line: String) {
         self.actions.push(Action::Log(line));
     }
 
-    /// Logs what all instances of the tier see alike: only a few of them do.
+    /// Logs a line about an event that all instances of the tier see, on a few of these instances only.
     pub(crate) fn log_shared_event(&mut self, line: impl FnOnce() -> String) {
         if self.logs_shared_events {
             self.log(line());
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of an instance that routes requests and votes on staged releases.
 //!
 //! [`Policy`] is a deterministic state machine: it takes [`Event`](api::Event)s together with the caller's
-//! clock and returns [`Action`](api::Action)s. It does no I/O, reads no clock and keeps no global state;
-//! equal seeds, settings and events bring equal actions. [`api`] holds the types that go in and out; each of
-//! the other modules holds one concern with its constants and its state.
+//! clock and returns [`Action`](api::Action)s. It does no I/O, reads no clock and keeps no global state: the
+//! same seed, settings and events always give the same actions. [`api`] holds the types of its interface;
+//! each of the other modules holds one concern with its constants and its state.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/policy/src/load_balancing.rs
+++ b/crates/policy/src/load_balancing.rs
@@ -1,4 +1,4 @@
-//! Load balancing: which endpoint an attempt goes to.
+//! Load balancing: the choice of the endpoint for an attempt.
 
 mod latency;
 
@@ -9,25 +9,25 @@
 
 pub(crate) use latency::{BaselineUpdate, LatencyEstimates, Slowdown};
 
-/// Endpoints drawn for an attempt: enough to tell whether most are in good health.
-const CANDIDATES_DRAWN: usize = 8;
-/// Logarithm by which a zone must be slower of late than another to be left out.
-const ZONE_SLOWDOWN_MAX: f64 = 0.8;
-/// How much heavier an endpoint in another zone counts where crossing zones has a price.
-const CROSS_ZONE_FACTOR: f64 = 2.5;
-/// Ratings below this count as this: the load is divided by them.
+/// Minimum number of endpoints sampled for an attempt: enough to tell whether most are in good health.
+const CANDIDATE_SAMPLE_SIZE: usize = 8;
+/// Natural logarithm of the latency ratio to the fastest zone above which a zone is left out.
+const MAX_ZONE_SLOWDOWN: f64 = 0.8;
+/// Factor on the load of endpoints in other zones, where attempts across zones have a price.
+const CROSS_ZONE_LOAD_FACTOR: f64 = 2.5;
+/// Lower bound of a rating, since the load is divided by it.
 const MIN_RATING: f64 = 0.01;
 
-/// What health says of an endpoint that the rules allow.
+/// Health of an endpoint that is eligible for a request.
 enum CandidateHealth {
     Good,
-    /// Advised against.
+    /// To be avoided while enough others are in good health.
     Poor,
-    /// Could not be reached of late.
+    /// Ejected because no connection could be established.
     Unreachable,
 }
 
-/// The endpoints drawn for an attempt, by health.
+/// The endpoints sampled for an attempt, by health.
 #[derive(Default)]
 struct Candidates {
     good: Vec<EndpointId>,
@@ -36,8 +36,10 @@
 }
 
 impl Policy {
-    /// Power of two choices by requests in flight, for size, latency and zone, among a few endpoints drawn.
-    /// Those that health advises against are left out unless they are most; unreachable ones are used if
+    /// Chooses an endpoint by the power of two choices among a random sample, comparing the requests in
+    /// flight weighted by size, latency and zone.
+    ///
+    /// Endpoints in poor health are left out unless they are the majority. Unreachable ones are used only if
     /// there is no other.
     pub(crate) fn choose_endpoint(&mut self, in_flight: &InFlightRequest) -> Option<EndpointId> {
         let Candidates { mut good, poor, unreachable } = self.draw_candidates(in_flight);
@@ -47,16 +49,16 @@
         self.drop_slow_zones(&mut good);
         let mut candidates = if good.is_empty() { unreachable } else { good };
         self.rng.shuffle(&mut candidates);
-        // Now and then one is drawn alone: an endpoint that loses every comparison is still tried.
-        let alone = self.rng.usize(0..self.endpoints.active_count().max(1)) == 0;
-        candidates.truncate(if alone { 1 } else { 2 });
+        // Comparing is occasionally skipped, so that an endpoint that loses every comparison is still tried.
+        let skip_comparison = self.rng.usize(0..self.endpoints.active_count().max(1)) == 0;
+        candidates.truncate(if skip_comparison { 1 } else { 2 });
         candidates.into_iter().min_by(|a, b| self.load(*a).total_cmp(&self.load(*b)))
     }
 
     fn draw_candidates(&mut self, in_flight: &InFlightRequest) -> Candidates {
         let mut candidates = Candidates::default();
         for position in 0..self.endpoints.active_count() {
-            if position >= CANDIDATES_DRAWN && candidates.good.len() > 1 {
+            if position >= CANDIDATE_SAMPLE_SIZE && candidates.good.len() > 1 {
                 break;
             }
             let id = self.endpoints.draw(position, &mut self.rng);
@@ -70,25 +72,28 @@
         candidates
     }
 
-    /// Danger: the way to a zone is slow and lossy; an instance meets each endpoint there too rarely to know.
-    /// What else: a zone that is overloaded or cut off. Harm: the other zones carry its load.
+    /// Removes candidates in zones that are much slower than the fastest one.
+    ///
+    /// Guards against a slow, lossy network path to a zone. An instance that sends each endpoint there few
+    /// requests can't detect it by endpoint. An overloaded or unreachable zone looks the same. The cost is
+    /// that the other zones take its load.
     fn drop_slow_zones(&self, candidates: &mut Vec<EndpointId>) {
         let fastest = candidates.iter().map(|id| self.zone_slowdown(*id)).fold(f64::INFINITY, f64::min);
-        candidates.retain(|id| self.zone_slowdown(*id) <= fastest + ZONE_SLOWDOWN_MAX);
+        candidates.retain(|id| self.zone_slowdown(*id) <= fastest + MAX_ZONE_SLOWDOWN);
     }
 
-    /// What health says of an endpoint that the rules allow for this request; none: a rule forbids it.
+    /// Returns the health of an endpoint, or none if it is not eligible for this request.
     fn candidate_health(&mut self, in_flight: &InFlightRequest, id: EndpointId) -> Option<CandidateHealth> {
         let endpoint = self.endpoints.get(id)?;
         let record = endpoint.record;
         let ejected = endpoint.health.is_ejected(self.now);
         let unreachable = endpoint.health.is_unreachable();
         let fault_ratio = endpoint.health.fault_ratio();
-        let allowed = self.exposure_allows(record.build, in_flight.request.class)
+        let eligible = self.exposure_allows(record.build, in_flight.request.class)
             && self.key_allows(in_flight.request.key, record.build)
             && self.retry_allows(in_flight, &record)
             && self.slow_start_allows(id, &in_flight.request);
-        if !allowed {
+        if !eligible {
             return None;
         }
         let suspect = self.avoids_suspects(in_flight) && self.is_suspect(fault_ratio, record.build);
@@ -101,12 +106,12 @@
         }
     }
 
-    /// Whether a request must not run twice, where requests of other classes may: those others, not this one,
-    /// are to find out whether an endpoint that failed of late serves again.
+    /// Returns whether a request must avoid suspect endpoints: it must not run twice, while those of other
+    /// classes may. Requests of these classes find out whether a suspect endpoint has recovered.
     fn avoids_suspects(&self, in_flight: &InFlightRequest) -> bool {
-        let once = |class: &Class| class.idempotency == Idempotency::NonIdempotent;
+        let is_non_idempotent = |class: &Class| class.idempotency == Idempotency::NonIdempotent;
         let classes = &self.config.classes;
-        once(&classes[in_flight.request.class.0]) && !classes.iter().all(once)
+        is_non_idempotent(&classes[in_flight.request.class.0]) && !classes.iter().all(is_non_idempotent)
     }
 
     fn zone_slowdown(&self, id: EndpointId) -> f64 {
@@ -117,11 +122,11 @@
         self.endpoints.get(id).map_or(f64::INFINITY, |endpoint| self.load_of(endpoint))
     }
 
-    /// Requests in flight with one more, weighed by latency, size and zone.
+    /// Returns the number of requests in flight plus one, weighted by latency, size and zone.
     fn load_of(&self, endpoint: &Endpoint) -> f64 {
         let other_zone = endpoint.record.zone != self.config.zone;
         let zone_factor =
-            if other_zone && self.config.cross_zone_price > 0.0 { CROSS_ZONE_FACTOR } else { 1.0 };
+            if other_zone && self.config.cross_zone_price > 0.0 { CROSS_ZONE_LOAD_FACTOR } else { 1.0 };
         let slow_start_factor = self.slow_start_factor(&endpoint.record).unwrap_or(1.0);
         let size = endpoint.record.rating.max(MIN_RATING) * slow_start_factor;
         let slowdown = endpoint.health.slowdown(self.now);
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,29 +1,29 @@
-//! Retries: their budget, and whether a further attempt of a request is safe.
+//! Retries: the retry budget, and the check that a retry is safe.
 
 use crate::api::{EndpointRecord, Idempotency, KeyScope, Micros};
 use crate::engine::Policy;
 use crate::request_lifecycle::{Attempt, InFlightRequest};
 use crate::units::MILLISECOND;
 
-/// Retries earned by a request: a retry storm stays a fifth of the traffic.
-const EARNED_PER_REQUEST: f64 = 0.2;
-/// Most retries saved up.
-const BUDGET_MAX: f64 = 10.0;
-/// A keyed repeat must arrive while the first attempt is still remembered.
+/// Retries added to the budget per request, so that a retry storm adds at most a fifth to the traffic.
+const RETRIES_PER_REQUEST: f64 = 0.2;
+/// Capacity of the retry budget.
+const MAX_BUDGET: f64 = 10.0;
+/// Allowance for the transit of a repeat, which must arrive within the key's window.
 const TRANSIT_MARGIN: Micros = 100 * MILLISECOND;
 
-/// Retries that may be spent: a token bucket filled by requests.
+/// Retry budget: a token bucket filled by requests.
 pub(crate) struct RetryBudget {
     retries: f64,
 }
 
 impl RetryBudget {
     pub(crate) fn new() -> Self {
-        RetryBudget { retries: BUDGET_MAX }
+        RetryBudget { retries: MAX_BUDGET }
     }
 
     pub(crate) fn earn(&mut self) {
-        self.retries = (self.retries + EARNED_PER_REQUEST).min(BUDGET_MAX);
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_BUDGET);
     }
 
     pub(crate) fn allows_retry(&self) -> bool {
@@ -36,7 +36,7 @@
 }
 
 impl Policy {
-    /// Whether a further attempt may go to this endpoint, given those before it.
+    /// Returns whether an endpoint may get a further attempt, given the earlier ones that may have run.
     pub(crate) fn retry_allows(&self, in_flight: &InFlightRequest, candidate: &EndpointRecord) -> bool {
         let earlier = || in_flight.attempts.iter().filter(|attempt| attempt.may_have_run());
         let Some(first_sent) = earlier().map(|attempt| attempt.sent).min() else { return true };
@@ -45,15 +45,15 @@
             Idempotency::Idempotent => may_overlap,
             Idempotency::NonIdempotent => false,
             Idempotency::Keyed { scope, window } => {
-                let remembered = self.now + TRANSIT_MARGIN < first_sent + window;
+                let within_window = self.now + TRANSIT_MARGIN < first_sent + window;
                 may_overlap
-                    && remembered
+                    && within_window
                     && earlier().all(|attempt| self.discards_repeat(attempt, candidate, scope))
             }
         }
     }
 
-    /// Whether an endpoint discards the repeat of an attempt: it is in the same scope as the attempt's.
+    /// Returns whether an endpoint discards the repeat of an attempt: both are in the same scope.
     fn discards_repeat(&self, attempt: &Attempt, candidate: &EndpointRecord, scope: KeyScope) -> bool {
         let record = || self.endpoints.get(attempt.endpoint).map(|endpoint| &endpoint.record);
         match scope {
--- a/crates/policy/src/units.rs
+++ b/crates/policy/src/units.rs
@@ -1,4 +1,4 @@
-//! Spans of time in the unit of the caller's clock.
+//! Time units in microseconds, the unit of the caller's clock.
 
 use crate::api::Micros;
 
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -1,19 +1,19 @@
-//! Counts over a sliding window of time.
+//! Counts over a sliding time window.
 
 use std::collections::VecDeque;
 
 use crate::api::{ClassId, Micros};
 
-/// A request or an attempt.
+/// A counted request or attempt.
 struct Entry {
     at: Micros,
     class: ClassId,
 }
 
-/// Requests or attempts of the last span, counted by class.
+/// Requests or attempts within the last `span`, counted by class.
 ///
-/// Entries older than the span are dropped whenever one is added or counted, so that the memory is bounded by
-/// the traffic of one span.
+/// Expired entries are dropped whenever one is added and whenever entries are counted, so that memory use is
+/// bounded by the traffic of one span.
 #[derive(Default)]
 pub(crate) struct SlidingWindow {
     span: Micros,
@@ -27,13 +27,13 @@
     }
 
     pub(crate) fn add(&mut self, now: Micros, class: ClassId) {
-        // Also where nobody counts, as between two trials.
+        // Needed here because nothing calls `count` between two trials.
         self.drop_expired(now);
         self.entries.push_back(Entry { at: now, class });
         self.count_by_class[class.0] += 1;
     }
 
-    /// Entries in the span that ends now; of one class, or of all.
+    /// Returns the number of entries in the span that ends at `now`, of one class or of all.
     pub(crate) fn count(&mut self, now: Micros, class: Option<ClassId>) -> f64 {
         self.drop_expired(now);
         match class {
