--- a/crates/vote-router/src/lib.rs
+++ b/crates/vote-router/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decides where a proxy's votes go. No I/O, no clock.
+//! Routing of a proxy's votes to its agent or to the release controller. No I/O, no clock.
 //!
-//! While the agent on this machine is reachable and has a quorum, votes go to it, and one proxy of the cluster casts
-//! for all. Otherwise each proxy casts its own votes at the release controller, exactly as it does without an agent.
+//! While the agent on this machine is reachable and has a quorum, votes go to it, and one proxy of the
+//! cluster casts for all. Otherwise each proxy casts its own votes at the release controller, exactly as it
+//! does without an agent.
 //!
-//! What the policy decides is never changed here. That the cluster has condemned a build reaches the policy only as a
-//! lower exposure cap.
+//! The decisions of the policy are never changed here. When the cluster condemns a build, the policy is only
+//! notified of a lower exposure cap.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/vote-router/src/message.rs
+++ b/crates/vote-router/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the router and what comes out of it.
+//! The inputs and outputs of the router.
 
 use std::collections::BTreeSet;
 
@@ -7,61 +7,61 @@
 /// A verdict on a build at a stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Vote {
-    /// The build.
+    /// Build that the vote is on.
     pub build: Build,
-    /// The stage, from 0.
+    /// Stage that the vote is for, from 0.
     pub stage: usize,
-    /// What is to become of the build.
+    /// Verdict on the build.
     pub verdict: Verdict,
 }
 
 impl Vote {
-    /// Whether the vote asks for anything: it is not an abstention.
+    /// Returns whether the vote is not an abstention.
     pub fn is_cast(&self) -> bool {
         self.verdict != Verdict::Abstain
     }
 
-    /// The vote that withdraws this one.
+    /// Returns the vote that withdraws this one.
     pub fn withdrawal(self) -> Vote {
         Vote { verdict: Verdict::Abstain, ..self }
     }
 }
 
-/// On whose behalf a vote goes to the release controller.
+/// Party on whose behalf a vote is cast at the release controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VoteOrigin {
     /// The proxy's own policy, which is notified of the result.
     Own,
-    /// The cluster, or this proxy again after its agent was lost. The policy is not waiting for a result; it learns
-    /// only the rollout status that comes with it.
+    /// The cluster, or this proxy repeating its vote after the loss of its agent. The policy is not waiting
+    /// for the result, and is notified only of the rollout status that comes with it.
     Cluster,
 }
 
-/// What the caller has to do.
+/// Action for the caller to carry out.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RouterAction {
-    /// Cast this vote at the release controller.
+    /// Casts this vote at the release controller.
     CastVote(Vote, VoteOrigin),
-    /// Send this vote to the agent; its reply goes to [`crate::VoteRouter::on_agent_reply`].
+    /// Sends this vote to the agent, whose reply goes to [`crate::VoteRouter::on_agent_reply`].
     SendToAgent(Vote),
-    /// Notify the policy of the result of its vote.
+    /// Notifies the policy of the result of its vote.
     VoteCompleted(VoteResult),
-    /// Notify the policy of the rollout status.
+    /// Notifies the policy of the rollout status.
     RolloutUpdated(RolloutStatus),
 }
 
-/// Which proxy casts the cluster's vote, as far as this one is concerned.
+/// Assignment of the cluster's vote to a proxy, as seen by this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum CastAssignment {
-    /// Another proxy does, or none.
+    /// Another proxy casts it, or none does.
     #[default]
     OtherProxy,
-    /// This proxy has to keep this vote cast; none: nobody votes at the moment.
+    /// This proxy casts the vote and renews it; none: the cluster has no vote at the moment.
     ThisProxy(Option<Vote>),
 }
 
 impl CastAssignment {
-    /// The vote that this proxy has to keep cast.
+    /// Returns the vote that this proxy has to cast and renew.
     pub fn vote(self) -> Option<Vote> {
         match self {
             CastAssignment::ThisProxy(vote) => vote,
@@ -70,12 +70,12 @@
     }
 }
 
-/// One update from the agent.
+/// Update from the agent.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AgentUpdate {
     /// Builds that the cluster has condemned.
     pub condemned: BTreeSet<Build>,
-    /// Which proxy casts for the cluster.
+    /// Assignment of the cluster's vote.
     pub cast: CastAssignment,
     /// Whether the agent reaches a quorum.
     pub has_quorum: bool,
--- a/crates/vote-router/src/router.rs
+++ b/crates/vote-router/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: one state machine a proxy.
+//! The vote router, a state machine with one instance per proxy.
 
 use std::collections::BTreeSet;
 
@@ -6,17 +6,18 @@
 
 use crate::message::{AgentUpdate, RouterAction, Vote, VoteOrigin};
 
-/// Condemned builds that are remembered. Build numbers grow, and builds older than these are not offered again.
+/// Maximum number of condemned builds that are remembered. The lowest build numbers are dropped first, as
+/// build numbers grow and older builds are not offered again.
 const MAX_CONDEMNED_BUILDS: usize = 256;
 
-/// A vote that stands at the release controller on behalf of the cluster.
+/// A vote cast at the release controller on behalf of the cluster.
 #[derive(Debug, Clone, Copy)]
-struct StandingVote {
+struct ClusterVote {
     vote: Vote,
     cast_at: Micros,
 }
 
-/// A rollout status and when it was received.
+/// A rollout status and the time at which it was received.
 #[derive(Debug, Clone, Copy)]
 struct ReceivedStatus {
     status: RolloutStatus,
@@ -29,27 +30,27 @@
     uses_agent: bool,
     /// The policy's latest vote.
     own_vote: Option<Vote>,
-    /// What this proxy has cast for the cluster.
-    standing: Option<StandingVote>,
-    /// What this proxy should have cast for the cluster.
-    wanted: Option<Vote>,
+    /// Vote that this proxy has cast for the cluster.
+    cluster_vote: Option<ClusterVote>,
+    /// Vote that this proxy is assigned to cast for the cluster.
+    assigned_vote: Option<Vote>,
     condemned: BTreeSet<Build>,
     latest_status: Option<ReceivedStatus>,
     vote_ttl: Micros,
 }
 
 impl VoteRouter {
-    /// A router of a proxy whose votes stand at the release controller for `vote_ttl` microseconds.
+    /// Creates the router of a proxy whose votes are valid for `vote_ttl` microseconds after they are cast.
     pub fn new(vote_ttl: Micros) -> Self {
         Self { vote_ttl, ..Self::default() }
     }
 
-    /// Whether votes go to the agent.
+    /// Returns whether votes go to the agent.
     pub fn uses_agent(&self) -> bool {
         self.uses_agent
     }
 
-    /// The policy votes.
+    /// Routes a vote of the policy.
     pub fn on_vote(&mut self, vote: Vote) -> RouterAction {
         self.own_vote = Some(vote);
         if self.uses_agent {
@@ -59,17 +60,18 @@
         }
     }
 
-    /// The agent's reply to a vote: whether it passes the vote on. No reply counts as `false`.
+    /// Handles the agent's reply to a vote: whether the agent passes it on. No reply counts as `false`.
     pub fn on_agent_reply(&mut self, vote: Vote, passed_on: bool) -> Option<RouterAction> {
         if passed_on {
             return Some(RouterAction::VoteCompleted(VoteResult::Counted));
         }
-        // A vote that was repeated after the agent came back has had its result.
+        // A vote that was resent after the agent's return has had its result before, so it is not cast if a
+        // later one has replaced it.
         let is_latest = self.own_vote == Some(vote);
         is_latest.then_some(RouterAction::CastVote(vote, VoteOrigin::Own))
     }
 
-    /// An update from the agent.
+    /// Handles an update from the agent.
     pub fn on_agent_update(&mut self, now: Micros, update: AgentUpdate) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         if update.condemned != self.condemned {
@@ -78,38 +80,39 @@
         match (self.uses_agent, update.has_quorum) {
             (false, true) => {
                 self.uses_agent = true;
-                // The cluster has not seen what was voted while the agent was away.
-                let missed = self.own_vote.filter(Vote::is_cast);
-                actions.extend(missed.map(RouterAction::SendToAgent));
+                // The cluster has not received the votes cast while the agent was unavailable.
+                let unsent = self.own_vote.filter(Vote::is_cast);
+                actions.extend(unsent.map(RouterAction::SendToAgent));
             }
-            (true, false) => actions.extend(self.leave_agent(now)),
+            (true, false) => actions.extend(self.stop_using_agent(now)),
             _ => {}
         }
         if self.uses_agent {
-            self.wanted = update.cast.vote();
-            actions.extend(self.reconcile_standing_vote(now));
+            self.assigned_vote = update.cast.vote();
+            actions.extend(self.reconcile_cluster_vote(now));
         }
         actions
     }
 
-    /// The agent is no longer reachable.
+    /// Handles the loss of the agent.
     pub fn on_agent_lost(&mut self, now: Micros) -> Vec<RouterAction> {
-        self.leave_agent(now)
+        self.stop_using_agent(now)
     }
 
-    /// What is due by now.
+    /// Returns the action that is due by `now`.
     pub fn on_tick(&mut self, now: Micros) -> Option<RouterAction> {
-        if self.uses_agent { self.reconcile_standing_vote(now) } else { None }
+        if self.uses_agent { self.reconcile_cluster_vote(now) } else { None }
     }
 
-    /// A rollout status from the release controller. Returns the status that the policy is to be notified of.
+    /// Handles a rollout status from the release controller. Returns the status for the policy.
     pub fn on_rollout_update(&mut self, now: Micros, status: RolloutStatus) -> RolloutStatus {
         self.latest_status = Some(ReceivedStatus { status, received_at: now });
         self.with_condemned_cap(status)
     }
 
-    /// Adds condemned builds. The set only grows: an agent that has lost its memory makes no build trusted again.
-    /// Returns the present status if its cap has changed by that.
+    /// Adds condemned builds. Returns a notification of the current status if this lowers its exposure cap.
+    ///
+    /// Builds are only added, so that an agent that has lost its state does not clear a condemned build.
     fn extend_condemned(&mut self, now: Micros, condemned: BTreeSet<Build>) -> Option<RouterAction> {
         self.condemned.extend(condemned);
         while self.condemned.len() > MAX_CONDEMNED_BUILDS {
@@ -124,55 +127,58 @@
         Some(RouterAction::RolloutUpdated(RolloutStatus { age, ..capped }))
     }
 
-    /// From here on this proxy votes alone. The policy believes that its latest vote counts, so it is cast now.
-    fn leave_agent(&mut self, now: Micros) -> Vec<RouterAction> {
+    /// Switches to casting this proxy's own votes. The latest one is cast at once, because the policy assumes
+    /// that it counts.
+    fn stop_using_agent(&mut self, now: Micros) -> Vec<RouterAction> {
         if !self.uses_agent {
             return Vec::new();
         }
         self.uses_agent = false;
-        self.wanted = None;
+        self.assigned_vote = None;
         match self.own_vote.filter(Vote::is_cast) {
             Some(vote) => {
-                self.standing = None;
+                self.cluster_vote = None;
                 vec![RouterAction::CastVote(vote, VoteOrigin::Cluster)]
             }
-            None => self.reconcile_standing_vote(now).into_iter().collect(),
+            None => self.reconcile_cluster_vote(now).into_iter().collect(),
         }
     }
 
-    /// Brings what stands at the release controller for the cluster in line with what should stand there.
-    fn reconcile_standing_vote(&mut self, now: Micros) -> Option<RouterAction> {
-        match (self.wanted, self.standing) {
-            (Some(wanted), Some(standing))
-                if wanted == standing.vote && !self.is_renewal_due(standing, now) =>
+    /// Casts, renews or withdraws the cluster's vote at the release controller, as the assignment requires.
+    fn reconcile_cluster_vote(&mut self, now: Micros) -> Option<RouterAction> {
+        match (self.assigned_vote, self.cluster_vote) {
+            (Some(assigned), Some(cluster_vote))
+                if assigned == cluster_vote.vote && !self.is_renewal_due(cluster_vote, now) =>
             {
                 None
             }
-            (Some(wanted), _) => {
-                self.standing = Some(StandingVote { vote: wanted, cast_at: now });
-                Some(RouterAction::CastVote(wanted, VoteOrigin::Cluster))
+            (Some(assigned), _) => {
+                self.cluster_vote = Some(ClusterVote { vote: assigned, cast_at: now });
+                Some(RouterAction::CastVote(assigned, VoteOrigin::Cluster))
             }
-            // Another proxy casts from here on, or there is no vote: two votes for the cluster would count as two
-            // instances.
-            (None, Some(standing)) => {
-                self.standing = None;
-                let lapsed = now >= standing.cast_at + self.vote_ttl;
-                let withdrawal = standing.vote.withdrawal();
-                (!lapsed).then_some(RouterAction::CastVote(withdrawal, VoteOrigin::Cluster))
+            // Another proxy casts from now on, or there is no vote. Two proxies' votes for the cluster would
+            // count as two instances.
+            (None, Some(cluster_vote)) => {
+                self.cluster_vote = None;
+                let expired = now >= cluster_vote.cast_at + self.vote_ttl;
+                let withdrawal = cluster_vote.vote.withdrawal();
+                (!expired).then_some(RouterAction::CastVote(withdrawal, VoteOrigin::Cluster))
             }
             (None, None) => None,
         }
     }
 
-    /// A standing vote is renewed after half of its TTL.
-    fn is_renewal_due(&self, standing: StandingVote, now: Micros) -> bool {
-        now >= standing.cast_at + self.vote_ttl / 2
+    /// Returns whether half of the TTL of a vote is over, after which it is renewed.
+    fn is_renewal_due(&self, cluster_vote: ClusterVote, now: Micros) -> bool {
+        now >= cluster_vote.cast_at + self.vote_ttl / 2
     }
 
-    /// Sets the cap of a condemned build on trial to 0, whatever exposure the release controller still allows: a lower
-    /// cap breaks no rule. A released build may be the only one left, so its cap stays.
+    /// Returns the status with an exposure cap of 0 if it is of a condemned build on trial.
+    ///
+    /// Staying below the cap of the release controller is always allowed. A released build may be the only
+    /// one left, so its cap is not changed.
     fn with_condemned_cap(&self, status: RolloutStatus) -> RolloutStatus {
-        let is_barred = status.phase == RolloutPhase::OnTrial && self.condemned.contains(&status.build);
-        if is_barred { RolloutStatus { exposure_cap: 0.0, ..status } } else { status }
+        let is_blocked = status.phase == RolloutPhase::OnTrial && self.condemned.contains(&status.build);
+        if is_blocked { RolloutStatus { exposure_cap: 0.0, ..status } } else { status }
     }
 }
--- a/crates/vote-router/tests/vote_router.rs
+++ b/crates/vote-router/tests/vote_router.rs
@@ -1,4 +1,4 @@
-//! Where votes go while the agent is reachable, and after it is lost.
+//! Routing of votes with an agent, without one, and after its loss.
 
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
     assert_eq!((router.on_tick(9 * SECOND), router.on_agent_lost(9 * SECOND)), (None, vec![]));
     assert!(
         router.on_agent_update(SECOND, update(false, CastAssignment::OtherProxy)).is_empty(),
-        "an agent that reaches nobody changes nothing"
+        "an update without a quorum causes no action"
     );
     assert_eq!(
         router.on_vote(vote(42, Verdict::Advance)),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn with_an_agent_votes_go_to_the_cluster_and_one_proxy_casts_for_all() {
+fn with_an_agent_votes_go_to_it_and_the_assigned_proxy_casts_for_the_cluster() {
     let mut router = VoteRouter::new(4 * SECOND);
     assert!(router.on_agent_update(SECOND, update(true, CastAssignment::OtherProxy)).is_empty());
     let hold = vote(42, Verdict::Hold);
@@ -50,18 +50,18 @@
     assert_eq!(cast, [RouterAction::CastVote(hold, VoteOrigin::Cluster)]);
     assert!(
         router.on_agent_update(3 * SECOND, update(true, CastAssignment::ThisProxy(Some(hold)))).is_empty(),
-        "it stands"
+        "the vote is cast already and not due for renewal"
     );
     assert_eq!(
         router.on_tick(4 * SECOND),
         Some(RouterAction::CastVote(hold, VoteOrigin::Cluster)),
-        "renewed before it lapses"
+        "the vote is renewed before it expires"
     );
-    let off = vote(42, Verdict::Abstain);
+    let withdrawal = vote(42, Verdict::Abstain);
     assert_eq!(
         router.on_agent_update(5 * SECOND, update(true, CastAssignment::OtherProxy)),
-        [RouterAction::CastVote(off, VoteOrigin::Cluster)],
-        "another casts now"
+        [RouterAction::CastVote(withdrawal, VoteOrigin::Cluster)],
+        "the vote is withdrawn, as another proxy casts it"
     );
     assert!(router.on_agent_update(6 * SECOND, update(true, CastAssignment::OtherProxy)).is_empty());
 }
@@ -70,32 +70,35 @@
 fn a_vote_that_the_agent_does_not_pass_on_is_cast_at_once() {
     let mut router = VoteRouter::new(4 * SECOND);
     router.on_agent_update(SECOND, update(true, CastAssignment::OtherProxy));
-    let back = vote(42, Verdict::RollBack);
-    router.on_vote(back);
-    assert_eq!(router.on_agent_reply(back, false), Some(RouterAction::CastVote(back, VoteOrigin::Own)));
+    let roll_back = vote(42, Verdict::RollBack);
+    router.on_vote(roll_back);
+    assert_eq!(
+        router.on_agent_reply(roll_back, false),
+        Some(RouterAction::CastVote(roll_back, VoteOrigin::Own))
+    );
     router.on_vote(vote(42, Verdict::Abstain));
-    assert_eq!(router.on_agent_reply(back, false), None, "one that is not meant any more is not cast");
+    assert_eq!(router.on_agent_reply(roll_back, false), None, "a replaced vote is not cast");
 }
 
 #[test]
-fn losing_the_agent_leaves_no_vote_uncast() {
+fn the_latest_vote_is_cast_on_loss_of_the_agent_and_resent_on_its_return() {
     let mut router = VoteRouter::new(4 * SECOND);
     router.on_agent_update(SECOND, update(true, CastAssignment::OtherProxy));
     let hold = vote(42, Verdict::Hold);
     router.on_vote(hold);
     router.on_agent_reply(hold, true);
     assert_eq!(router.on_agent_lost(2 * SECOND), [RouterAction::CastVote(hold, VoteOrigin::Cluster)]);
-    assert!(router.on_agent_lost(3 * SECOND).is_empty(), "once");
+    assert!(router.on_agent_lost(3 * SECOND).is_empty(), "the vote is cast only once");
     assert_eq!(router.on_vote(hold), RouterAction::CastVote(hold, VoteOrigin::Own));
     assert_eq!(
         router.on_agent_update(4 * SECOND, update(true, CastAssignment::OtherProxy)),
         [RouterAction::SendToAgent(hold)],
-        "and said again when it is back"
+        "the vote is resent when the agent is available again"
     );
 }
 
 #[test]
-fn losing_the_agent_withdraws_what_was_cast_for_the_cluster() {
+fn losing_the_agent_withdraws_a_valid_vote_cast_for_the_cluster() {
     let mut router = VoteRouter::new(4 * SECOND);
     router
         .on_agent_update(SECOND, update(true, CastAssignment::ThisProxy(Some(vote(42, Verdict::RollBack)))));
@@ -107,7 +110,7 @@
         3 * SECOND,
         update(true, CastAssignment::ThisProxy(Some(vote(42, Verdict::RollBack)))),
     );
-    assert!(router.on_agent_lost(9 * SECOND).is_empty(), "it has lapsed by itself");
+    assert!(router.on_agent_lost(9 * SECOND).is_empty(), "an expired vote needs no withdrawal");
 }
 
 #[test]
@@ -116,9 +119,9 @@
     assert_eq!(router.on_rollout_update(SECOND, status(42, RolloutPhase::OnTrial, 0.2)).exposure_cap, 0.2);
     let condemned =
         AgentUpdate { condemned: BTreeSet::from([Build(42)]), ..update(true, CastAssignment::OtherProxy) };
-    let steps = router.on_agent_update(2 * SECOND, condemned);
-    let Some(RouterAction::RolloutUpdated(told)) = steps.first() else { panic!("{steps:?}") };
-    assert_eq!((told.exposure_cap, told.age), (0.0, 2 * SECOND));
+    let actions = router.on_agent_update(2 * SECOND, condemned);
+    let Some(RouterAction::RolloutUpdated(notified)) = actions.first() else { panic!("{actions:?}") };
+    assert_eq!((notified.exposure_cap, notified.age), (0.0, 2 * SECOND));
     assert_eq!(
         router.on_rollout_update(3 * SECOND, status(42, RolloutPhase::OnTrial, 0.6)).exposure_cap,
         0.0
@@ -135,6 +138,6 @@
     assert_eq!(
         router.on_rollout_update(7 * SECOND, status(42, RolloutPhase::OnTrial, 0.6)).exposure_cap,
         0.0,
-        "it stays condemned"
+        "the build stays condemned"
     );
 }
