--- a/crates/shared-policy/src/lib.rs
+++ b/crates/shared-policy/src/lib.rs
@@ -1,8 +1,9 @@
 //! One policy shared by several worker threads.
 //!
-//! Everything the policy keeps (caps, budgets, ejections, the vote) is exact because there is one of it, under a lock.
-//! The lock does not cover the time between a decision and its execution: the thread may be suspended there for any
-//! time. A decision therefore carries a [`DecisionStamp`], which is checked before the first byte is sent.
+//! The state of the policy (caps, budgets, ejections, the vote) is exact because all threads share one policy
+//! under a lock. The lock does not cover the time between a decision and its execution, when the thread may
+//! be suspended for any time. A decision therefore carries a [`DecisionStamp`], which is checked before the
+//! first byte is sent.
 //!
 //! No I/O and no clock: times are passed in, in microseconds of the caller's clock.
 
@@ -25,23 +26,23 @@
     atomic::{AtomicU64, Ordering},
 };
 
-/// What a decision was based on.
+/// State and time that a decision was based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DecisionStamp {
-    /// Number of updates that the policy had taken in.
+    /// Number of updates that the policy had applied.
     pub updates: u64,
-    /// When it was made, in microseconds.
+    /// Time of the decision, in microseconds.
     pub decided_at: u64,
 }
 
-/// Whether a decision may still be executed.
+/// Validity of a decision that is about to be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StampStatus {
-    /// It may.
+    /// Valid: the decision may be executed.
     Current,
-    /// An update has arrived since, which may forbid it.
+    /// Invalid: an update has arrived since, which may forbid the decision.
     Superseded,
-    /// It is older than allowed: its thread did not run for a while.
+    /// Invalid: the decision is too old, because its thread did not run for a while.
     Expired,
 }
 
@@ -49,16 +50,17 @@
 #[derive(Debug)]
 pub struct SharedPolicy<P> {
     policy: Mutex<P>,
-    /// Updates handed to the policy so far, whether or not it has taken them in yet.
+    /// Number of updates passed to the policy so far, whether or not it has applied them yet.
     updates: AtomicU64,
-    /// Age beyond which a decision is not executed, in microseconds.
+    /// Maximum age of a decision that is executed, in microseconds.
     max_decision_age: u64,
-    /// A single thread executes a decision in the turn that made it: nothing can come between.
+    /// Whether there is a single thread, which executes each decision in the event loop iteration that made
+    /// it, so that no update can arrive in between.
     single_threaded: bool,
 }
 
 impl<P> SharedPolicy<P> {
-    /// Shares `policy` among `threads` threads. A decision older than `max_decision_age` microseconds expires.
+    /// Shares `policy` among `threads` threads. Decisions expire after `max_decision_age` microseconds.
     pub fn new(policy: P, threads: usize, max_decision_age: u64) -> Self {
         Self {
             policy: Mutex::new(policy),
@@ -72,16 +74,16 @@
     pub fn lock(&self) -> MutexGuard<'_, P> {
         match self.policy.lock() {
             Ok(guard) => guard,
-            // A thread that panics ends the process; no other thread goes on with what it left behind.
+            // A panic of any thread ends the process, so that no other thread uses an inconsistent policy.
             Err(poisoned) => poisoned.into_inner(),
         }
     }
 
-    /// Hands an update to the policy by `apply`. Once this returns, no decision made without it is executed.
+    /// Updates the policy by `apply`. Once this returns, no decision made without the update is executed.
     pub fn update(&self, apply: impl FnOnce(&mut P)) {
         apply(&mut self.lock());
-        // Counted after the policy has it, never before: a stamp could otherwise count an update that the decision
-        // has not seen.
+        // Counted only after the policy has the update. A stamp could otherwise count an update that the
+        // decision was made without.
         self.updates.fetch_add(1, Ordering::SeqCst);
     }
 
--- a/crates/shared-policy/tests/model.rs
+++ b/crates/shared-policy/tests/model.rs
@@ -1,6 +1,7 @@
-//! Model check of the stamps: a thread that hands over a lower cap, and threads that decide, check and send. Every
-//! interleaving with one such thread, many drawn at random with two.
-//! `cargo test --locked -p garnetcrank-shared-policy --features model`.
+//! Model check of the stamps: one thread lowers the cap while workers decide, check the stamp and send.
+//! Covers every interleaving with one worker, and random ones with two.
+//!
+//! `cargo test --locked -p garnetcrank-shared-policy --features model`
 #![cfg(feature = "model")]
 
 use garnetcrank_shared_policy::{DecisionStamp, SharedPolicy, StampStatus};
@@ -8,19 +9,19 @@
 use shuttle::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use shuttle::thread;
 
-/// Orders that the toy policy may place in all.
+/// Maximum number of orders that the model policy places.
 const MAX_ORDERS: u64 = 2;
 
-/// A policy reduced to a cap, open until the first update, and to orders that are placed once each.
+/// Minimal policy: a cap that the first update lowers to 0, and numbered orders that are placed once each.
 #[derive(Default)]
-struct ToyPolicy {
+struct ModelPolicy {
     pending_updates: u64,
     updates: u64,
     placed: u64,
 }
 
-impl ToyPolicy {
-    /// Takes in pending updates, then decides: which order is placed, if one may be, and the decision's stamp.
+impl ModelPolicy {
+    /// Applies pending updates and returns the next order with the decision's stamp, if the cap allows one.
     fn decide(&mut self) -> Option<(u64, DecisionStamp)> {
         self.updates += std::mem::take(&mut self.pending_updates);
         if self.updates > 0 || self.placed >= MAX_ORDERS {
@@ -38,51 +39,51 @@
     Omitted,
 }
 
-/// One run with `worker_count` threads that send.
+/// Runs one interleaving with `worker_count` sending threads.
 fn run(check: StampCheck, worker_count: usize) {
-    let policy = Arc::new(SharedPolicy::new(ToyPolicy::default(), 3, 0));
+    let policy = Arc::new(SharedPolicy::new(ModelPolicy::default(), 3, 0));
     let updated = Arc::new(AtomicBool::new(false));
     let sent = Arc::new(AtomicU64::new(0));
     let updater = {
         let (policy, updated) = (policy.clone(), updated.clone());
         thread::spawn(move || {
-            policy.update(|toy| toy.pending_updates += 1);
+            policy.update(|model| model.pending_updates += 1);
             updated.store(true, Ordering::SeqCst);
         })
     };
     let spawn_worker = || {
         let (policy, updated, sent) = (policy.clone(), updated.clone(), sent.clone());
         thread::spawn(move || {
-            let decided = policy.lock().decide();
-            let Some((order, stamp)) = decided else { return };
-            let known_to_all = updated.load(Ordering::SeqCst);
+            let decision = policy.lock().decide();
+            let Some((order, stamp)) = decision else { return };
+            let update_returned = updated.load(Ordering::SeqCst);
             if check == StampCheck::Performed && policy.stamp_status(stamp, 0) != StampStatus::Current {
                 return;
             }
-            assert!(!known_to_all, "order {order} went to a build whose cap is nothing");
+            assert!(!update_returned, "order {order} was sent to a build whose cap is 0");
             let before = sent.fetch_or(1 << order, Ordering::SeqCst);
             assert_eq!(before & (1 << order), 0, "order {order} was sent twice");
         })
     };
     let workers: Vec<_> = (0..worker_count).map(|_| spawn_worker()).collect();
-    updater.join().expect("the updating thread");
+    updater.join().expect("the updating thread panicked");
     for worker in workers {
-        worker.join().expect("a worker");
+        worker.join().expect("a worker panicked");
     }
-    // After the update nothing more is decided.
+    // No order is placed after the update.
     assert_eq!(policy.lock().decide(), None);
 }
 
 #[test]
-fn no_interleaving_sends_what_an_update_forbids_or_an_order_twice() {
+fn no_interleaving_sends_an_order_that_an_update_forbids_or_an_order_twice() {
     shuttle::check_dfs(|| run(StampCheck::Performed, 1), None);
-    // All interleavings of two workers are too many: drawn with a fixed seed, the same each time.
-    let draws = shuttle::scheduler::RandomScheduler::new_from_seed(17, 1_000);
-    shuttle::Runner::new(draws, shuttle::Config::default()).run(|| run(StampCheck::Performed, 2));
+    // Two workers have too many interleavings to run all, so they are sampled with a fixed seed.
+    let scheduler = shuttle::scheduler::RandomScheduler::new_from_seed(17, 1_000);
+    shuttle::Runner::new(scheduler, shuttle::Config::default()).run(|| run(StampCheck::Performed, 2));
 }
 
 #[test]
-fn without_the_check_an_interleaving_is_found_that_does() {
+fn without_the_stamp_check_a_forbidden_send_is_found() {
     let found = std::panic::catch_unwind(|| shuttle::check_dfs(|| run(StampCheck::Omitted, 1), None));
-    assert!(found.is_err(), "a check that can't fail is none");
+    assert!(found.is_err(), "the model must find a forbidden send without the stamp check");
 }
--- a/crates/shared-policy/tests/stamps.rs
+++ b/crates/shared-policy/tests/stamps.rs
@@ -1,10 +1,10 @@
-//! When the stamp of a decision allows its execution.
+//! Validity of a decision's stamp.
 #![cfg(not(feature = "model"))]
 
 use garnetcrank_shared_policy::{DecisionStamp, SharedPolicy, StampStatus};
 
 #[test]
-fn a_decision_made_before_an_update_or_long_ago_is_not_current() {
+fn a_decision_is_superseded_by_an_update_and_expires_with_age() {
     let policy = SharedPolicy::new(Vec::new(), 2, 20);
     let stamp = DecisionStamp { updates: 0, decided_at: 100 };
     assert_eq!(policy.stamp_status(stamp, 120), StampStatus::Current);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_single_thread_executes_whatever_it_decided() {
+fn decisions_of_a_single_thread_are_always_current() {
     let policy = SharedPolicy::new((), 1, 20);
     policy.update(|()| {});
     let stamp = DecisionStamp { updates: 0, decided_at: 0 };
