--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the process, and the queue of timers that a worker has on it.
+//! Clock of the process, and the timer queue of a worker.
 
 #[cfg(test)]
 mod tests;
@@ -8,13 +8,13 @@
 
 use garnetcrank_policy::api::Micros;
 
-/// One millisecond.
+/// Microseconds per millisecond.
 pub(crate) const MS: Micros = 1_000;
-/// One second.
+/// Microseconds per second.
 pub(crate) const SECOND: Micros = 1_000 * MS;
 
-/// Unix time at the start plus the monotonic time that has passed since, in microseconds. It never goes back, and the
-/// start times of endpoints, which are given in Unix time, can be compared with it.
+/// Clock that adds the monotonic time since the start to the Unix time at the start, in microseconds. It
+/// never goes back, and can be compared with the start times of endpoints, which are in Unix time.
 #[derive(Debug, Clone)]
 pub(crate) struct Clock {
     started: Instant,
@@ -22,25 +22,25 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub(crate) fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), started_unix: to_micros(since_epoch) }
     }
 
-    /// The present moment.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Micros {
         self.started_unix + to_micros(self.started.elapsed())
     }
 }
 
 fn to_micros(duration: Duration) -> Micros {
-    // Half of the range leaves room for adding timeouts to a moment.
+    // Half of the range leaves headroom for adding timeouts to a time.
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX / 2)
 }
 
-/// Timers in order of their time, then of when they were set. A timer can't be cancelled: whoever receives it decides
-/// whether it still matters.
+/// Queue of timers, ordered by due time and then by the order in which they were set. A timer can't be
+/// cancelled: its receiver decides whether it still applies.
 #[derive(Debug)]
 pub(crate) struct Timers<T> {
     set_count: u64,
@@ -54,13 +54,13 @@
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer that gives back `task` from the moment `at` on.
+    /// Sets a timer that yields `task` once the time `at` is reached.
     pub(crate) fn set(&mut self, at: Micros, task: T) {
         self.set_count += 1;
         self.queue.insert((at, self.set_count), task);
     }
 
-    /// Takes the first timer, if its time has come.
+    /// Removes and returns the first timer's task, if it is due.
     pub(crate) fn pop_due(&mut self, now: Micros) -> Option<T> {
         let first = self.queue.first_entry()?;
         let (at, _) = *first.key();
@@ -70,7 +70,7 @@
         Some(first.remove())
     }
 
-    /// When the first timer is due.
+    /// Returns when the first timer is due.
     pub(crate) fn next_due(&self) -> Option<Micros> {
         self.queue.first_key_value().map(|((at, _), _)| *at)
     }
--- a/crates/proxy/src/clock/tests.rs
+++ b/crates/proxy/src/clock/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn timers_come_in_order_and_never_early() {
+fn timers_are_due_in_order_and_never_early() {
     let mut timers = Timers::default();
     for (at, task) in [(30, 'c'), (10, 'a'), (30, 'd'), (20, 'b')] {
         timers.set(at, task);
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a worker has received, sent and answered, in numbers.
+//! Counters of the requests, attempts and connections of a worker.
 
 #[cfg(test)]
 mod tests;
@@ -9,8 +9,8 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident: $key:literal,)*) => {
-        /// Counts since the start, and peaks. `Display` gives one line of `key=value`; operators and their tools
-        /// read the keys, which therefore never change.
+        /// Counts since the start, and peaks. `Display` gives one line of `key=value` pairs; operators' tools
+        /// read the keys, so they never change.
         #[derive(Debug, Default, Clone)]
         pub(crate) struct Counters {
             $($(#[$doc])* pub(crate) $name: u64,)*
@@ -22,7 +22,7 @@
                 let longest_turn_us = self.longest_turn_us.max(other.longest_turn_us);
                 let peak_in_flight = self.peak_in_flight.max(other.peak_in_flight);
                 $(self.$name += other.$name;)*
-                // All workers see one and the same peak of these, not each a part of it.
+                // Process-wide maxima: the larger value counts, not the sum.
                 self.longest_turn_us = longest_turn_us;
                 self.peak_in_flight = peak_in_flight;
             }
@@ -39,23 +39,24 @@
 }
 
 counters! {
-    /// Requests accepted and handed to the policy.
+    /// Requests accepted and passed to the policy.
     requests: "requests",
-    /// Endpoints' responses forwarded to clients, streamed ones once they are complete.
+    /// Endpoints' responses forwarded to clients; streamed ones count once complete.
     responses_forwarded: "passed",
     /// Requests that the policy rejected.
     rejected: "refused",
-    /// Requests that the policy failed, and streamed responses that broke off.
+    /// Requests that the policy failed, and streamed responses that were aborted.
     failed: "failed",
-    /// Requests that the dispatcher failed since the policy had not ended them in time.
+    /// Requests that the dispatcher failed because the policy had not ended them in time.
     deadline_exceeded: "overdue",
-    /// Requests rejected before the policy saw them: too many in flight, or no memory for their bodies.
+    /// Requests rejected before they reached the policy: too many in flight, or too much memory taken by
+    /// their bodies.
     over_limit: "over_limit",
-    /// Bad requests of all kinds, which got a 4xx or 5xx and a closed connection.
+    /// Bad requests of all kinds, which got a 4xx or 5xx status and a closed connection.
     bad_requests: "bad_requests",
-    /// Bad requests that ended before they were complete.
+    /// Bad requests that were truncated.
     bad_requests_truncated: "bad_truncated",
-    /// Bad requests beyond the limits of a head or a body.
+    /// Bad requests whose head or body exceeded the size limit.
     bad_requests_too_large: "bad_large",
     /// Bad requests that were not complete in time.
     bad_requests_timed_out: "bad_late",
@@ -63,27 +64,27 @@
     bad_requests_unclassified: "bad_meaning",
     /// Bad requests with the `Request-Id` of another open one.
     bad_requests_duplicate_id: "bad_name_taken",
-    /// Client connections closed since nothing came on them.
+    /// Client connections closed because nothing arrived on them.
     idle_clients_closed: "idle_clients_closed",
-    /// Client connections closed earlier than that, since their descriptors were needed.
+    /// Client connections closed before their idle timeout because their descriptors were needed.
     clients_evicted: "clients_made_way",
-    /// Clients that disconnected before their answer.
+    /// Clients that disconnected before they got their response.
     clients_disconnected: "left",
     /// Client connections accepted.
     client_connections: "client_conns",
-    /// Turns in which a client could not be accepted for want of descriptors.
+    /// Turns in which a client could not be accepted because no descriptor was available.
     accepts_paused: "accepts_paused",
     /// Attempts that ended with a response.
     attempts_succeeded: "served",
     /// Attempts that ended with an error response.
     attempts_failed: "errors",
-    /// Attempts that an overloaded endpoint turned down without starting them.
+    /// Attempts that an overloaded endpoint rejected without starting them.
     attempts_overloaded: "full",
-    /// Attempts whose connection could not be made.
+    /// Attempts whose connection could not be established.
     attempts_connect_failed: "unreached",
-    /// Attempts whose connection broke after the request had been sent.
+    /// Attempts whose connection was lost after the request had been sent.
     attempts_connection_lost: "broken",
-    /// Attempts without a response in time.
+    /// Attempts without a response before their timeout.
     attempts_timed_out: "timed_out",
     /// Attempts cancelled.
     attempts_cancelled: "withdrawn",
@@ -91,19 +92,19 @@
     attempts_not_sent: "unsent",
     /// Connections to endpoints opened.
     upstream_connections: "machine_conns",
-    /// Attempts on a connection that had been used before.
+    /// Attempts on a reused connection.
     upstream_reused: "reused",
-    /// Idle connections to endpoints closed before their idle limit, since their descriptors were needed.
+    /// Idle connections to endpoints closed before their idle timeout because their descriptors were needed.
     upstream_evicted: "idle_evicted",
-    /// Attempts for which there was no descriptor.
+    /// Attempts for which no descriptor was available.
     no_descriptor: "no_descriptor",
-    /// Decisions made again since they came to be carried out too late, or after an update.
+    /// Decisions made again because they had become too old, or because an update came in between.
     decisions_repeated: "decided_anew",
     /// Health checks sent.
     health_checks: "probes",
-    /// Connections to discovery made again.
+    /// Reconnects to discovery.
     discovery_reconnects: "discovery_reconnects",
-    /// Watch connections to the release controller made again.
+    /// Reconnects of the watch stream to the release controller.
     release_controller_reconnects: "platform_reconnects",
     /// Votes sent.
     votes: "votes",
@@ -111,13 +112,13 @@
     votes_counted: "votes_counted",
     /// Verdicts that the agent forwarded to the other instances.
     verdicts_forwarded: "verdicts_passed_on",
-    /// Connections to the agent made again.
+    /// Reconnects to the agent.
     agent_reconnects: "agent_reconnects",
-    /// Rollout updates that were older than what was known.
+    /// Rollout updates that were older than the known state.
     stale_rollout_updates: "stale_news",
-    /// Times the configuration was read again.
+    /// Successful reloads of the configuration.
     reloads: "reloads",
-    /// Times it was to be read again, and was missing or invalid.
+    /// Reloads rejected because the configuration was missing or invalid.
     reloads_rejected: "reloads_refused",
     /// Longest turn of the event loop, in microseconds.
     longest_turn_us: "longest_turn_us",
@@ -146,17 +147,17 @@
     }
 }
 
-/// What this process has used of its host, as the system counts it.
+/// Resource usage of this process, as reported by the system.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ResourceUsage {
-    /// Peak of resident memory, in KiB; 0 if the system does not say.
+    /// Peak resident memory, in KiB; 0 if the system does not report it.
     pub(crate) peak_memory_kib: u64,
-    /// CPU time of the process's first thread, in milliseconds; 0 if the system does not say.
+    /// CPU time of the process's first thread, in milliseconds; 0 if the system does not report it.
     pub(crate) cpu_ms: u64,
 }
 
 impl ResourceUsage {
-    /// Reads the present figures from `/proc`.
+    /// Reads the current values from `/proc`.
     pub(crate) fn read() -> Self {
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
         let peak_memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
--- a/crates/proxy/src/counters/tests.rs
+++ b/crates/proxy/src/counters/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the counters' form and of their sum over workers.
+//! Tests of the counters' log line and of their sum over workers.
 
 use super::*;
 
 #[test]
-fn the_line_of_counters_keeps_its_keys_and_their_order() {
+fn the_log_line_keeps_its_keys_and_their_order() {
     let line = "counters requests=0 passed=0 refused=0 failed=0 overdue=0 over_limit=0 bad_requests=0 \
          bad_truncated=0 bad_large=0 bad_late=0 bad_meaning=0 bad_name_taken=0 idle_clients_closed=0 \
          clients_made_way=0 left=0 client_conns=0 accepts_paused=0 served=0 errors=0 full=0 unreached=0 \
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn counts_of_workers_add_up_and_shared_peaks_do_not() {
+fn counts_of_workers_add_up_but_process_wide_maxima_do_not() {
     let mut sum = Counters {
         requests: 2,
         peak_clients: 3,
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! Connects the policy to the sockets without touching either a socket or a wire format: events go in one at a
-//! time and never from within a decision, the policy's actions come out as [`Command`]s.
+//! Connects the policy to the I/O layer without doing I/O itself. Events are queued and handled one at a
+//! time, never from within a decision; the policy's actions are returned as [`Command`]s.
 
 mod command;
 mod in_flight;
@@ -26,30 +26,30 @@
 
 use in_flight::InFlightTable;
 
-/// The policy, the requests in flight, and the events that the policy has not been notified of yet.
+/// The policy, the requests in flight, and the events that the policy has not handled yet.
 pub(crate) struct Dispatcher {
     policy: Policy,
     config: Config,
     in_flight: InFlightTable,
-    /// While the process shuts down: every answer is given by then.
-    answer_by: Option<Micros>,
-    /// Updates of the endpoint list and the rollout, which overtake all other events.
+    /// Upper bound on every request's deadline, set once the process shuts down.
+    shutdown_deadline: Option<Micros>,
+    /// Updates of the endpoint list and the rollout, which are handled before all other events.
     priority_events: VecDeque<Event>,
-    /// Priority events that the policy has handled so far.
+    /// Number of priority events that the policy has handled.
     updates_handled: u64,
     events: VecDeque<Event>,
-    /// Empty between decisions; kept for its capacity.
+    /// Reused buffer, empty between decisions.
     actions: Vec<Action>,
 }
 
 impl Dispatcher {
-    /// A new policy with nothing in flight. The same seed gives the same random draws.
+    /// Creates a policy with no requests in flight. The same seed gives the same random draws.
     pub(crate) fn new(seed: u64, settings: &Settings, worker_count: usize) -> Self {
         Dispatcher {
             policy: Policy::new(seed, settings.config.clone()),
             config: settings.config.clone(),
             in_flight: InFlightTable::new(worker_count),
-            answer_by: None,
+            shutdown_deadline: None,
             priority_events: VecDeque::new(),
             updates_handled: 0,
             events: VecDeque::new(),
@@ -57,48 +57,48 @@
         }
     }
 
-    /// Requests that await their answer, on all workers.
+    /// Returns the number of requests that await their response, on all workers.
     pub(crate) fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Requests that await their answer on one worker.
-    pub(crate) fn in_flight_count_of(&self, worker: WorkerId) -> usize {
+    /// Returns the number of requests that await their response on one worker.
+    pub(crate) fn in_flight_count_on(&self, worker: WorkerId) -> usize {
         self.in_flight.len_on(worker)
     }
 
-    /// Bytes in the bodies of the requests that await their answer, on all workers.
+    /// Returns the total body size, in bytes, of the requests that await their response, on all workers.
     pub(crate) fn in_flight_bytes(&self) -> usize {
         self.in_flight.body_bytes()
     }
 
-    /// Whether a request with the same `Request-Id` is open: another client's, or one sent again while the first
-    /// is still in flight.
-    pub(crate) fn is_open(&self, message: &Message) -> bool {
-        self.in_flight.is_open(message)
+    /// Returns whether an open request has the same `Request-Id`: a request of another client, or the same
+    /// request sent again while it is still in flight.
+    pub(crate) fn is_duplicate(&self, message: &Message) -> bool {
+        self.in_flight.is_duplicate(message)
     }
 
-    /// When [`Dispatcher::expire_overdue`] next has something to do for a worker.
+    /// Returns when [`Dispatcher::expire_overdue`] must next be called for a worker.
     pub(crate) fn next_deadline(&self, worker: WorkerId) -> Option<Micros> {
         self.in_flight.next_expiration(worker)
     }
 
-    /// A request that awaits its answer.
+    /// Returns a request that awaits its response.
     pub(crate) fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
-        self.in_flight.awaiting(id)
+        self.in_flight.get_awaiting_response(id)
     }
 
-    /// Queues an update of the endpoint list or the rollout: it is handled before any other event that waits.
+    /// Queues an update of the endpoint list or the rollout, to be handled before all other queued events.
     pub(crate) fn queue_priority_event(&mut self, event: Event) {
         self.priority_events.push_back(event);
     }
 
-    /// Queues any other event.
+    /// Queues an event of any other kind.
     pub(crate) fn queue_event(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
-    /// Accepts a request from a client, and returns the number given to it.
+    /// Accepts a request from a client and returns its id.
     pub(crate) fn on_request(
         &mut self,
         client: ConnId,
@@ -108,32 +108,32 @@
     ) -> RequestId {
         let Classification { class, tenant, timeout, work_hint, is_retry } = classification;
         let own_deadline = now + timeout;
-        let deadline = self.answer_by.map_or(own_deadline, |latest| latest.min(own_deadline));
+        let deadline = self.shutdown_deadline.map_or(own_deadline, |latest| latest.min(own_deadline));
         let id = self.in_flight.insert(client, message, class, deadline);
         let request = Request { id, class, tenant, key: None, deadline, work_hint, is_retry };
         self.events.push_back(Event::Request(request));
         id
     }
 
-    /// The process shuts down and may be killed after `latest`: requests in flight and those still to come are
-    /// answered by then.
-    pub(crate) fn answer_by(&mut self, latest: Micros) {
-        self.answer_by = Some(latest);
+    /// Limits the deadlines of current and future requests to `latest`. Called when the process shuts down,
+    /// since it may be killed after that time.
+    pub(crate) fn limit_deadlines(&mut self, latest: Micros) {
+        self.shutdown_deadline = Some(latest);
         self.in_flight.limit_deadlines(latest);
     }
 
-    /// The client has disconnected, so nobody waits for the answer any more. Returns the attempt whose response was
-    /// being streamed, if any.
+    /// Records that the client has disconnected and no longer waits for the response. Returns the attempt
+    /// whose response was being streamed, if any.
     pub(crate) fn on_disconnect(&mut self, id: RequestId) -> Option<usize> {
-        self.in_flight.mark_answered(id)?;
+        self.in_flight.mark_completed(id)?;
         self.events.push_back(Event::ClientDisconnected(id));
         self.in_flight.get(id)?.streaming_attempt
     }
 
-    /// Fails the requests of a worker that have expired. A stream that has started goes on.
+    /// Fails the requests of a worker that have expired. A response that is already being streamed continues.
     ///
-    /// Only the worker itself may ask for this, after it has read what has arrived on its connections: a response
-    /// may lie there unread, and no other worker could know.
+    /// Only the worker itself may call this, after reading from its connections: a response may have arrived
+    /// that has not been read yet, which no other worker can know.
     pub(crate) fn expire_overdue(&mut self, worker: WorkerId, now: Micros, commands: &mut Vec<Command>) {
         while let Some(id) = self.in_flight.pop_expired(worker, now) {
             let Some(request) = self.get(id) else { continue };
@@ -146,7 +146,8 @@
         }
     }
 
-    /// The streamed response of an attempt has started. False if nobody waits for it any more.
+    /// Starts forwarding an attempt's streamed response. Returns false if the client no longer waits for a
+    /// response or another attempt is already streaming one.
     pub(crate) fn on_response_started(
         &mut self,
         id: RequestId,
@@ -155,7 +156,7 @@
         commands: &mut Vec<Command>,
     ) -> bool {
         let Some(request) = self.in_flight.get_mut(id) else { return false };
-        if !request.awaiting_answer || request.streaming_attempt.is_some() {
+        if !request.awaiting_response || request.streaming_attempt.is_some() {
             return false;
         }
         request.streaming_attempt = Some(attempt);
@@ -164,8 +165,8 @@
         true
     }
 
-    /// An attempt has ended. The first one that succeeded ends the request, and so does the end of a stream that had
-    /// started.
+    /// Records that an attempt has ended. The request ends with its first successful attempt, or with the end
+    /// of the attempt that is streaming its response.
     pub(crate) fn on_attempt_completed(
         &mut self,
         mut result: AttemptResult,
@@ -174,17 +175,17 @@
     ) {
         result.request_finished = true;
         if let Some(request) = self.get(result.id) {
-            let answer = answer_after(request, &result, response);
-            result.request_finished = answer.is_some();
-            commands.extend(answer);
+            let command = response_command(request, &result, response);
+            result.request_finished = command.is_some();
+            commands.extend(command);
         }
         if result.request_finished {
-            self.in_flight.mark_answered(result.id);
+            self.in_flight.mark_completed(result.id);
         }
         self.events.push_back(Event::AttemptCompleted(result));
     }
 
-    /// An attempt ended before anything could be sent.
+    /// Reports an attempt that ended before any byte was sent.
     pub(crate) fn on_attempt_not_started(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         let request_finished = self.get(id).is_none();
         self.events.push_back(Event::AttemptCompleted(AttemptResult {
@@ -197,7 +198,8 @@
         }));
     }
 
-    /// Has the policy handle the next event and turns its actions into commands. False if no event waits.
+    /// Lets the policy handle the next event and turns its actions into commands. Returns false if no event
+    /// is queued.
     pub(crate) fn handle_next_event(&mut self, now: Micros, commands: &mut Vec<Command>) -> bool {
         let Some(event) = self.next_event() else { return false };
         let finished_request = finished_request(&event);
@@ -225,7 +227,7 @@
         let command = match action {
             Action::Forward { id, endpoint, timeout } => self.forward(now, id, endpoint, timeout),
             Action::Cancel { id, attempt } => Some(Command::Cancel { id, attempt }),
-            // Where nobody waits any more, the policy has not been notified yet.
+            // If the request is already completed, the event that says so is still queued for the policy.
             Action::Reject { id, retry_after } => {
                 self.end_request(id).map(|client| Command::Reject { client, retry_after })
             }
@@ -233,7 +235,7 @@
             Action::SetTimer { after, token } => Some(Command::SetTimer { at: now + after, token }),
             Action::HealthCheck(endpoint) => Some(Command::HealthCheck(endpoint)),
             Action::CloseIdle(endpoint) => Some(Command::CloseIdle(endpoint)),
-            // The platform's pages give instances no way to communicate, so no message leaves.
+            // The deployment platform offers no channel between instances, so gossip is dropped.
             Action::SendGossip { .. } => None,
             Action::WatchEndpoints(watch) => Some(Command::WatchEndpoints(watch)),
             Action::PollEndpoints => Some(Command::PollEndpoints),
@@ -243,7 +245,8 @@
         commands.extend(command);
     }
 
-    /// Numbers a new attempt. One that may not start is reported to the policy as not sent.
+    /// Numbers a new attempt and returns the command that starts it. An attempt that may not start is
+    /// reported to the policy as not sent.
     fn forward(
         &mut self,
         now: Micros,
@@ -252,12 +255,12 @@
         timeout: Option<Micros>,
     ) -> Option<Command> {
         let request = self.in_flight.get_mut(id)?;
-        let attempt = request.attempts;
-        request.attempts += 1;
+        let attempt = request.attempt_count;
+        request.attempt_count += 1;
         let streamed = self.config.classes[request.class.0].streamed;
         let deadline = timeout.map_or(request.deadline, |timeout| request.deadline.min(now + timeout));
         let allowed = attempt < self.config.max_attempts && (deadline > now || streamed);
-        if !allowed || !request.awaiting_answer || request.streaming_attempt.is_some() {
+        if !allowed || !request.awaiting_response || request.streaming_attempt.is_some() {
             self.on_attempt_not_started(id, attempt, Outcome::NotSent);
             return None;
         }
@@ -265,16 +268,16 @@
         Some(Command::Forward(ForwardAttempt { id, attempt, endpoint, deadline, stamp }))
     }
 
-    /// The policy has ended a request: the client that still waits for its answer, if any.
+    /// Ends a request as the policy has decided. Returns the client if it still waits for the response.
     fn end_request(&mut self, id: RequestId) -> Option<ConnId> {
-        let client = self.in_flight.mark_answered(id);
+        let client = self.in_flight.mark_completed(id);
         self.in_flight.remove(id);
         client
     }
 }
 
-/// What the client is to be answered after an attempt, if that ends its request.
-fn answer_after(
+/// Returns the command that completes the client's response, if the attempt ends its request.
+fn response_command(
     request: &InFlightRequest,
     result: &AttemptResult,
     response: Option<Response>,
@@ -290,7 +293,7 @@
     }
 }
 
-/// The request that is over once the policy has handled this event.
+/// Returns the request that is over once the policy has handled this event.
 fn finished_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::ClientDisconnected(id) => Some(*id),
--- a/crates/proxy/src/dispatcher/command.rs
+++ b/crates/proxy/src/dispatcher/command.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher asks the sockets to do.
+//! Commands of the dispatcher to the I/O layer.
 
 use garnetcrank_http::{Headers, Response};
 use garnetcrank_policy::api::{Build, EndpointId, Micros, RequestId, Verdict};
@@ -9,76 +9,76 @@
 /// An attempt that the policy has decided on.
 #[derive(Debug)]
 pub(crate) struct ForwardAttempt {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub(crate) id: RequestId,
     /// Number of the attempt, counted from 0.
     pub(crate) attempt: usize,
-    /// The endpoint to send it to.
+    /// Endpoint to send the request to.
     pub(crate) endpoint: EndpointId,
-    /// When to stop waiting for its response.
+    /// Time at which the attempt times out.
     pub(crate) deadline: Micros,
-    /// What the decision was based on; checked again just before sending.
+    /// State of the policy that the decision was based on; checked again just before sending.
     pub(crate) stamp: DecisionStamp,
 }
 
-/// One thing to be done on a worker's sockets or timers.
+/// Operation on a worker's connections or timers.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Start an attempt for a request in flight.
+    /// Start an attempt of a request in flight.
     Forward(ForwardAttempt),
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, counted from 0.
         attempt: usize,
     },
-    /// Final answer: an endpoint's response.
+    /// Final response: the response of an endpoint.
     Respond {
         /// The client's connection.
         client: ConnId,
         /// The response to forward.
         response: Response,
     },
-    /// Final answer: rejected without having run anywhere, so a retry is harmless.
+    /// Final response: rejected without having run on any endpoint, so that a retry is safe.
     Reject {
         /// The client's connection.
         client: ConnId,
         /// Time after which the client may retry, in microseconds from now.
         retry_after: Option<Micros>,
     },
-    /// Final answer: the policy failed the request.
+    /// Final response: failed by the policy.
     Fail {
         /// The client's connection.
         client: ConnId,
     },
-    /// Final answer: the dispatcher failed the request, since nothing else had ended it in time.
+    /// Final response: failed by the dispatcher because nothing else ended the request in time.
     DeadlineExceeded {
         /// The client's connection.
         client: ConnId,
     },
-    /// A streamed response starts.
+    /// Start a streamed response.
     StartResponse {
         /// The client's connection.
         client: ConnId,
         /// Headers of the endpoint's response.
         headers: Headers,
     },
-    /// A streamed response is complete.
+    /// Finish a streamed response.
     FinishResponse {
         /// The client's connection.
         client: ConnId,
     },
-    /// A streamed response broke off; the client must be able to tell that it is incomplete.
+    /// Abort a streamed response in such a way that the client can tell that it is incomplete.
     AbortResponse {
         /// The client's connection.
         client: ConnId,
     },
-    /// Return a token to the policy at a moment.
+    /// Set a timer for the policy.
     SetTimer {
-        /// The moment.
+        /// Time at which the timer is due.
         at: Micros,
-        /// The policy's token.
+        /// Token that is returned to the policy when the timer is due.
         token: u64,
     },
     /// Send a health check to an endpoint.
@@ -91,11 +91,11 @@
     PollEndpoints,
     /// Cast a vote on a build.
     CastVote {
-        /// The build.
+        /// Build that the vote is about.
         build: Build,
-        /// The rollout stage that the vote is about.
+        /// Rollout stage that the vote is about.
         stage: usize,
-        /// The vote.
+        /// Verdict of the vote.
         verdict: Verdict,
     },
     /// Write a line to the log.
--- a/crates/proxy/src/dispatcher/in_flight.rs
+++ b/crates/proxy/src/dispatcher/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: who sent them, when they expire and how much they hold.
+//! Table of the requests in flight, with their clients, expirations and memory use.
 
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
@@ -11,30 +11,30 @@
 use crate::readiness::ConnId;
 use crate::worker_id::WorkerId;
 
-/// Grace after a request's deadline before the dispatcher fails it. The policy's own answer comes first within
-/// it, and the deployment's slack on deadlines is not used up.
+/// Grace period after a request's deadline before the dispatcher fails it. It lets the policy's own response
+/// come first, and stays within the deployment's tolerance on deadlines.
 pub(super) const EXPIRATION_GRACE: Micros = 5 * MS;
 
-/// A request that the policy knows of or is about to be notified of.
+/// A request that the policy knows of, or whose arrival is queued for it.
 pub(crate) struct InFlightRequest {
-    /// The connection of the client that sent it.
+    /// Connection of the client that sent the request.
     pub(crate) client: ConnId,
-    /// The request itself. Shared, so that it can be sent without holding the dispatcher's lock.
+    /// The request itself, shared so that it can be sent without holding the dispatcher's lock.
     pub(crate) message: Arc<Message>,
-    /// Its request class.
+    /// Request class.
     pub(crate) class: ClassId,
-    /// When it must be answered.
+    /// Deadline for the final response.
     pub(super) deadline: Micros,
-    /// Attempts that the policy has asked for so far.
-    pub(super) attempts: usize,
-    /// Its final answer has not been given. Once it has, the record stays until the policy has been notified, since
-    /// the policy may ask for something in between.
-    pub(super) awaiting_answer: bool,
-    /// The attempt whose streamed response has started.
+    /// Number of attempts that the policy has requested.
+    pub(super) attempt_count: usize,
+    /// Whether the final response is still due. Once it is not, the record stays until the policy has handled
+    /// the event that ends the request, since the policy may still refer to it until then.
+    pub(super) awaiting_response: bool,
+    /// Attempt whose streamed response has started.
     pub(crate) streaming_attempt: Option<usize>,
 }
 
-/// When a request is failed unless something else ends it first. Ordered by time, then by request.
+/// Time at which a request is failed unless it ends first. Ordered by time, then by request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiration {
     at: Micros,
@@ -42,73 +42,73 @@
 }
 
 impl Expiration {
-    fn of(id: RequestId, deadline: Micros) -> Self {
+    fn new(id: RequestId, deadline: Micros) -> Self {
         Expiration { at: deadline + EXPIRATION_GRACE, id }
     }
 }
 
-/// All requests in flight on all workers, with running totals of those that still await their answer.
+/// All requests in flight on all workers, with running totals of those that await their response.
 pub(super) struct InFlightTable {
     requests: FxHashMap<RequestId, InFlightRequest>,
-    /// The `Request-Id` headers of the requests that await an answer.
+    /// `Request-Id` headers of the requests that await their response.
     open_request_ids: HashSet<Vec<u8>>,
     expirations: BTreeSet<Expiration>,
-    awaiting_answer: usize,
-    awaiting_answer_by_worker: Vec<usize>,
+    awaiting_count: usize,
+    awaiting_count_by_worker: Vec<usize>,
     body_bytes: usize,
     next_number: u32,
 }
 
 impl InFlightTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(super) fn new(worker_count: usize) -> Self {
         InFlightTable {
             requests: FxHashMap::default(),
             open_request_ids: HashSet::new(),
             expirations: BTreeSet::new(),
-            awaiting_answer: 0,
-            awaiting_answer_by_worker: vec![0; worker_count],
+            awaiting_count: 0,
+            awaiting_count_by_worker: vec![0; worker_count],
             body_bytes: 0,
             next_number: 0,
         }
     }
 
-    /// Requests that await their answer.
+    /// Returns the number of requests that await their response.
     pub(super) fn len(&self) -> usize {
-        self.awaiting_answer
+        self.awaiting_count
     }
 
-    /// Requests of one worker that await their answer.
+    /// Returns the number of requests of one worker that await their response.
     pub(super) fn len_on(&self, worker: WorkerId) -> usize {
-        self.awaiting_answer_by_worker[worker.0]
+        self.awaiting_count_by_worker[worker.0]
     }
 
-    /// Bytes in the bodies of the requests that await their answer.
+    /// Returns the total body size, in bytes, of the requests that await their response.
     pub(super) fn body_bytes(&self) -> usize {
         self.body_bytes
     }
 
-    /// Whether a request with the same `Request-Id` awaits its answer.
-    pub(super) fn is_open(&self, message: &Message) -> bool {
+    /// Returns whether a request with the same `Request-Id` awaits its response.
+    pub(super) fn is_duplicate(&self, message: &Message) -> bool {
         self.open_request_ids.contains(request_id_header(message))
     }
 
-    /// A request that awaits its answer.
-    pub(super) fn awaiting(&self, id: RequestId) -> Option<&InFlightRequest> {
-        self.requests.get(&id).filter(|request| request.awaiting_answer)
+    /// Returns a request that awaits its response.
+    pub(super) fn get_awaiting_response(&self, id: RequestId) -> Option<&InFlightRequest> {
+        self.requests.get(&id).filter(|request| request.awaiting_response)
     }
 
-    /// A request, answered or not.
+    /// Returns a request, completed or not.
     pub(super) fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
         self.requests.get(&id)
     }
 
-    /// A request, answered or not.
+    /// Returns a request for modification, completed or not.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Adds a request and allocates its number.
+    /// Adds a request and allocates its id.
     pub(super) fn insert(
         &mut self,
         client: ConnId,
@@ -117,27 +117,28 @@
         deadline: Micros,
     ) -> RequestId {
         let id = self.allocate_id(client.worker());
-        self.awaiting_answer += 1;
-        self.awaiting_answer_by_worker[client.worker().0] += 1;
+        self.awaiting_count += 1;
+        self.awaiting_count_by_worker[client.worker().0] += 1;
         self.body_bytes += message.body.len();
         self.open_request_ids.insert(request_id_header(&message).to_vec());
-        self.expirations.insert(Expiration::of(id, deadline));
+        self.expirations.insert(Expiration::new(id, deadline));
         let request = InFlightRequest {
             client,
             message: Arc::new(message),
             class,
             deadline,
-            attempts: 0,
-            awaiting_answer: true,
+            attempt_count: 0,
+            awaiting_response: true,
             streaming_attempt: None,
         };
         self.requests.insert(id, request);
         id
     }
 
-    /// The next unused number whose remainder by the number of workers is the worker that owns the request.
+    /// Allocates the next unused id whose remainder by the number of workers is the worker that owns the
+    /// request.
     fn allocate_id(&mut self, worker: WorkerId) -> RequestId {
-        let worker_count = self.awaiting_answer_by_worker.len() as u32;
+        let worker_count = self.awaiting_count_by_worker.len() as u32;
         let numbers_per_worker = u32::MAX / worker_count;
         let id_of = |number: u32| RequestId(number % numbers_per_worker * worker_count + worker.0 as u32);
         while self.requests.contains_key(&id_of(self.next_number)) {
@@ -148,45 +149,48 @@
         id
     }
 
-    /// The final answer has been given, or nobody waits for it any more: the client that had waited. None if that
-    /// was so before. The record stays until [`InFlightTable::remove`].
-    pub(super) fn mark_answered(&mut self, id: RequestId) -> Option<ConnId> {
+    /// Marks a request as completed: its final response has been given, or its client has disconnected.
+    /// Returns the client, or none if the request was completed before. The record stays until
+    /// [`InFlightTable::remove`].
+    pub(super) fn mark_completed(&mut self, id: RequestId) -> Option<ConnId> {
         let request = self.requests.get_mut(&id)?;
-        if !request.awaiting_answer {
+        if !request.awaiting_response {
             return None;
         }
-        request.awaiting_answer = false;
-        self.awaiting_answer -= 1;
-        self.awaiting_answer_by_worker[request.client.worker().0] -= 1;
+        request.awaiting_response = false;
+        self.awaiting_count -= 1;
+        self.awaiting_count_by_worker[request.client.worker().0] -= 1;
         self.body_bytes -= request.message.body.len();
         self.open_request_ids.remove(request_id_header(&request.message));
-        self.expirations.remove(&Expiration::of(id, request.deadline));
+        self.expirations.remove(&Expiration::new(id, request.deadline));
         Some(request.client)
     }
 
-    /// Forgets a request; the policy knows that it is over.
+    /// Removes the record of a request whose end the policy has handled.
     pub(super) fn remove(&mut self, id: RequestId) {
         self.requests.remove(&id);
     }
 
-    /// Moves the deadlines of all requests that await their answer to `latest`, where they are later.
+    /// Moves the deadlines that are later than `latest` to `latest`, for all requests that await their
+    /// response.
     pub(super) fn limit_deadlines(&mut self, latest: Micros) {
         for (id, request) in &mut self.requests {
-            if !request.awaiting_answer || request.deadline <= latest {
+            if !request.awaiting_response || request.deadline <= latest {
                 continue;
             }
-            self.expirations.remove(&Expiration::of(*id, request.deadline));
+            self.expirations.remove(&Expiration::new(*id, request.deadline));
             request.deadline = latest;
-            self.expirations.insert(Expiration::of(*id, request.deadline));
+            self.expirations.insert(Expiration::new(*id, request.deadline));
         }
     }
 
-    /// When the first request of a worker expires.
+    /// Returns when the first request of a worker expires.
     pub(super) fn next_expiration(&self, worker: WorkerId) -> Option<Micros> {
         self.first_expiration(worker).map(|expiration| expiration.at)
     }
 
-    /// Takes the next request of a worker that has expired off the list of expirations.
+    /// Removes and returns the next expiration of a worker that is due. The request itself stays in the
+    /// table.
     pub(super) fn pop_expired(&mut self, worker: WorkerId, now: Micros) -> Option<RequestId> {
         let expiration = self.first_expiration(worker)?;
         if expiration.at > now {
@@ -197,25 +201,25 @@
     }
 
     fn first_expiration(&self, worker: WorkerId) -> Option<Expiration> {
-        let worker_count = self.awaiting_answer_by_worker.len();
+        let worker_count = self.awaiting_count_by_worker.len();
         let mut expirations = self.expirations.iter();
         expirations.find(|e| WorkerId::owning_request(e.id, worker_count) == worker).copied()
     }
 
-    /// Whether nothing is kept of any request.
+    /// Returns whether the table holds no trace of any request.
     #[cfg(test)]
     pub(super) fn is_clean(&self) -> bool {
         self.requests.is_empty() && self.open_request_ids.is_empty() && self.expirations.is_empty()
     }
 
-    /// Entries on the list of expirations.
+    /// Returns the number of scheduled expirations.
     #[cfg(test)]
     pub(super) fn expiration_count(&self) -> usize {
         self.expirations.len()
     }
 }
 
-/// The client's own name for a request.
+/// Returns the client's own id of a request.
 fn request_id_header(message: &Message) -> &[u8] {
     message.headers.values("request-id").next().unwrap_or_default().trim_ascii()
 }
--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -11,7 +11,7 @@
 
 fn settings() -> Settings {
     let settings = serde_json::from_str(include_str!("../../tests/settings.json")).expect("JSON");
-    Settings::read(&settings).expect("settings that hold together")
+    Settings::read(&settings).expect("valid settings")
 }
 
 fn dispatcher_with_one_endpoint() -> Dispatcher {
@@ -21,27 +21,29 @@
         endpoints: vec![entry],
         cached: true,
     }));
-    drain(&mut dispatcher);
+    handle_all_events(&mut dispatcher);
     dispatcher
 }
 
-fn drain(dispatcher: &mut Dispatcher) -> Vec<Command> {
+fn handle_all_events(dispatcher: &mut Dispatcher) -> Vec<Command> {
     let mut commands = Vec::new();
     while dispatcher.handle_next_event(NOW, &mut commands) {}
     commands.retain(|c| !matches!(c, Command::SetTimer { .. } | Command::Log(_)));
     commands
 }
 
-fn arrive(dispatcher: &mut Dispatcher, target: &str) -> RequestId {
+fn receive_request(dispatcher: &mut Dispatcher, target: &str) -> RequestId {
     let text = format!(
         "POST {target} HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nTenant: acme\r\n\
          Request-Timeout-Ms: 900\r\nContent-Length: 2\r\n\r\nhi"
     );
     let mut ring = Ring::new(4096);
-    ring.push(text.as_bytes()).expect("room");
-    let Ok(Parsed::Complete(message)) = RequestReader::new(10).read(&mut ring) else { panic!("no request") };
-    let classification = classify(&settings(), &message).expect("a request");
-    assert!(!dispatcher.is_open(&message), "an earlier request is still open");
+    ring.push(text.as_bytes()).expect("space in the ring buffer");
+    let Ok(Parsed::Complete(message)) = RequestReader::new(10).read(&mut ring) else {
+        panic!("the request is not complete")
+    };
+    let classification = classify(&settings(), &message).expect("a classifiable request");
+    assert!(!dispatcher.is_duplicate(&message), "an earlier request is still open");
     dispatcher.on_request(ConnId(1), message, classification, NOW)
 }
 
@@ -53,89 +55,96 @@
 fn a_client_that_disconnects_before_the_decision_leaks_nothing() {
     let mut dispatcher = dispatcher_with_one_endpoint();
     for _ in 0..100 {
-        let id = arrive(&mut dispatcher, "/look");
+        let id = receive_request(&mut dispatcher, "/look");
         assert_eq!((dispatcher.in_flight_count(), dispatcher.in_flight_bytes()), (1, 2));
         dispatcher.on_disconnect(id);
-        let commands = drain(&mut dispatcher);
-        let only_withdrawn = commands.iter().all(|c| matches!(c, Command::Cancel { .. }));
-        assert!(only_withdrawn, "something is sent or answered for it: {commands:?}");
+        let commands = handle_all_events(&mut dispatcher);
+        let only_cancelled = commands.iter().all(|c| matches!(c, Command::Cancel { .. }));
+        assert!(only_cancelled, "commands other than Cancel: {commands:?}");
         assert!(
             dispatcher.in_flight.get(id).is_none()
                 && dispatcher.in_flight_count() == 0
                 && dispatcher.in_flight_bytes() == 0
         );
-        assert!(dispatcher.in_flight.is_clean(), "something is kept for it");
+        assert!(dispatcher.in_flight.is_clean(), "the table still refers to the request");
     }
-    // The module's count of open attempts is right: it sends the next one at once.
-    arrive(&mut dispatcher, "/look");
-    assert!(matches!(drain(&mut dispatcher)[..], [Command::Forward(ForwardAttempt { attempt: 0, .. })]));
+    // The policy's count of open attempts is still right: it forwards the next request at once.
+    receive_request(&mut dispatcher, "/look");
+    assert!(matches!(
+        handle_all_events(&mut dispatcher)[..],
+        [Command::Forward(ForwardAttempt { attempt: 0, .. })]
+    ));
 }
 
 #[test]
-fn the_first_answer_is_final_and_nothing_expires_after_it() {
+fn the_first_response_is_final_and_the_request_does_not_expire_later() {
     let mut dispatcher = dispatcher_with_one_endpoint();
-    let id = arrive(&mut dispatcher, "/pay");
-    assert_eq!(drain(&mut dispatcher).len(), 1);
+    let id = receive_request(&mut dispatcher, "/pay");
+    assert_eq!(handle_all_events(&mut dispatcher).len(), 1);
     let mut ring = Ring::new(4096);
-    ring.push(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").expect("room");
+    ring.push(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").expect("space in the ring buffer");
     let read = garnetcrank_http::ResponseReader::buffered(10).read(&mut ring, false);
-    let Ok(Parsed::Complete(answer)) = read else { panic!("no answer") };
+    let Ok(Parsed::Complete(response)) = read else { panic!("the response is not complete") };
     let mut commands = Vec::new();
-    dispatcher.on_attempt_completed(result(id, 0, Outcome::Success), Some(answer), &mut commands);
+    dispatcher.on_attempt_completed(result(id, 0, Outcome::Success), Some(response), &mut commands);
     assert!(matches!(commands[..], [Command::Respond { client: ConnId(1), .. }]));
     commands.clear();
     dispatcher.expire_overdue(WorkerId::FIRST, NOW + 3_600_000 * MS, &mut commands);
-    assert!(commands.is_empty() && drain(&mut dispatcher).is_empty() && dispatcher.in_flight.is_clean());
+    assert!(
+        commands.is_empty()
+            && handle_all_events(&mut dispatcher).is_empty()
+            && dispatcher.in_flight.is_clean()
+    );
 }
 
 #[test]
-fn a_request_that_nothing_ended_is_failed_when_it_expires() {
+fn a_request_without_a_response_is_failed_when_it_expires() {
     let mut dispatcher = dispatcher_with_one_endpoint();
-    let id = arrive(&mut dispatcher, "/pay");
-    drain(&mut dispatcher);
+    let id = receive_request(&mut dispatcher, "/pay");
+    handle_all_events(&mut dispatcher);
     let mut commands = Vec::new();
     dispatcher.expire_overdue(WorkerId::FIRST, NOW + 900 * MS, &mut commands);
-    assert!(commands.is_empty(), "before its time");
+    assert!(commands.is_empty(), "failed before the grace period ended");
     dispatcher.expire_overdue(WorkerId::FIRST, NOW + 900 * MS + EXPIRATION_GRACE, &mut commands);
     assert!(matches!(commands[..], [Command::DeadlineExceeded { client: ConnId(1) }]));
-    assert!(matches!(drain(&mut dispatcher)[..], [Command::Cancel { attempt: 0, .. }]));
+    assert!(matches!(handle_all_events(&mut dispatcher)[..], [Command::Cancel { attempt: 0, .. }]));
     dispatcher.on_attempt_completed(result(id, 0, Outcome::Cancelled), None, &mut commands);
-    assert!(drain(&mut dispatcher).is_empty() && dispatcher.in_flight.is_clean());
+    assert!(handle_all_events(&mut dispatcher).is_empty() && dispatcher.in_flight.is_clean());
 }
 
 #[test]
-fn a_shutting_down_process_answers_every_request_before_it_may_be_killed() {
+fn a_process_that_shuts_down_answers_every_request_before_it_may_be_killed() {
     let mut dispatcher = dispatcher_with_one_endpoint();
-    arrive(&mut dispatcher, "/pay");
-    assert_eq!(drain(&mut dispatcher).len(), 1);
-    dispatcher.answer_by(NOW + 5_000 * MS);
+    receive_request(&mut dispatcher, "/pay");
+    assert_eq!(handle_all_events(&mut dispatcher).len(), 1);
+    dispatcher.limit_deadlines(NOW + 5_000 * MS);
     assert_eq!(
         dispatcher.next_deadline(WorkerId::FIRST),
         Some(NOW + 900 * MS + EXPIRATION_GRACE),
-        "its own time is over before that"
+        "its own deadline is earlier"
     );
-    dispatcher.answer_by(NOW + 300 * MS);
+    dispatcher.limit_deadlines(NOW + 300 * MS);
     assert_eq!(dispatcher.next_deadline(WorkerId::FIRST), Some(NOW + 300 * MS + EXPIRATION_GRACE));
     let mut commands = Vec::new();
     dispatcher.expire_overdue(WorkerId::FIRST, NOW + 300 * MS + EXPIRATION_GRACE, &mut commands);
     assert!(matches!(commands[..], [Command::DeadlineExceeded { .. }]));
-    drain(&mut dispatcher);
-    // One that comes now has that time and no longer, and is sent nowhere for longer.
-    arrive(&mut dispatcher, "/look");
+    handle_all_events(&mut dispatcher);
+    // The shutdown deadline also limits a request that arrives after it was set, and its attempts.
+    receive_request(&mut dispatcher, "/look");
     assert_eq!(dispatcher.next_deadline(WorkerId::FIRST), Some(NOW + 300 * MS + EXPIRATION_GRACE));
     let in_time = |c: &Command| matches!(c, Command::Forward(forward) if forward.deadline <= NOW + 300 * MS);
-    let forwarded = drain(&mut dispatcher);
+    let forwarded = handle_all_events(&mut dispatcher);
     assert!(forwarded.iter().all(in_time) && forwarded.len() == 1, "{forwarded:?}");
-    dispatcher.answer_by(NOW + 200 * MS);
+    dispatcher.limit_deadlines(NOW + 200 * MS);
     assert_eq!(
         (dispatcher.in_flight.expiration_count(), dispatcher.in_flight_count()),
         (1, 1),
-        "an entry was left behind"
+        "a replaced expiration was not removed"
     );
 }
 
 #[test]
-fn what_may_have_run_is_failed_and_what_certainly_did_not_is_retried() {
+fn an_attempt_is_retried_only_if_it_certainly_did_not_run() {
     for (outcome, retried) in [
         (Outcome::ConnectionLost, false),
         (Outcome::Error, false),
@@ -145,10 +154,10 @@
         (Outcome::NotSent, true),
     ] {
         let mut dispatcher = dispatcher_with_one_endpoint();
-        let id = arrive(&mut dispatcher, "/pay");
-        drain(&mut dispatcher);
+        let id = receive_request(&mut dispatcher, "/pay");
+        handle_all_events(&mut dispatcher);
         dispatcher.on_attempt_completed(result(id, 0, outcome), None, &mut Vec::new());
-        let commands = drain(&mut dispatcher);
+        let commands = handle_all_events(&mut dispatcher);
         match retried {
             true => {
                 assert!(
@@ -164,9 +173,12 @@
 #[test]
 fn updates_are_handled_before_requests_of_the_same_turn() {
     let mut dispatcher = dispatcher_with_one_endpoint();
-    arrive(&mut dispatcher, "/pay");
-    let drains =
+    receive_request(&mut dispatcher, "/pay");
+    let draining =
         EndpointRecord { status: EndpointStatus::Draining, rating: 1.0, ..EndpointRecord::default() };
-    dispatcher.queue_priority_event(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drains])));
-    assert!(matches!(drain(&mut dispatcher)[..], [Command::Reject { .. }]), "sent to a draining endpoint");
+    dispatcher.queue_priority_event(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![draining])));
+    assert!(
+        matches!(handle_all_events(&mut dispatcher)[..], [Command::Reject { .. }]),
+        "forwarded to a draining endpoint"
+    );
 }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of the process, from start to exit.
+//! Lifecycle of the process, from start to exit.
 
 #[cfg(test)]
 mod tests;
@@ -8,22 +8,24 @@
 
 use crate::clock::{MS, SECOND};
 
-/// Longest wait for the first endpoint list before clients are served on the list of the configuration.
-const MAX_START_WAIT: Micros = 500 * MS;
-/// How long clients may still connect after the stop signal: whoever sends them here needs time to notice.
-const ACCEPT_WHILE_DRAINING: Micros = 550 * MS;
-/// How long before the end of that idle connections are closed: a client that wrote on one at that moment connects
-/// again, and must find somebody listening.
+/// Maximum wait for the first endpoint list before clients are served with the list of the configuration.
+const MAX_STARTUP_WAIT: Micros = 500 * MS;
+/// Period after the stop signal in which clients may still connect, since load balancing needs time to
+/// notice.
+const DRAIN_ACCEPT_PERIOD: Micros = 550 * MS;
+/// Period before the end of [`DRAIN_ACCEPT_PERIOD`] in which idle connections are closed. A client that sends
+/// a request on a connection while it is being closed must still be able to reconnect.
 const RECONNECT_WINDOW: Micros = 100 * MS;
-/// Longest time to finish requests in flight after the last client was accepted. Requests are answered by then; only
-/// streams that have started can take longer.
-const MAX_DRAIN: Micros = 10 * SECOND;
-/// The platform may kill the process this long after the stop signal and the longest deadline of a request ...
+/// Maximum time to finish requests in flight after the last client was accepted. Requests are answered by
+/// then; only a response that is being streamed can take longer.
+const MAX_DRAIN_DURATION: Micros = 10 * SECOND;
+/// Time that the platform grants before it may kill the process, counted from the stop signal and in addition
+/// to the longest request deadline, of which at most [`MAX_COUNTED_DEADLINE`] counts.
 const KILL_GRACE: Micros = 700 * MS;
-/// ... of which it counts no more than this.
+/// Maximum part of the longest request deadline that the platform adds to [`KILL_GRACE`].
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
-/// Answers are written this long before the process may be killed: they need time to travel, and the process may be
-/// kept waiting for CPU.
+/// Time between the last response and the moment the process may be killed. It covers the transfer to the
+/// client and delays from a shortage of CPU.
 const KILL_MARGIN: Micros = 100 * MS;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,45 +36,46 @@
     Stopped,
 }
 
-/// How far the process is. What holds at one stage holds at all later ones, too.
+/// Stage of the process in its lifecycle. What applies at one stage also applies at all later ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum LifecycleStage {
-    /// No endpoint list has been received yet.
+    /// No endpoint list has been received.
     Starting,
-    /// Clients may be sent here.
+    /// Ready: clients may be sent here.
     Serving,
-    /// Every answer closes its connection.
+    /// Every response closes its connection.
     Draining,
-    /// Idle connections are closed: no new client is sent here any more.
+    /// Idle connections are closed, and no new clients are expected.
     ClosingIdle,
-    /// The last clients have been accepted and nothing listens.
+    /// The last clients have been accepted and the listening socket is closed.
     NotAccepting,
     /// The process may exit.
     Stopped,
 }
 
-/// The state machine of the process. It does no I/O and reads no clock.
+/// State machine of the process. It does no I/O and reads no clock.
 #[derive(Debug)]
 pub(crate) struct Lifecycle {
     state: State,
-    /// After the stop signal, all answers are given within this time.
-    answer_within: Micros,
+    /// Time after the stop signal within which all responses are given.
+    response_timeout: Micros,
 }
 
 impl Lifecycle {
-    /// A process that starts now. `longest_deadline` is the longest time that any request class allows.
+    /// Creates the lifecycle of a process that starts now. `longest_deadline` is the longest deadline of any
+    /// request class.
     pub(crate) fn start(now: Micros, longest_deadline: Micros) -> Self {
-        let answer_within = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE - KILL_MARGIN;
-        Lifecycle { state: State::Starting { since: now }, answer_within }
+        let response_timeout = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE - KILL_MARGIN;
+        Lifecycle { state: State::Starting { since: now }, response_timeout }
     }
 
-    /// The stage at this moment.
+    /// Returns the stage at `now`.
     pub(crate) fn stage(&self, now: Micros) -> LifecycleStage {
         match self.state {
             State::Starting { .. } => LifecycleStage::Starting,
             State::Serving => LifecycleStage::Serving,
             State::Draining { accepting: false, .. } => LifecycleStage::NotAccepting,
-            State::Draining { since, .. } if now >= since + ACCEPT_WHILE_DRAINING - RECONNECT_WINDOW => {
+            State::Draining { since, .. } if now >= since + DRAIN_ACCEPT_PERIOD - RECONNECT_WINDOW => {
                 LifecycleStage::ClosingIdle
             }
             State::Draining { .. } => LifecycleStage::Draining,
@@ -80,22 +83,22 @@
         }
     }
 
-    /// Begins a graceful shutdown. Returns the moment by which every answer must be given; None if the shutdown had
-    /// begun before.
+    /// Begins a graceful shutdown. Returns the deadline for all responses, or none if the shutdown had
+    /// already begun.
     pub(crate) fn stop(&mut self, now: Micros) -> Option<Micros> {
         if matches!(self.state, State::Draining { .. } | State::Stopped) {
             return None;
         }
         info!("draining: finishing requests in flight");
         self.state = State::Draining { since: now, accepting: true };
-        Some(now + self.answer_within)
+        Some(now + self.response_timeout)
     }
 
-    /// Moves on to the next state where that is due. `list_received`: discovery has sent an endpoint list; `drained`:
-    /// no request is in flight, and no worker listens or has a client.
+    /// Advances to the next state if that is due. `list_received`: discovery has sent an endpoint list.
+    /// `drained`: no request is in flight, and no worker listens or has a client.
     pub(crate) fn on_tick(&mut self, now: Micros, list_received: bool, drained: bool) {
         match self.state {
-            State::Starting { since } if list_received || now >= since + MAX_START_WAIT => {
+            State::Starting { since } if list_received || now >= since + MAX_STARTUP_WAIT => {
                 if list_received {
                     info!("serving");
                 } else {
@@ -103,11 +106,11 @@
                 }
                 self.state = State::Serving;
             }
-            State::Draining { since, accepting: true } if now >= since + ACCEPT_WHILE_DRAINING => {
+            State::Draining { since, accepting: true } if now >= since + DRAIN_ACCEPT_PERIOD => {
                 self.state = State::Draining { since, accepting: false };
             }
             State::Draining { since, accepting: false } => {
-                let out_of_time = now >= since + ACCEPT_WHILE_DRAINING + MAX_DRAIN;
+                let out_of_time = now >= since + DRAIN_ACCEPT_PERIOD + MAX_DRAIN_DURATION;
                 if drained || out_of_time {
                     log_stop(drained);
                     self.state = State::Stopped;
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, limited in rate.
+//! Rate-limited logging to standard error.
 
 #[cfg(test)]
 mod tests;
@@ -13,12 +13,13 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, Registry};
 
-/// Lines a second that pass in the long run: what a person can still follow.
+/// Sustained rate of log lines per second, which a person can still follow.
 const LINES_PER_SECOND: f64 = 20.0;
-/// Lines that may pass at once, such as those of a start or of a rollout stage with many endpoints.
+/// Burst of log lines that may pass at once, such as those at the start or at a rollout stage with many
+/// endpoints.
 const BURST_LINES: f64 = 200.0;
 
-/// A token bucket of log lines: warnings of a kind that nobody has foreseen must not fill a disk.
+/// Token bucket for log lines, which keeps an unexpected flood of warnings from filling a disk.
 struct RateLimit {
     bucket: Mutex<TokenBucket>,
 }
@@ -33,12 +34,12 @@
         RateLimit { bucket: Mutex::new(TokenBucket { tokens: BURST_LINES, refilled_at: Instant::now() }) }
     }
 
-    /// Takes a token. False if there is none, and the line is dropped.
+    /// Takes a token. Returns false if there is none; the line is then dropped.
     fn try_acquire(&self) -> bool {
         let Ok(mut bucket) = self.bucket.lock() else { return true };
         let now = Instant::now();
-        let earned = now.duration_since(bucket.refilled_at).as_secs_f64() * LINES_PER_SECOND;
-        bucket.tokens = (bucket.tokens + earned).min(BURST_LINES);
+        let refill = now.duration_since(bucket.refilled_at).as_secs_f64() * LINES_PER_SECOND;
+        bucket.tokens = (bucket.tokens + refill).min(BURST_LINES);
         bucket.refilled_at = now;
         if bucket.tokens < 1.0 {
             return false;
@@ -54,7 +55,7 @@
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
-        // Errors are few and final: they always pass.
+        // Errors are rare and fatal, so they are never dropped.
         *event.metadata().level() == Level::ERROR || self.try_acquire()
     }
 
@@ -63,7 +64,7 @@
     }
 }
 
-/// Starts logging for this process. May be called once.
+/// Installs the logger of this process. May be called only once.
 pub(crate) fn start() {
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy: one process that stands between clients and endpoints, and forwards requests as the policy decides.
+//! Sidecar proxy that forwards client requests to endpoints as the policy decides. The environment variable
 //! `RELAY_CONFIG` names its configuration.
 
 #![warn(
@@ -42,28 +42,28 @@
 use process_settings::{ProcessSettings, ProcessSettingsError};
 use runtime::RunError;
 
-/// Exit code for a configuration that is missing or wrong.
+/// Exit code for a missing or invalid configuration.
 const EXIT_CONFIGURATION: u8 = 2;
 
-/// A sidecar proxy: stands between clients and endpoints. `RELAY_CONFIG` names its configuration.
+/// Sidecar proxy that forwards client requests to endpoints. `RELAY_CONFIG` names its configuration.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
-    /// A file of features that the platform's configuration does not give.
+    /// File of features that are not part of the platform's configuration.
     #[arg(long = "extras")]
     features: Option<PathBuf>,
 }
 
-/// Why the process could not serve.
+/// Reason why the process could not serve.
 #[derive(Debug, thiserror::Error)]
 enum MainError {
-    /// The configuration is missing or wrong.
+    /// The configuration is missing or invalid.
     #[error("configuration: {0}")]
     Configuration(#[from] ProcessSettingsError),
-    /// The file of features is missing or wrong.
+    /// The features file is missing or invalid.
     #[error("extras: {0}")]
     Features(#[from] FeatureSettingsError),
-    /// The process could not start, or not go on.
+    /// The process could not start or had to end.
     #[error("{0}")]
     Run(#[from] RunError),
 }
@@ -90,7 +90,8 @@
 }
 
 fn start_and_run(arguments: &Arguments) -> Result<(), MainError> {
-    // Before all else: a signal that comes while the configuration is read waits, and ends nothing.
+    // Signals are redirected before the configuration is read, so that one that arrives meanwhile stays
+    // pending and does not kill the process.
     let signals = runtime::watch_signals()?;
     let process = ProcessSettings::read(|name| std::env::var(name).ok())?;
     let features = match &arguments.features {
--- a/crates/proxy/src/pending_calls.rs
+++ b/crates/proxy/src/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Calls under way to one server, bounded in number.
+//! Bounded set of pending calls to one server.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 use crate::readiness::{ConnId, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest, UnaryCall};
 
-/// A call under way, and what its caller needs when it ends.
+/// A pending call with the context of its caller.
 struct PendingCall<T> {
     call: UnaryCall,
     context: T,
@@ -16,35 +16,35 @@
 
 /// A call that has ended.
 pub(crate) struct EndedCall<T> {
-    /// How it ended.
+    /// Outcome of the call.
     pub(crate) outcome: CallOutcome,
-    /// What its caller gave with it.
+    /// Context that the caller passed with the call.
     pub(crate) context: T,
 }
 
-/// What a ready connection came to.
+/// Result of processing a ready connection.
 pub(crate) enum ReadyCall<T> {
-    /// It belongs to none of the calls.
+    /// The connection belongs to none of the calls.
     NotACall,
-    /// Its call goes on.
+    /// The call is still pending.
     Pending,
-    /// Its call has ended.
+    /// The call has ended.
     Ended(EndedCall<T>),
 }
 
-/// Calls under way, each with a context of its caller.
+/// Pending calls, each with a context of its caller.
 pub(crate) struct PendingCalls<T> {
     calls: Vec<PendingCall<T>>,
     max_calls: usize,
 }
 
 impl<T: Copy> PendingCalls<T> {
-    /// No calls yet, and at most `max_calls` at once.
+    /// Creates an empty set that allows at most `max_calls` calls at once.
     pub(crate) fn new(max_calls: usize) -> Self {
         PendingCalls { calls: Vec::new(), max_calls }
     }
 
-    /// Whether no call is under way.
+    /// Returns whether no call is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
@@ -52,7 +52,7 @@
     /// Starts a call.
     ///
     /// # Errors
-    /// Too many calls are under way, or this one could not be started.
+    /// Too many calls are pending, or the call could not be started.
     pub(crate) fn start(
         &mut self,
         handle: &Handle,
@@ -62,14 +62,14 @@
         context: T,
     ) -> io::Result<()> {
         if self.calls.len() >= self.max_calls {
-            return Err(io::Error::other("too many under way"));
+            return Err(io::Error::other("too many pending calls"));
         }
         let call = UnaryCall::start(handle, id, source, request)?;
         self.calls.push(PendingCall { call, context });
         Ok(())
     }
 
-    /// Sends and reads what is possible on a connection that the event loop has reported.
+    /// Sends and reads as much as possible on a connection that the event loop has reported.
     pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness) -> ReadyCall<T> {
         let Some(position) = self.calls.iter().position(|pending| pending.call.id == id) else {
             return ReadyCall::NotACall;
@@ -81,7 +81,7 @@
         ReadyCall::Ended(EndedCall { outcome, context })
     }
 
-    /// Removes the calls whose deadline has passed, in the order in which they were started.
+    /// Removes and returns the calls whose deadline has passed, in the order in which they were started.
     pub(crate) fn expire(&mut self, now: Micros) -> Vec<EndedCall<T>> {
         let mut expired = Vec::new();
         self.calls.retain(|pending| match pending.call.check_timeout(now) {
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,5 +1,6 @@
-//! One worker of the proxy, apart from its event loop. In each turn it takes in what the loop reported, tells the
-//! policy through the dispatcher, and carries out the commands that come of it.
+//! One worker of the proxy, without its event loop. Each turn, which is one iteration of the event loop,
+//! processes the reported I/O events, passes them to the policy through the dispatcher, and executes the
+//! resulting commands.
 
 mod accept;
 mod budgets;
@@ -25,7 +26,7 @@
 use crate::dispatcher::Command;
 use crate::downstream::{Downstream, DownstreamEvent};
 use crate::lifecycle::LifecycleStage;
-use crate::readiness::{ConnIds, Handle, PendingWork, Source, TurnInputs};
+use crate::readiness::{ConnIds, Handle, SignalAction, Source, TurnInputs};
 use crate::upstream::{Upstream, UpstreamEvent};
 use crate::worker_id::WorkerId;
 use crate::workers::{WorkerMessage, WorkerShared};
@@ -34,14 +35,14 @@
 use control_plane::{ControlPlane, ExposureCap};
 use sweep::SweepSchedule;
 
-pub(crate) use startup::WorkerSeed;
+pub(crate) use startup::WorkerInit;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Debug, Clone, Copy)]
 enum TimerTask {
-    /// To be returned to the policy.
+    /// Return this token to the policy.
     Policy(u64),
-    /// The sweep of this number.
+    /// Run the sweep with this number.
     Sweep(u64),
 }
 
@@ -49,7 +50,7 @@
 pub(crate) struct Proxy {
     worker: WorkerId,
     shared: Arc<WorkerShared>,
-    /// On the first worker alone.
+    /// Present on the first worker only.
     control_plane: Option<ControlPlane>,
     handle: Handle,
     conn_ids: ConnIds,
@@ -61,7 +62,7 @@
     counters: Counters,
     settings: Settings,
     budgets: Budgets,
-    /// Commands that wait to be dispatched.
+    /// Commands that have not been dispatched yet.
     commands: Vec<Command>,
     downstream_events: Vec<DownstreamEvent>,
     upstream_events: Vec<UpstreamEvent>,
@@ -70,7 +71,7 @@
 }
 
 impl Proxy {
-    /// How long the event loop may sleep. None: until something is ready.
+    /// Returns how long the event loop may block, or none if it may block until something is ready.
     pub(crate) fn poll_timeout(&self) -> Option<Duration> {
         let now = self.clock.now();
         let deadlines = [
@@ -82,7 +83,7 @@
         Some(Duration::from_micros(next.saturating_sub(now)))
     }
 
-    /// Whether the process may exit.
+    /// Returns whether the process may exit.
     pub(crate) fn is_stopped(&self) -> bool {
         self.lifecycle_stage(self.clock.now()) == LifecycleStage::Stopped
     }
@@ -94,15 +95,16 @@
         }
     }
 
-    /// One turn: all that the event loop has reported, the control plane first, then what is due.
+    /// Runs one turn: processes all reported I/O events, the control plane first, then the timers that are
+    /// due.
     pub(crate) fn turn(&mut self, inputs: &mut TurnInputs) {
         let now = self.clock.now();
-        self.do_pending_work(inputs, now);
+        self.perform_signal_actions(inputs, now);
         self.process_worker_messages(now);
         self.process_ready_connections(inputs, now);
         self.accept_clients(now);
         self.upstream.expire_attempts(now, &mut self.upstream_events);
-        // A response that was read in this turn comes before the failure for want of any.
+        // Responses read in this turn are processed before requests are failed for not having one.
         self.process_upstream_events(now);
         self.shared.dispatcher().expire_overdue(self.worker, now, &mut self.commands);
         self.process_timers(now);
@@ -111,22 +113,22 @@
         self.record_turn(now);
     }
 
-    fn do_pending_work(&mut self, inputs: &mut TurnInputs, now: Micros) {
-        for work in inputs.pending_work.drain(..) {
-            match work {
-                PendingWork::PrintCounters => self.print_counters(),
-                PendingWork::Reload => self.reload(now),
-                PendingWork::Stop => self.stop(now),
+    fn perform_signal_actions(&mut self, inputs: &mut TurnInputs, now: Micros) {
+        for action in inputs.signal_actions.drain(..) {
+            match action {
+                SignalAction::LogCounters => self.log_counters(),
+                SignalAction::Reload => self.reload(now),
+                SignalAction::Stop => self.stop(now),
             }
         }
     }
 
-    /// Begins a graceful shutdown, unless one has begun already.
+    /// Begins a graceful shutdown, unless one has already begun.
     fn stop(&mut self, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
-        let Some(latest_answer) = control_plane.lifecycle.stop(now) else { return };
+        let Some(response_deadline) = control_plane.lifecycle.stop(now) else { return };
         self.downstream.closing = true;
-        self.shared.dispatcher().answer_by(latest_answer);
+        self.shared.dispatcher().limit_deadlines(response_deadline);
     }
 
     fn process_worker_messages(&mut self, now: Micros) {
@@ -147,7 +149,7 @@
     }
 
     fn process_ready_connections(&mut self, inputs: &mut TurnInputs, now: Micros) {
-        // Stable: within one kind, connections keep the order in which they were reported.
+        // A stable sort, so that connections of the same kind keep the order in which they were reported.
         inputs.connections.sort_by_key(|(source, _)| processing_order(source));
         for (source, readiness) in inputs.connections.drain(..) {
             self.on_ready(source, readiness, now);
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Handles events and carries out commands until there are none left.
+    /// Handles events and executes commands until none are left.
     fn process_until_idle(&mut self) {
         loop {
             let now = self.clock.now();
@@ -187,15 +189,16 @@
             for command in std::mem::take(&mut self.commands) {
                 self.dispatch_command(command, now);
             }
-            let events_wait = !self.upstream_events.is_empty() || !self.downstream_events.is_empty();
+            let events_pending = !self.upstream_events.is_empty() || !self.downstream_events.is_empty();
             let handled = self.handle_next_policy_event(now);
-            if !handled && !events_wait && self.commands.is_empty() {
+            if !handled && !events_pending && self.commands.is_empty() {
                 return;
             }
         }
     }
 
-    /// Has the policy handle the next event, or all that wait if there are several workers. False if none waited.
+    /// Lets the policy handle the next event, or all queued events if there are several workers. Returns
+    /// false if none was queued.
     fn handle_next_policy_event(&mut self, now: Micros) -> bool {
         let mut dispatcher = self.shared.dispatcher();
         let handled = dispatcher.handle_next_event(now, &mut self.commands);
@@ -204,8 +207,8 @@
     }
 }
 
-/// The control plane comes first, so that decisions are made on the newest updates; then responses, which free
-/// capacity for the requests that come last.
+/// Returns the position of a source in the processing order. The control plane comes first, so that decisions
+/// use the newest updates; then responses, which free capacity for the requests that come last.
 fn processing_order(source: &Source) -> u8 {
     match source {
         Source::Discovery(_) | Source::ReleaseController(_) | Source::Agent(_) => 0,
--- a/crates/proxy/src/proxy/accept.rs
+++ b/crates/proxy/src/proxy/accept.rs
@@ -1,17 +1,18 @@
-//! Accepting clients within the descriptor budget.
+//! Accepts clients within the descriptor budget.
 
 use garnetcrank_policy::api::Micros;
 
 use super::Proxy;
 
-/// Clients accepted in a turn at the most, so that those already connected are not kept waiting.
+/// Maximum number of clients accepted per turn, so that connected clients are not delayed.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 impl Proxy {
-    /// Accepts the clients that wait, as long as there are descriptors, for which idle connections are evicted.
+    /// Accepts waiting clients as long as descriptors are available, evicting idle connections to free some.
     pub(super) fn accept_clients(&mut self, now: Micros) {
-        // With half of the places taken, answers close their connections: clients that come by the hundreds, ask once
-        // and stay would fill the rest before any of them had been idle long enough to be evicted.
+        // With more than half of the client budget in use, responses close their connections. Otherwise
+        // hundreds of clients that send one request and stay connected would fill the rest before any of them
+        // had been idle long enough to be evicted.
         self.downstream.crowded = self.downstream.len() > self.budgets.clients / 2;
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if !self.downstream.waiting || !self.is_next_to_accept() {
@@ -20,10 +21,11 @@
             let has_descriptor = if self.downstream.len() >= self.budgets.clients {
                 self.evict_idle_client(now)
             } else {
-                self.find_descriptor(now)
+                self.ensure_descriptor(now)
             };
             if !has_descriptor {
-                // Those who wait get in as soon as answers close connections, or others have been idle long enough.
+                // Waiting clients are accepted once responses have closed connections or other clients have
+                // been idle long enough.
                 self.downstream.crowded = true;
                 self.counters.accepts_paused += 1;
                 return;
@@ -32,7 +34,8 @@
         }
     }
 
-    /// Accepts all clients that wait, whatever the budget: this host's backlog has taken them already.
+    /// Accepts all waiting clients regardless of the budget: their connections are already established in the
+    /// listen backlog.
     pub(super) fn accept_backlog(&mut self, now: Micros) {
         while self.accept_client(now) {}
     }
@@ -45,7 +48,8 @@
         accepted
     }
 
-    /// Whether the next client is this worker's: every worker is notified of it, and the one with the fewest accepts it.
+    /// Returns whether this worker accepts the next client: all workers are notified of it, and one with the
+    /// fewest clients accepts it.
     fn is_next_to_accept(&self) -> bool {
         if self.shared.worker_count() == 1 {
             return true;
--- a/crates/proxy/src/proxy/budgets.rs
+++ b/crates/proxy/src/proxy/budgets.rs
@@ -1,4 +1,4 @@
-//! How many descriptors, clients, requests and bytes a worker may hold.
+//! Limits of a worker on descriptors, clients, requests and bytes.
 
 use rustix::process::{Resource, getrlimit};
 
@@ -6,38 +6,39 @@
 use crate::feature_settings::FeatureSettings;
 use crate::process_settings::ProcessSettings;
 
-/// Descriptors for all but clients and endpoints: 3 standard streams, 4 of the event loop, 2 for the listener, 2 for
-/// discovery, 9 for the release controller with its votes, one to read a file, and a margin.
+/// Descriptors reserved for everything but clients and endpoints: 3 standard streams, 4 for the event loop, 2
+/// for the listener, 2 for discovery, 9 for the release controller and its votes, one to read a file, and a
+/// margin.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Descriptors that each further worker needs: its event loop, its listener and what wakes it.
-const DESCRIPTORS_PER_FURTHER_WORKER: usize = 8;
-/// Fewest descriptors that a worker is given for clients and endpoints, however few the process may have.
+/// Descriptors that each additional worker needs: its event loop, its listener and its wake-up source.
+const DESCRIPTORS_PER_ADDITIONAL_WORKER: usize = 8;
+/// Minimum number of descriptors of a worker for clients and endpoints, however low the limit of the process
+/// is.
 const MIN_DESCRIPTORS_PER_WORKER: usize = 8;
-/// This part (one in 32) of the descriptors is for clients beyond those whose requests can be in flight: their requests
-/// are rejected, so that nobody waits without an answer. A connection is never closed before its answer: a request may be on its
-/// way.
+/// One in this many descriptors is for clients beyond the limit on requests in flight. Their requests are
+/// rejected, so that no client waits without a response. A connection is never closed before its response,
+/// since a request may be in transit on it.
 const OVERFLOW_CLIENTS_DIVISOR: usize = 32;
-/// Bodies of requests in flight may take this part (one in 8) of the memory limit.
+/// Bodies of requests in flight may take one part in this many of the memory limit.
 const BODY_MEMORY_DIVISOR: u64 = 8;
-/// Bytes in a MiB.
+/// Bytes per MiB.
 const MIB: u64 = 1024 * 1024;
 
-/// What one worker may hold.
+/// Resource limits of one worker.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Budgets {
-    /// Connections to clients and endpoints together.
+    /// Maximum number of connections to clients and endpoints together.
     pub(super) descriptors: usize,
-    /// Connections to clients.
+    /// Maximum number of connections to clients.
     pub(super) clients: usize,
-    /// Requests in flight. A limit that the settings give holds for each worker.
+    /// Maximum number of requests in flight. A limit in the settings applies to each worker.
     pub(super) in_flight_requests: usize,
-    /// Bytes in the bodies of requests in flight on all workers together.
+    /// Maximum total size of the bodies of requests in flight, in bytes, on all workers together.
     pub(super) body_bytes: usize,
 }
 
 impl Budgets {
-    /// The budgets of each of the workers that the features ask for. `max_descriptors` is the limit on the whole
-    /// process.
+    /// Calculates the budgets of each configured worker. `max_descriptors` is the limit of the process.
     pub(super) fn per_worker(
         process: &ProcessSettings,
         features: &FeatureSettings,
@@ -45,20 +46,20 @@
     ) -> Self {
         let worker_count = features.worker_count();
         let agent_descriptors = if features.agreement.is_some() { agent_client::DESCRIPTORS } else { 0 };
-        let further_workers = (worker_count - 1) * DESCRIPTORS_PER_FURTHER_WORKER;
-        let reserved = RESERVED_DESCRIPTORS + agent_descriptors + further_workers;
-        let for_connections =
+        let additional_workers = (worker_count - 1) * DESCRIPTORS_PER_ADDITIONAL_WORKER;
+        let reserved = RESERVED_DESCRIPTORS + agent_descriptors + additional_workers;
+        let connection_descriptors =
             max_descriptors.saturating_sub(reserved).max(MIN_DESCRIPTORS_PER_WORKER * worker_count);
-        let descriptors = for_connections / worker_count;
+        let descriptors = connection_descriptors / worker_count;
         let overflow_clients = descriptors / OVERFLOW_CLIENTS_DIVISOR + 1;
-        // A request in flight takes its client's connection and one to an endpoint.
+        // A request in flight needs one connection to its client and one to an endpoint.
         let affordable_requests = (descriptors - overflow_clients) / 2;
         let configured_requests = process.settings.transport.max_in_flight.unwrap_or(usize::MAX);
         let in_flight_requests = configured_requests.min(affordable_requests);
         Budgets {
             descriptors,
-            // Half of what requests in flight may need at endpoints is kept free of clients; for the other half,
-            // clients without a request are evicted.
+            // Clients may not take half of the descriptors that requests in flight may need for endpoints.
+            // The other half is freed on demand by evicting clients without a request.
             clients: descriptors - in_flight_requests / 2,
             in_flight_requests,
             body_bytes: usize::try_from(process.memory_mb * MIB / BODY_MEMORY_DIVISOR).unwrap_or(usize::MAX),
@@ -66,8 +67,8 @@
     }
 }
 
-/// The limit on descriptors that is configured, or the system's own where that is lower.
+/// Returns the configured limit on descriptors, or the system's limit if that is lower.
 pub(super) fn max_descriptors(configured: usize) -> usize {
-    let system = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-    configured.min(usize::try_from(system).unwrap_or(usize::MAX))
+    let system_limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
+    configured.min(usize::try_from(system_limit).unwrap_or(usize::MAX))
 }
--- a/crates/proxy/src/proxy/commands.rs
+++ b/crates/proxy/src/proxy/commands.rs
@@ -1,4 +1,4 @@
-//! Carrying out the dispatcher's commands, each on the worker whose connection it is for.
+//! Executes the dispatcher's commands, each on the worker that owns the connection.
 
 use std::sync::Arc;
 
@@ -14,13 +14,13 @@
 use crate::worker_id::WorkerId;
 use crate::workers::WorkerMessage;
 
-/// Header of an endpoint's response with its load report, which is meant for this proxy and not for the client.
+/// Response header with an endpoint's load report, which the proxy does not forward to clients.
 const LOAD_REPORT_HEADER: &str = "server-load";
-/// Microseconds in a second.
+/// Microseconds per second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Proxy {
-    /// Carries a command out, or posts it to the worker whose connection it is for.
+    /// Executes a command, or posts it to the worker that owns the connection.
     pub(super) fn dispatch_command(&mut self, command: Command, now: Micros) {
         if self.shared.worker_count() == 1 {
             self.execute(command, now);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Carries a command out on this worker.
+    /// Executes a command on this worker.
     pub(super) fn execute(&mut self, command: Command, now: Micros) {
         match command {
             Command::Forward(forward) => self.start_attempt(&forward, now),
@@ -71,11 +71,11 @@
             Command::Reject { client, retry_after } => self.reject(client, retry_after, now),
             Command::Fail { client } => {
                 self.counters.failed += 1;
-                self.answer_without_body(client, 502, now);
+                self.respond_without_body(client, 502, now);
             }
             Command::DeadlineExceeded { client } => {
                 self.counters.deadline_exceeded += 1;
-                self.answer_without_body(client, 504, now);
+                self.respond_without_body(client, 504, now);
             }
             Command::StartResponse { client, headers } => {
                 self.downstream.start_response(client, forwarded_headers(&headers));
@@ -113,14 +113,14 @@
         self.downstream.answer(client, 503, headers.into_iter(), b"", now, &mut self.downstream_events);
     }
 
-    /// Answers with a status alone.
-    pub(super) fn answer_without_body(&mut self, client: ConnId, status: u16, now: Micros) {
+    /// Responds with a status code and no body.
+    pub(super) fn respond_without_body(&mut self, client: ConnId, status: u16, now: Micros) {
         let no_headers = std::iter::empty();
         self.downstream.answer(client, status, no_headers, b"", now, &mut self.downstream_events);
     }
 
-    /// Sends a request to its endpoint, unless the decision is out of date or no connection can be had. The policy is
-    /// notified of an attempt that was not started.
+    /// Sends a request to its endpoint, unless the decision is outdated or no connection is available. An
+    /// attempt that was not started is reported to the policy.
     fn start_attempt(&mut self, forward: &ForwardAttempt, now: Micros) {
         let ForwardAttempt { id, attempt, endpoint, deadline, stamp } = *forward;
         let request = self.shared.dispatcher().get(id).map(|r| (Arc::clone(&r.message), r.class));
@@ -129,12 +129,12 @@
             self.shared.dispatcher().on_attempt_not_started(id, attempt, Outcome::NotSent);
             return;
         };
-        if !self.shared.may_send(stamp, now) {
+        if !self.shared.is_decision_current(stamp, now) {
             self.counters.decisions_repeated += 1;
             self.shared.dispatcher().on_attempt_not_started(id, attempt, Outcome::NotSent);
             return;
         }
-        let started = if self.find_upstream_connection(endpoint, now) {
+        let started = if self.ensure_upstream_connection(endpoint, now) {
             let streamed = self.settings.config.classes[class.0].streamed;
             let request = UpstreamRequest { id, attempt, endpoint, request: &message, deadline, streamed };
             let events = &mut self.upstream_events;
@@ -151,7 +151,7 @@
 
     fn start_health_check(&mut self, endpoint: EndpointId, now: Micros) {
         self.counters.health_checks += 1;
-        let started = if self.find_upstream_connection(endpoint, now) {
+        let started = if self.ensure_upstream_connection(endpoint, now) {
             let events = &mut self.upstream_events;
             self.upstream.start_health_check(&self.handle, &mut self.conn_ids, now, endpoint, events)
         } else {
@@ -165,7 +165,7 @@
     }
 }
 
-/// Headers of an endpoint's response that are meant for the client.
+/// Returns the headers of an endpoint's response that are forwarded to the client.
 fn forwarded_headers(headers: &Headers) -> impl Iterator<Item = (&str, &[u8])> {
     headers.end_to_end().filter(|(name, _)| !name.eq_ignore_ascii_case(LOAD_REPORT_HEADER))
 }
--- a/crates/proxy/src/proxy/control_plane.rs
+++ b/crates/proxy/src/proxy/control_plane.rs
@@ -1,5 +1,5 @@
-//! The first worker's connections to discovery, the release controller and the agent, and the way of their updates to
-//! the policy and of the policy's votes to them.
+//! The first worker's connections to discovery, the release controller and the agent. Updates from them go to
+//! the policy, and the policy's votes go to them.
 
 use calloop::Readiness;
 use garnetcrank_policy::api::{Build, Event, Micros, RolloutStatus, VoteResult};
@@ -15,21 +15,21 @@
 use crate::release_controller::ReleaseController;
 use crate::workers::WorkerMessage;
 
-/// What the first worker alone has.
+/// State that only the first worker has.
 pub(super) struct ControlPlane {
-    /// Watches and polls the endpoint list.
+    /// Client that watches and polls the endpoint list.
     pub(super) discovery: Discovery,
-    /// Watches the newest build's rollout, and takes votes on it.
+    /// Client that watches the newest build's rollout and casts votes on it.
     pub(super) release_controller: ReleaseController,
-    /// The agent on this host, where the instances may talk to each other.
+    /// Client of the agent on this host, present if the instances may communicate through agents.
     pub(super) agent: Option<AgentClient>,
-    /// The lifecycle of the process.
+    /// Lifecycle of the process.
     pub(super) lifecycle: Lifecycle,
-    /// What a reload can't change.
+    /// Settings that a reload can't change.
     pub(super) startup_settings: StartupSettings,
 }
 
-/// The exposure cap of a build, as last received.
+/// Exposure cap of a build, as last received.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ExposureCap {
     build: Build,
@@ -37,7 +37,7 @@
 }
 
 impl ControlPlane {
-    /// The control plane of a process that starts now. Nothing is connected before the first tick.
+    /// Creates the control plane of a process that starts now. Nothing is connected before the first tick.
     pub(super) fn new(process: &ProcessSettings, features: &FeatureSettings, now: Micros) -> Self {
         let settings = &process.settings;
         let rollout = &settings.config.rollout;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Whether all of it is connected and only listens.
+    /// Returns whether everything is connected and only waits for updates.
     pub(super) fn is_idle(&self) -> bool {
         let agent_is_idle = self.agent.as_ref().is_none_or(AgentClient::is_idle);
         agent_is_idle && self.discovery.is_idle() && self.release_controller.is_idle()
@@ -67,7 +67,7 @@
 }
 
 impl Proxy {
-    /// Connects, reconnects and times out where that is due.
+    /// Connects, reconnects and expires calls where that is due.
     pub(super) fn tick_control_plane(&mut self, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let endpoints = control_plane.discovery.on_tick(&self.handle, &mut self.conn_ids, now);
@@ -81,21 +81,21 @@
         self.perform_router_actions(router_actions, now);
     }
 
-    /// Takes in what has come on a connection to discovery.
+    /// Processes input from a connection to discovery.
     pub(super) fn on_discovery_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let update = control_plane.discovery.on_ready(id, readiness, now);
         self.apply_discovery_update(update);
     }
 
-    /// Takes in what has come on a connection to the release controller.
+    /// Processes input from a connection to the release controller.
     pub(super) fn on_release_controller_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let events = control_plane.release_controller.on_ready(id, readiness, now);
         self.apply_rollout_events(events);
     }
 
-    /// Takes in what has come on a connection to the agent.
+    /// Processes input from a connection to the agent.
     pub(super) fn on_agent_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let Some(agent) = &mut control_plane.agent else { return };
@@ -117,7 +117,7 @@
         self.apply_discovery_update(update);
     }
 
-    /// Moves the endpoints' addresses on all workers, then notifies the policy.
+    /// Updates the endpoints' addresses on all workers, then notifies the policy.
     pub(super) fn apply_discovery_update(&mut self, update: DiscoveryUpdate) {
         let now = self.clock.now();
         for address in &update.addresses {
@@ -130,12 +130,12 @@
             }
         }
         for endpoints in update.endpoint_updates {
-            self.shared.deliver(Event::EndpointsUpdated(endpoints));
+            self.shared.queue_update(Event::EndpointsUpdated(endpoints));
         }
     }
 
-    /// Notifies the policy of what the release controller has sent. Rollout states pass by the agent's client first,
-    /// which may lower their cap.
+    /// Notifies the policy of events from the release controller. Rollout statuses pass through the agent
+    /// client first, which may lower their exposure cap.
     pub(super) fn apply_rollout_events(&mut self, events: Vec<Event>) {
         for event in events {
             if matches!(event, Event::VoteCompleted(VoteResult::Counted, _)) {
@@ -148,11 +148,12 @@
                 }
                 other => other,
             };
-            self.shared.deliver(event);
+            self.shared.queue_update(event);
         }
     }
 
-    /// The status as the policy is to know it; a cap that it lowers binds at once.
+    /// Returns the status that the policy is to be notified of. If it lowers the exposure cap, the new cap is
+    /// enforced at once.
     fn on_rollout_status(&mut self, received: RolloutStatus) -> RolloutStatus {
         let agent = self.control_plane.as_mut().and_then(|control_plane| control_plane.agent.as_mut());
         let status = match agent {
@@ -163,11 +164,11 @@
         status
     }
 
-    /// A lower cap also binds attempts that were decided under the earlier one and are not on their way yet.
+    /// Recalls attempts that were decided under a higher cap and of which nothing has been sent yet.
     fn enforce_exposure_cap(&mut self, status: &RolloutStatus) {
         let cap = ExposureCap { build: status.build, cap: status.exposure_cap };
-        let Some(before) = self.exposure_cap.replace(cap) else { return };
-        let is_lowered = before.build == cap.build && cap.cap < before.cap;
+        let Some(previous) = self.exposure_cap.replace(cap) else { return };
+        let is_lowered = previous.build == cap.build && cap.cap < previous.cap;
         if !is_lowered {
             return;
         }
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Sends the policy's vote through the agent, where there is one, else to the release controller.
+    /// Sends the policy's vote to the agent if there is one, otherwise to the release controller.
     pub(super) fn route_vote(&mut self, vote: Vote, now: Micros) {
         let agent = self.control_plane.as_mut().and_then(|control_plane| control_plane.agent.as_mut());
         match agent {
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Carries out what the agent's client leaves to the release controller and to the policy.
+    /// Performs the actions that the agent client leaves to its caller.
     fn perform_router_actions(&mut self, actions: Vec<RouterAction>, now: Micros) {
         for action in actions {
             match action {
@@ -199,9 +200,9 @@
                     self.shared.dispatcher().queue_event(Event::VoteCompleted(result, None));
                 }
                 RouterAction::RolloutUpdated(status) => {
-                    self.shared.deliver(Event::RolloutUpdated(status));
+                    self.shared.queue_update(Event::RolloutUpdated(status));
                 }
-                // The agent's client has sent it itself.
+                // The agent client has already sent it.
                 RouterAction::SendToAgent(_) => {}
             }
         }
--- a/crates/proxy/src/proxy/downstream_events.rs
+++ b/crates/proxy/src/proxy/downstream_events.rs
@@ -1,4 +1,4 @@
-//! What clients did: requests, bad requests, disconnects.
+//! Processes events of client connections: requests, bad requests and disconnects.
 
 use garnetcrank_http::{MessageError, Request};
 use garnetcrank_policy::api::{Micros, RequestId};
@@ -11,27 +11,27 @@
 use crate::lifecycle::LifecycleStage;
 use crate::readiness::ConnId;
 
-/// At most one line in this time about bad requests, however many come.
+/// Minimum interval between log lines about bad requests.
 const BAD_REQUEST_LOG_INTERVAL: Micros = SECOND;
 /// Path of the proxy's own health check.
 const HEALTH_PATH: &str = "/healthz";
 
-/// Whether a request may be handed to the policy.
+/// Decision on whether a request is passed to the policy.
 enum Admission {
-    /// It has been, under this number.
+    /// It was passed on, with this id.
     Accepted(RequestId),
     /// Another open request has the same `Request-Id`.
     DuplicateRequestId,
-    /// Too many requests are in flight, or there is no memory for its body.
+    /// Too many requests are in flight, or their bodies take too much memory.
     OverLimit,
 }
 
 impl Proxy {
-    /// Takes in what a client did.
+    /// Processes one event of a client connection.
     pub(super) fn on_downstream_event(&mut self, event: DownstreamEvent, now: Micros) {
         match event {
             DownstreamEvent::Request(client, message) => self.on_request(client, message, now),
-            DownstreamEvent::BadRequest(bad) => self.on_bad_request(bad, now),
+            DownstreamEvent::BadRequest(bad_request) => self.on_bad_request(bad_request, now),
             DownstreamEvent::Disconnected(id) => self.on_client_disconnected(id, now),
             DownstreamEvent::OutputDrained(id) => {
                 let streaming = self.shared.dispatcher().get(id).and_then(|r| r.streaming_attempt);
@@ -52,7 +52,7 @@
 
     fn on_request(&mut self, client: ConnId, message: Request, now: Micros) {
         if message.target == HEALTH_PATH {
-            self.answer_health_check(client, now);
+            self.respond_to_health_check(client, now);
             return;
         }
         let classification = match classify(&self.settings, &message) {
@@ -77,12 +77,12 @@
             }
             Admission::OverLimit => {
                 self.counters.over_limit += 1;
-                self.answer_without_body(client, 503, now);
+                self.respond_without_body(client, 503, now);
             }
         }
     }
 
-    /// Hands a request to the dispatcher, if its `Request-Id` is free and the budgets allow it.
+    /// Passes a request to the dispatcher if its `Request-Id` is unused and the budgets allow it.
     fn admit(
         &mut self,
         client: ConnId,
@@ -90,14 +90,15 @@
         classification: Classification,
         now: Micros,
     ) -> Admission {
-        // Locked until the request is in: two workers must not both find its Request-Id free, nor the last place.
+        // The lock is held until the request is in flight: two workers must not both find its Request-Id
+        // unused or both take the last free place.
         let mut dispatcher = self.shared.dispatcher();
-        if dispatcher.is_open(&message) {
+        if dispatcher.is_duplicate(&message) {
             return Admission::DuplicateRequestId;
         }
         let body_bytes = dispatcher.in_flight_bytes() + message.body.len();
-        let too_many = dispatcher.in_flight_count_of(self.worker) >= self.budgets.in_flight_requests;
-        if too_many || body_bytes > self.budgets.body_bytes {
+        let too_many_requests = dispatcher.in_flight_count_on(self.worker) >= self.budgets.in_flight_requests;
+        if too_many_requests || body_bytes > self.budgets.body_bytes {
             return Admission::OverLimit;
         }
         self.counters.requests += 1;
@@ -106,7 +107,7 @@
         Admission::Accepted(id)
     }
 
-    fn answer_health_check(&mut self, client: ConnId, now: Micros) {
+    fn respond_to_health_check(&mut self, client: ConnId, now: Micros) {
         let (status, body) = match self.lifecycle_stage(now) {
             LifecycleStage::Serving => (200, "serving\n"),
             _ => (503, "not serving\n"),
@@ -115,18 +116,18 @@
         self.downstream.answer(client, status, std::iter::empty(), body.as_bytes(), now, events);
     }
 
-    fn on_bad_request(&mut self, bad: BadRequest, now: Micros) {
-        self.count_bad_request(bad);
+    fn on_bad_request(&mut self, bad_request: BadRequest, now: Micros) {
+        self.count_bad_request(bad_request);
         if now < self.bad_request_logged_at + BAD_REQUEST_LOG_INTERVAL {
             return;
         }
         self.bad_request_logged_at = now;
-        warn!(total = self.counters.bad_requests, last = %bad, "bad requests");
+        warn!(total = self.counters.bad_requests, last = %bad_request, "bad requests");
     }
 
-    fn count_bad_request(&mut self, bad: BadRequest) {
+    fn count_bad_request(&mut self, bad_request: BadRequest) {
         self.counters.bad_requests += 1;
-        match bad {
+        match bad_request {
             BadRequest::Malformed(MessageError::Truncated) => self.counters.bad_requests_truncated += 1,
             BadRequest::Malformed(MessageError::BodyTooLarge | MessageError::HeadTooLarge) => {
                 self.counters.bad_requests_too_large += 1;
--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: reading the configuration again while the process runs.
+//! Reloads the configuration on SIGHUP.
 
 use garnetcrank_policy::api::Micros;
 use tracing::{info, warn};
@@ -6,8 +6,8 @@
 use super::Proxy;
 
 impl Proxy {
-    /// Reads the configuration again and moves discovery and the release controller to their new addresses. An invalid
-    /// configuration changes nothing; no request in flight is dropped.
+    /// Reads the configuration again and moves discovery and the release controller to their new addresses.
+    /// An invalid configuration changes nothing; no request in flight is dropped.
     pub(super) fn reload(&mut self, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let new = match control_plane.startup_settings.reload(|name| std::env::var(name).ok()) {
--- a/crates/proxy/src/proxy/startup.rs
+++ b/crates/proxy/src/proxy/startup.rs
@@ -1,4 +1,5 @@
-//! Construction of the workers: the first one, which listens and runs the control plane, and the further ones.
+//! Construction of the workers: the first one, which listens and runs the control plane, and the additional
+//! ones.
 
 use std::io;
 use std::net::TcpListener;
@@ -24,14 +25,14 @@
 use crate::worker_id::WorkerId;
 use crate::workers::WorkerShared;
 
-/// What a further worker starts with; it is sent to the worker's thread.
-pub(crate) struct WorkerSeed {
+/// Initial state of an additional worker, which is sent to the worker's thread.
+pub(crate) struct WorkerInit {
     parts: WorkerParts,
     listener: TcpListener,
     wake_source: PingSource,
 }
 
-/// What each worker is made of, apart from its event loop and its listener.
+/// Components of a worker, without its event loop and its listener.
 struct WorkerParts {
     worker: WorkerId,
     shared: Arc<WorkerShared>,
@@ -41,16 +42,16 @@
 }
 
 impl Proxy {
-    /// Opens the listening socket, tells the policy what the configuration knows, and returns the first worker with
-    /// the seeds of the further ones.
+    /// Opens the listening socket, passes the configured endpoint list and rollout state to the policy, and
+    /// returns the first worker with the initial state of the additional ones.
     ///
     /// # Errors
-    /// When the address can't be listened on, or the system gives no descriptors for the workers.
+    /// The address can't be listened on, or the system has too few descriptors for the workers.
     pub(crate) fn new(
         handle: Handle,
         process: ProcessSettings,
         features: &FeatureSettings,
-    ) -> io::Result<(Self, Vec<WorkerSeed>)> {
+    ) -> io::Result<(Self, Vec<WorkerInit>)> {
         let clock = Clock::start();
         let now = clock.now();
         let worker_count = features.worker_count();
@@ -67,31 +68,35 @@
             settings: process.settings.clone(),
             budgets,
         };
-        let mut seeds = Vec::new();
+        let mut worker_inits = Vec::new();
         for (number, wake_source) in wake_sources.into_iter().enumerate() {
             let worker = WorkerId(number);
             if worker == WorkerId::FIRST {
                 register_wake_source(&handle, wake_source)?;
                 continue;
             }
-            seeds.push(WorkerSeed { parts: parts(worker), listener: downstream.listener()?, wake_source });
+            worker_inits.push(WorkerInit {
+                parts: parts(worker),
+                listener: downstream.listener()?,
+                wake_source,
+            });
         }
         let mut proxy = Proxy::from_parts(parts(WorkerId::FIRST), handle, downstream);
         log_start(&process, &budgets, max_descriptors, worker_count);
         proxy.start_control_plane(process, features, now);
         proxy.schedule_sweep(now);
-        Ok((proxy, seeds))
+        Ok((proxy, worker_inits))
     }
 
-    /// A further worker, made in its own thread.
+    /// Creates an additional worker, in its own thread.
     ///
     /// # Errors
-    /// When the listening socket or the wake-up source can't be registered with the event loop.
-    pub(crate) fn start_worker(handle: Handle, seed: WorkerSeed) -> io::Result<Self> {
-        register_wake_source(&handle, seed.wake_source)?;
-        let downstream = Downstream::with_listener(&handle, seed.listener)?;
-        let now = seed.parts.clock.now();
-        let mut proxy = Proxy::from_parts(seed.parts, handle, downstream);
+    /// The listening socket or the wake-up source can't be registered with the event loop.
+    pub(crate) fn start_worker(handle: Handle, init: WorkerInit) -> io::Result<Self> {
+        register_wake_source(&handle, init.wake_source)?;
+        let downstream = Downstream::with_listener(&handle, init.listener)?;
+        let now = init.parts.clock.now();
+        let mut proxy = Proxy::from_parts(init.parts, handle, downstream);
         proxy.schedule_sweep(now);
         Ok(proxy)
     }
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Tells the policy the endpoint list and the rollout state of the configuration.
+    /// Creates the control plane and passes the configured endpoint list and rollout state to the policy.
     fn start_control_plane(&mut self, process: ProcessSettings, features: &FeatureSettings, now: Micros) {
         let control_plane = self.control_plane.insert(ControlPlane::new(&process, features, now));
         let endpoints = control_plane.discovery.load_cached(process.cached_members);
@@ -130,7 +135,8 @@
     }
 }
 
-/// Has another worker's wake-up end the sleep of this event loop; the messages themselves are read in the turn.
+/// Registers the source with which other workers wake this event loop. Their messages are read in the turn
+/// that follows.
 fn register_wake_source(handle: &Handle, wake_source: PingSource) -> io::Result<()> {
     match handle.insert_source(wake_source, |(), _, _| {}) {
         Ok(_) => Ok(()),
--- a/crates/proxy/src/proxy/statistics.rs
+++ b/crates/proxy/src/proxy/statistics.rs
@@ -1,4 +1,4 @@
-//! Peaks and counters of a worker, and their line in the log.
+//! Peaks and counters of a worker, and the log line that reports them.
 
 use garnetcrank_policy::api::Micros;
 use tracing::{info, warn};
@@ -7,12 +7,12 @@
 use crate::clock::MS;
 use crate::counters::ResourceUsage;
 
-/// A turn that took this long is logged, since everyone waited for it: the host is short of CPU, or something here is
-/// slow.
+/// Minimum duration of a turn that is logged. A long turn delays every connection of the worker; its cause is
+/// a shortage of CPU on the host or slow code in the turn.
 const LONG_TURN: Micros = 20 * MS;
 
 impl Proxy {
-    /// Records the peaks of a turn that began at `started`, and publishes this worker's state for the others.
+    /// Records the peaks of a turn that began at `started`, and publishes this worker's state to the others.
     pub(super) fn record_turn(&mut self, started: Micros) {
         let duration = self.clock.now() - started;
         if duration >= LONG_TURN {
@@ -33,18 +33,18 @@
     }
 
     /// Logs the counters of all workers in one line.
-    pub(crate) fn print_counters(&mut self) {
+    pub(crate) fn log_counters(&mut self) {
         self.collect_connection_counters();
         let mut total = self.counters.clone();
         for other in self.shared.others_counters(self.worker) {
             total.add(&other);
         }
         let ResourceUsage { peak_memory_kib, cpu_ms } = ResourceUsage::read();
-        // One line of `key=value` in the order that operators and their tools know.
+        // One line of `key=value` pairs, in the order that operators' tools expect.
         info!("{total} peak_memory_kib={peak_memory_kib} cpu_ms={cpu_ms}");
     }
 
-    /// Takes over what the parts of this worker count themselves.
+    /// Copies the counts that the worker's components keep themselves.
     fn collect_connection_counters(&mut self) {
         let counters = &mut self.counters;
         counters.upstream_connections = self.upstream.opened;
--- a/crates/proxy/src/proxy/sweep.rs
+++ b/crates/proxy/src/proxy/sweep.rs
@@ -1,4 +1,4 @@
-//! The periodic sweep over all connections and the lifecycle.
+//! Periodic sweep that maintains the connections and advances the lifecycle.
 
 use garnetcrank_policy::api::Micros;
 
@@ -6,46 +6,48 @@
 use crate::clock::MS;
 use crate::lifecycle::LifecycleStage;
 
-/// How often connections are looked after: silent watches, idle connections, the lifecycle.
+/// Interval between sweeps, which check for silent watch streams, idle connections and lifecycle transitions.
 const SWEEP_INTERVAL: Micros = 20 * MS;
-/// The same while nothing is in flight and the control plane is connected: with thousands of idle instances on a host
-/// each wake-up costs. No limit that a sweep then enforces is under a second.
+/// Interval between sweeps while nothing is in flight and the control plane is connected. With thousands of
+/// idle instances on a host, each wake-up costs CPU time. No timeout that such a sweep enforces is under a
+/// second.
 const IDLE_SWEEP_INTERVAL: Micros = 100 * MS;
 
-/// Which sweep is planned, and how soon.
+/// Schedule of the next sweep.
 #[derive(Debug, Default)]
 pub(super) struct SweepSchedule {
-    /// Number of the sweep planned last. Timers can't be cancelled; those of earlier sweeps are ignored.
-    last_planned: u64,
-    /// The next sweep comes after the idle interval.
+    /// Number of the sweep that was scheduled last. Timers can't be cancelled, so those of earlier sweeps are
+    /// ignored.
+    last_scheduled: u64,
+    /// Whether the next sweep comes after the idle interval.
     idle: bool,
 }
 
 impl Proxy {
-    /// Plans the next sweep, in place of any planned before.
+    /// Schedules the next sweep, replacing any that was scheduled before.
     pub(super) fn schedule_sweep(&mut self, at: Micros) {
-        self.sweeps.last_planned += 1;
-        self.timers.set(at, TimerTask::Sweep(self.sweeps.last_planned));
+        self.sweeps.last_scheduled += 1;
+        self.timers.set(at, TimerTask::Sweep(self.sweeps.last_scheduled));
     }
 
-    /// Runs a sweep whose timer has come, if it is the one planned last.
+    /// Runs the sweep whose timer has fired, if it is the one that was scheduled last.
     pub(super) fn on_sweep_timer(&mut self, number: u64, now: Micros) {
-        if number == self.sweeps.last_planned {
+        if number == self.sweeps.last_scheduled {
             self.sweep(now);
         }
     }
 
-    /// Goes back to the short interval as soon as something needs looking after: reconnecting is not made to wait for
-    /// the end of the idle interval.
+    /// Returns to the short interval as soon as the worker is no longer idle, so that reconnecting does not
+    /// wait for the end of the idle interval.
     pub(super) fn end_idle_sweeps(&mut self, now: Micros) {
-        if self.sweeps.idle && !self.is_quiet(now) {
+        if self.sweeps.idle && !self.is_idle(now) {
             self.sweeps.idle = false;
             self.schedule_sweep(now + SWEEP_INTERVAL);
         }
     }
 
-    /// Whether nothing but requests needs looking after.
-    fn is_quiet(&self, now: Micros) -> bool {
+    /// Returns whether nothing but requests needs attention.
+    fn is_idle(&self, now: Micros) -> bool {
         let control_plane_is_idle =
             self.control_plane.as_ref().is_none_or(|control_plane| control_plane.is_idle());
         self.lifecycle_stage(now) == LifecycleStage::Serving
@@ -54,9 +56,9 @@
     }
 
     fn sweep(&mut self, now: Micros) {
-        // A worker without a control plane learns the lifecycle stage in its sweeps alone, so with several workers the
+        // Additional workers learn the lifecycle stage only in their sweeps, so with several workers the
         // interval stays short.
-        self.sweeps.idle = self.is_quiet(now)
+        self.sweeps.idle = self.is_idle(now)
             && self.shared.dispatcher().in_flight_count() == 0
             && self.shared.worker_count() == 1;
         self.schedule_sweep(now + if self.sweeps.idle { IDLE_SWEEP_INTERVAL } else { SWEEP_INTERVAL });
@@ -67,7 +69,7 @@
         self.apply_lifecycle_stage(now);
     }
 
-    /// The first worker moves the lifecycle on, for all.
+    /// Advances the lifecycle, on the first worker on behalf of all.
     fn advance_lifecycle(&mut self, now: Micros) {
         let in_flight = self.shared.dispatcher().in_flight_count();
         let drained =
--- a/crates/proxy/src/proxy/upstream_events.rs
+++ b/crates/proxy/src/proxy/upstream_events.rs
@@ -1,4 +1,4 @@
-//! What happened on connections to endpoints: responses, their parts, and health checks.
+//! Processes events of connections to endpoints: responses, body parts and health checks.
 
 use garnetcrank_http::Headers;
 use garnetcrank_policy::api::{AttemptResult, Event, Micros, RequestId};
@@ -7,7 +7,7 @@
 use crate::upstream::UpstreamEvent;
 
 impl Proxy {
-    /// Takes in all events that wait.
+    /// Processes all queued events.
     pub(super) fn process_upstream_events(&mut self, now: Micros) {
         for event in std::mem::take(&mut self.upstream_events) {
             self.on_upstream_event(event, now);
@@ -40,17 +40,18 @@
     }
 
     fn on_response_started(&mut self, id: RequestId, attempt: usize, headers: Headers, now: Micros) {
-        let wanted = self.shared.dispatcher().on_response_started(id, attempt, headers, &mut self.commands);
-        if !wanted {
+        let accepted = self.shared.dispatcher().on_response_started(id, attempt, headers, &mut self.commands);
+        if !accepted {
             self.upstream.abort(id, attempt, now, &mut self.upstream_events);
         }
-        // The head must leave before the first part of the body.
+        // The head must be sent before the first part of the body.
         for command in std::mem::take(&mut self.commands) {
             self.dispatch_command(command, now);
         }
     }
 
-    /// Forwards a part of a streamed body, and pauses the stream where the client falls behind.
+    /// Forwards a part of a streamed body, and pauses the stream if the client reads more slowly than it
+    /// arrives.
     fn forward_body_part(&mut self, id: RequestId, bytes: &[u8], now: Micros) {
         let stream = self.shared.dispatcher().get(id).map(|r| (r.client, r.streaming_attempt));
         let Some((client, Some(attempt))) = stream else { return };
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,25 +1,25 @@
-//! What the event loop's callbacks leave for the turn: which connection is ready for what, and which process
-//! signals came. The turn reads them in its own order, the control plane first.
+//! Inputs that the event loop's callbacks collect for a turn: ready connections and received process signals.
+//! The turn processes them in its own order, the control plane first.
 
 use calloop::{LoopHandle, Readiness};
 
 use crate::worker_id::WorkerId;
 
-/// Number of a connection, never given twice in the life of the process.
+/// Id of a connection, never reused while the process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ConnId(pub(crate) u64);
 
 impl ConnId {
-    /// The bits from this one on hold the number of the worker that owns the connection.
+    /// Position of the lowest bit of the owning worker's number.
     const WORKER_SHIFT: u32 = 56;
 
-    /// The worker that owns the connection.
+    /// Returns the worker that owns the connection.
     pub(crate) fn worker(self) -> WorkerId {
         WorkerId((self.0 >> Self::WORKER_SHIFT) as usize)
     }
 }
 
-/// What a ready connection belongs to.
+/// Owner of a ready connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
     /// The listening socket.
@@ -36,40 +36,40 @@
     Agent(ConnId),
 }
 
-/// Work that a process signal asks for.
+/// Action requested by a process signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PendingWork {
+pub(crate) enum SignalAction {
     /// Finish the requests in flight and exit.
     Stop,
-    /// Read the configuration again.
+    /// Reload the configuration.
     Reload,
-    /// Print the counters.
-    PrintCounters,
+    /// Log the counters.
+    LogCounters,
 }
 
-/// The event loop's data: filled by its callbacks, emptied by the turn that follows.
+/// Data of the event loop, filled by its callbacks and emptied by the turn that follows.
 #[derive(Debug, Default)]
 pub(crate) struct TurnInputs {
     /// Ready connections, in the order reported.
     pub(crate) connections: Vec<(Source, Readiness)>,
-    /// Work asked for by signals, in the order received.
-    pub(crate) pending_work: Vec<PendingWork>,
+    /// Actions requested by signals, in the order received.
+    pub(crate) signal_actions: Vec<SignalAction>,
 }
 
-/// The event loop, as connections are registered with it.
+/// Handle with which connections are registered with the event loop.
 pub(crate) type Handle = LoopHandle<'static, TurnInputs>;
 
-/// Allocates connection numbers.
+/// Allocator of connection ids.
 #[derive(Debug, Default)]
 pub(crate) struct ConnIds(u64);
 
 impl ConnIds {
-    /// The numbers of one worker's connections.
+    /// Creates the allocator of one worker's connection ids.
     pub(crate) fn for_worker(worker: WorkerId) -> Self {
         ConnIds((worker.0 as u64) << ConnId::WORKER_SHIFT)
     }
 
-    /// The next unused number.
+    /// Allocates the next unused id.
     pub(crate) fn next(&mut self) -> ConnId {
         self.0 += 1;
         ConnId(self.0)
--- a/crates/proxy/src/runtime.rs
+++ b/crates/proxy/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The threads of the process, each with an event loop and a worker on it.
+//! Threads of the process, each with an event loop and a worker.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,54 +10,55 @@
 
 use crate::feature_settings::FeatureSettings;
 use crate::process_settings::ProcessSettings;
-use crate::proxy::{Proxy, WorkerSeed};
-use crate::readiness::{PendingWork, TurnInputs};
+use crate::proxy::{Proxy, WorkerInit};
+use crate::readiness::{SignalAction, TurnInputs};
 
-/// Exit code when a thread has panicked or can't go on.
+/// Exit code when a thread has panicked or failed.
 const EXIT_THREAD_FAILED: i32 = 70;
 
-/// Why the process could not start, or not go on.
+/// Reason why the process could not start or had to end.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RunError {
-    /// The system refused to hand over signals.
-    #[error("signals can't be watched: {0}")]
+    /// Signal handling could not be set up.
+    #[error("signal handling could not be set up: {0}")]
     WatchSignals(#[source] calloop::Error),
     /// An event loop could not be created.
-    #[error("the event loop can't be made: {0}")]
+    #[error("event loop could not be created: {0}")]
     CreateEventLoop(#[source] calloop::Error),
-    /// An event loop stopped working.
-    #[error("the event loop broke: {0}")]
+    /// An event loop failed.
+    #[error("event loop failed: {0}")]
     DispatchEvents(#[source] calloop::Error),
-    /// The listening address could not be taken, or there were no descriptors for the workers.
+    /// The listening address could not be bound, or there were no descriptors for the workers.
     #[error("listen: {address}: {source}")]
     Listen {
-        /// The configured address.
+        /// Configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the system.
         source: io::Error,
     },
-    /// A further worker could not use the listening socket.
+    /// An additional worker could not use the listening socket.
     #[error("listen: {0}")]
-    ShareListener(#[source] io::Error),
+    StartWorker(#[source] io::Error),
     /// A worker's thread could not be started.
-    #[error("a thread can't be started: {0}")]
+    #[error("worker thread could not be started: {0}")]
     SpawnThread(#[source] io::Error),
 }
 
-/// Takes over the signals that the process answers. Those that come from now on wait until the event loop runs.
+/// Redirects the signals that the process responds to from their default actions to the event loop. Signals
+/// that arrive before the loop runs stay pending.
 ///
 /// # Errors
-/// When the system refuses to hand them over.
+/// Signal handling could not be set up.
 pub(crate) fn watch_signals() -> Result<Signals, RunError> {
     let signals = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1];
     Signals::new(&signals).map_err(RunError::WatchSignals)
 }
 
-/// Runs the workers until the process has been signalled to stop and has answered its clients.
+/// Runs the workers until the process has received a stop signal and has answered its clients.
 ///
 /// # Errors
-/// When something that the workers need can't be had at the start, or the first event loop breaks. A further worker
-/// that fails ends the process.
+/// The workers could not be started, or the first event loop failed. An additional worker that fails
+/// terminates the process.
 pub(crate) fn run(
     process: ProcessSettings,
     features: &FeatureSettings,
@@ -67,18 +68,18 @@
     let handle = event_loop.handle();
     handle.insert_source(signals, on_signal).map_err(|insertion| RunError::WatchSignals(insertion.error))?;
     let address = process.listen;
-    let (mut proxy, seeds) =
+    let (mut proxy, worker_inits) =
         Proxy::new(handle, process, features).map_err(|source| RunError::Listen { address, source })?;
     let mut threads = Vec::new();
-    for (index, seed) in seeds.into_iter().enumerate() {
-        threads.push(spawn_worker(index + 1, seed)?);
+    for (index, init) in worker_inits.into_iter().enumerate() {
+        threads.push(spawn_worker(index + 1, init)?);
     }
     run_turns(&mut event_loop, &mut proxy)?;
     for thread in threads {
-        // One that panicked has ended the process.
+        // A thread that panicked has already terminated the process.
         let _ = thread.join();
     }
-    proxy.print_counters();
+    proxy.log_counters();
     Ok(())
 }
 
@@ -87,18 +88,18 @@
 }
 
 fn on_signal(event: SignalEvent, _: &mut (), inputs: &mut TurnInputs) {
-    let work = match event.signal() {
-        Signal::SIGUSR1 => PendingWork::PrintCounters,
-        Signal::SIGHUP => PendingWork::Reload,
-        _ => PendingWork::Stop,
+    let action = match event.signal() {
+        Signal::SIGUSR1 => SignalAction::LogCounters,
+        Signal::SIGHUP => SignalAction::Reload,
+        _ => SignalAction::Stop,
     };
-    inputs.pending_work.push(work);
+    inputs.signal_actions.push(action);
 }
 
-fn spawn_worker(number: usize, seed: WorkerSeed) -> Result<JoinHandle<()>, RunError> {
+fn spawn_worker(number: usize, init: WorkerInit) -> Result<JoinHandle<()>, RunError> {
     let run = move || {
         let _guard = ExitOnPanic;
-        if let Err(error) = run_further_worker(seed) {
+        if let Err(error) = run_additional_worker(init) {
             error!("{error}");
             std::process::exit(EXIT_THREAD_FAILED);
         }
@@ -106,9 +107,9 @@
     std::thread::Builder::new().name(format!("worker {number}")).spawn(run).map_err(RunError::SpawnThread)
 }
 
-fn run_further_worker(seed: WorkerSeed) -> Result<(), RunError> {
+fn run_additional_worker(init: WorkerInit) -> Result<(), RunError> {
     let mut event_loop = new_event_loop()?;
-    let mut proxy = Proxy::start_worker(event_loop.handle(), seed).map_err(RunError::ShareListener)?;
+    let mut proxy = Proxy::start_worker(event_loop.handle(), init).map_err(RunError::StartWorker)?;
     run_turns(&mut event_loop, &mut proxy)
 }
 
@@ -121,7 +122,8 @@
     Ok(())
 }
 
-/// Ends the process when its thread panics: the other threads would wait for answers that never come.
+/// Terminates the process when its thread panics, since the other threads would wait for responses that never
+/// come.
 struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
--- a/crates/proxy/src/workers.rs
+++ b/crates/proxy/src/workers.rs
@@ -1,8 +1,9 @@
-//! What the worker threads share: the dispatcher under a lock, a mailbox for each worker, and the lifecycle stage of
-//! the process.
+//! State shared by the worker threads: the dispatcher under a lock, a mailbox for each worker, and the
+//! lifecycle stage of the process.
 //!
-//! Each worker has its own event loop, clients and connections to endpoints. The first one also runs the control
-//! plane (discovery, release controller, agent), the lifecycle of the process and the policy's timers.
+//! Each worker has its own event loop, clients and connections to endpoints. The first one also runs the
+//! control plane (discovery, release controller, agent), the lifecycle of the process and the policy's
+//! timers.
 
 #[cfg(test)]
 mod tests;
@@ -21,21 +22,21 @@
 use crate::lifecycle::LifecycleStage;
 use crate::worker_id::WorkerId;
 
-/// Age from which on a decision is not carried out but made again: its thread did not run meanwhile, and what the
-/// decision was based on is old.
+/// Age beyond which a decision is not executed but made again: its thread was suspended in between, and the
+/// state that the decision was based on is outdated.
 const MAX_DECISION_AGE: Micros = 20 * MS;
 
-/// What one worker sends to another.
+/// Message from one worker to another.
 pub(crate) enum WorkerMessage {
-    /// A command for one of its connections.
+    /// Execute this command for a connection of the receiver.
     Command(Command),
-    /// An endpoint's address or status has changed.
+    /// The address or status of an endpoint has changed.
     EndpointChanged(EndpointAddress),
     /// The exposure cap of this build has been lowered.
     ExposureLowered(Build),
 }
 
-/// One worker as the others see it.
+/// State of one worker that the others can access.
 struct WorkerSlot {
     messages: Mutex<Vec<WorkerMessage>>,
     /// Wakes the worker's event loop.
@@ -57,7 +58,7 @@
     }
 }
 
-/// All that the workers share.
+/// State that all workers share.
 pub(crate) struct WorkerShared {
     dispatcher: SharedPolicy<Dispatcher>,
     slots: Vec<WorkerSlot>,
@@ -65,15 +66,16 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // A thread that panics ends the process; nobody goes on with the state that it left.
+    // A panic in any thread terminates the process, so no thread continues with the state that it left.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl WorkerShared {
-    /// The shared state of `worker_count` workers, and for each of them the event source that wakes it.
+    /// Creates the shared state of `worker_count` workers, and for each of them the event source that wakes
+    /// it.
     ///
     /// # Errors
-    /// When the system gives no descriptor for a wake-up source.
+    /// The system has no descriptor for a wake-up source.
     pub(crate) fn new(
         dispatcher: Dispatcher,
         worker_count: usize,
@@ -93,19 +95,19 @@
         Ok((shared, wake_sources))
     }
 
-    /// Number of workers, at least 1.
+    /// Returns the number of workers, at least 1.
     pub(crate) fn worker_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// The dispatcher, locked. Nothing that may block is done while the guard lives.
+    /// Locks the dispatcher. The caller must not block while it holds the guard.
     pub(crate) fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatcher.lock()
     }
 
-    /// With several workers, has the policy handle all events that wait: another worker would otherwise handle them,
-    /// and the commands that come of it would have to travel back. A single worker handles one event at a time in its
-    /// turn.
+    /// With several workers, lets the policy handle all queued events. Otherwise another worker would handle
+    /// them and would have to post the resulting commands back. A single worker handles one event at a time
+    /// in its turn.
     pub(crate) fn drain_dispatcher(
         &self,
         dispatcher: &mut Dispatcher,
@@ -117,19 +119,19 @@
         }
     }
 
-    /// Queues an update of the endpoint list or the rollout for the policy. Decisions made before it that have not been
-    /// carried out are made again.
-    pub(crate) fn deliver(&self, event: Event) {
+    /// Queues an update of the endpoint list or the rollout for the policy. Earlier decisions that have not
+    /// been executed yet are made again.
+    pub(crate) fn queue_update(&self, event: Event) {
         self.dispatcher.update(|dispatcher| dispatcher.queue_priority_event(event));
     }
 
-    /// Whether a decision with this stamp may still be carried out. Always true with a single worker, which carries it
-    /// out in the turn in which it was made.
-    pub(crate) fn may_send(&self, stamp: DecisionStamp, now: Micros) -> bool {
+    /// Returns whether a decision with this stamp may still be executed. Always true with a single worker,
+    /// which executes a decision in the turn in which it was made.
+    pub(crate) fn is_decision_current(&self, stamp: DecisionStamp, now: Micros) -> bool {
         self.dispatcher.stamp_status(stamp, now) == StampStatus::Current
     }
 
-    /// The worker that owns a request.
+    /// Returns the worker that owns a request.
     pub(crate) fn owner(&self, id: RequestId) -> WorkerId {
         WorkerId::owning_request(id, self.worker_count())
     }
@@ -141,17 +143,17 @@
         slot.ping.ping();
     }
 
-    /// Takes all messages out of a worker's mailbox, in the order they were posted.
+    /// Removes and returns all messages of a worker's mailbox, in the order in which they were posted.
     pub(crate) fn take_messages(&self, worker: WorkerId) -> Vec<WorkerMessage> {
         std::mem::take(&mut *lock(&self.slots[worker.0].messages))
     }
 
-    /// All workers but this one.
+    /// Returns all workers but this one.
     pub(crate) fn others(&self, worker: WorkerId) -> impl Iterator<Item = WorkerId> + use<> {
         (0..self.worker_count()).map(WorkerId).filter(move |other| *other != worker)
     }
 
-    /// Publishes a worker's state for the others; called with several workers only.
+    /// Publishes a worker's state to the others. Called only with several workers.
     pub(crate) fn publish(&self, worker: WorkerId, client_count: usize, drained: bool, counters: &Counters) {
         let slot = &self.slots[worker.0];
         slot.client_count.store(client_count, Ordering::Relaxed);
@@ -159,12 +161,13 @@
         *lock(&slot.counters) = counters.clone();
     }
 
-    /// Publishes a worker's number of clients alone.
+    /// Publishes a worker's number of clients only.
     pub(crate) fn publish_client_count(&self, worker: WorkerId, client_count: usize) {
         self.slots[worker.0].client_count.store(client_count, Ordering::Relaxed);
     }
 
-    /// Whether a worker has no more clients than any other, as published: the next client is its own to accept.
+    /// Returns whether no other worker has published fewer clients; if so, this worker may accept the next
+    /// client.
     pub(crate) fn has_fewest_clients(&self, worker: WorkerId) -> bool {
         let own = self.client_count(worker);
         self.others(worker).all(|other| own <= self.client_count(other))
@@ -174,28 +177,28 @@
         self.slots[worker.0].client_count.load(Ordering::Relaxed)
     }
 
-    /// Whether all other workers have stopped accepting and have no client left.
+    /// Returns whether all other workers have stopped accepting and have no client left.
     pub(crate) fn others_drained(&self, worker: WorkerId) -> bool {
         self.others(worker).all(|other| self.slots[other.0].drained.load(Ordering::SeqCst))
     }
 
-    /// The counters that the other workers have published.
+    /// Returns the counters that the other workers have published.
     pub(crate) fn others_counters(&self, worker: WorkerId) -> Vec<Counters> {
         self.others(worker).map(|other| lock(&self.slots[other.0].counters).clone()).collect()
     }
 
-    /// Publishes the lifecycle stage. The first worker alone sets it; all are woken when it becomes
-    /// [`LifecycleStage::Stopped`].
+    /// Publishes the lifecycle stage. Called by the first worker only. All workers are woken when the stage
+    /// becomes [`LifecycleStage::Stopped`].
     pub(crate) fn set_stage(&self, stage: LifecycleStage) {
-        let before = std::mem::replace(&mut *lock(&self.stage), stage);
-        if stage == LifecycleStage::Stopped && before != stage {
+        let previous = std::mem::replace(&mut *lock(&self.stage), stage);
+        if stage == LifecycleStage::Stopped && previous != stage {
             for slot in &self.slots {
                 slot.ping.ping();
             }
         }
     }
 
-    /// The lifecycle stage of the process.
+    /// Returns the lifecycle stage of the process.
     pub(crate) fn stage(&self) -> LifecycleStage {
         *lock(&self.stage)
     }
--- a/crates/proxy/src/workers/tests.rs
+++ b/crates/proxy/src/workers/tests.rs
@@ -1,33 +1,39 @@
-//! Tests of what workers share.
+//! Tests of the state that the workers share.
 
 use super::*;
 use garnetcrank_policy::api::{EndpointId, EndpointUpdate};
 
 fn shared(worker_count: usize) -> WorkerShared {
     let value = serde_json::from_str(include_str!("../../tests/settings.json")).expect("JSON");
-    let settings = garnetcrank_settings::Settings::read(&value).expect("settings");
+    let settings = garnetcrank_settings::Settings::read(&value).expect("valid settings");
     WorkerShared::new(Dispatcher::new(7, &settings, worker_count), worker_count).expect("wake-up sources").0
 }
 
 #[test]
-fn a_decision_from_before_an_update_or_long_ago_is_not_sent() {
+fn a_decision_made_before_an_update_or_too_long_ago_is_not_current() {
     let shared = shared(3);
     let stamp = DecisionStamp { updates: 0, decided_at: 1_000 * MS };
-    assert!(shared.may_send(stamp, 1_000 * MS + MAX_DECISION_AGE));
-    assert!(!shared.may_send(stamp, 1_001 * MS + MAX_DECISION_AGE), "its thread did not run");
-    shared.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
-    assert!(!shared.may_send(stamp, 1_000 * MS), "it was decided without the update");
+    assert!(shared.is_decision_current(stamp, 1_000 * MS + MAX_DECISION_AGE));
+    assert!(
+        !shared.is_decision_current(stamp, 1_001 * MS + MAX_DECISION_AGE),
+        "the decision is older than the maximum age"
+    );
+    shared.queue_update(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
+    assert!(!shared.is_decision_current(stamp, 1_000 * MS), "the decision was made without the update");
     let without_update = DecisionStamp { updates: 0, decided_at: 1_000 * MS };
-    assert!(!shared.may_send(without_update, 1_000 * MS), "an update that waits is not handled yet");
+    assert!(
+        !shared.is_decision_current(without_update, 1_000 * MS),
+        "the queued update has not been handled yet"
+    );
     shared.dispatcher().handle_next_event(1_000 * MS, &mut Vec::new());
-    assert!(shared.may_send(DecisionStamp { updates: 1, decided_at: 1_000 * MS }, 1_000 * MS));
+    assert!(shared.is_decision_current(DecisionStamp { updates: 1, decided_at: 1_000 * MS }, 1_000 * MS));
 }
 
 #[test]
-fn a_single_worker_sends_whatever_it_decided() {
+fn a_decision_of_a_single_worker_is_always_current() {
     let shared = shared(1);
-    shared.deliver(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
-    assert!(shared.may_send(DecisionStamp { updates: 0, decided_at: 0 }, 9_000 * MS));
+    shared.queue_update(Event::EndpointsUpdated(EndpointUpdate::Delta(Vec::new())));
+    assert!(shared.is_decision_current(DecisionStamp { updates: 0, decided_at: 0 }, 9_000 * MS));
 }
 
 #[test]
@@ -45,7 +51,7 @@
 }
 
 #[test]
-fn messages_arrive_in_order_and_once() {
+fn messages_are_received_once_and_in_order() {
     let shared = shared(2);
     let message = |n| WorkerMessage::Command(Command::CloseIdle(EndpointId(n)));
     shared.post(WorkerId(1), [message(1), message(2)]);
