--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -1,5 +1,5 @@
-//! Client of the agent on this machine: sends votes to it and reads its updates. Where a vote goes is decided in
-//! `garnetcrank-vote-router`.
+//! Client of the agent on this host. It sends votes to the agent and reads its updates. `garnetcrank-vote-router`
+//! decides whether a vote goes to the agent or to the release controller.
 
 mod protocol;
 #[cfg(test)]
@@ -17,13 +17,13 @@
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
-use protocol::{BuildVerdict, UpdateLine, VoteReply, VoteRequest};
+use protocol::{BuildVerdict, UpdateLine, VoteRequest, VoteResponse};
 
-/// Maximum size of the reply to a vote, in bytes; it is one line.
-const MAX_REPLY_BYTES: usize = 4 * 1024;
-/// Maximum number of votes under way.
+/// Maximum size of the response to a vote, in bytes; the response is one line.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024;
+/// Maximum number of pending votes.
 const MAX_CALLS: usize = 4;
-/// Maximum number of descriptors that the client uses: its calls and the watch stream.
+/// Maximum number of descriptors that the client uses, for its calls and the watch stream.
 pub(crate) const DESCRIPTORS: usize = MAX_CALLS + 1;
 
 /// Client of the agent.
@@ -32,17 +32,17 @@
     agent: SocketAddr,
     call_timeout: Micros,
     watch: WatchStream,
-    /// Votes that were sent and have not been replied to.
+    /// Votes that were sent and have no response yet.
     pending: PendingCalls<Vote>,
     router: VoteRouter,
-    /// Reconnects of the watch stream.
+    /// Number of times that the watch stream was lost.
     pub(crate) reconnects: u64,
-    /// Votes that the agent has passed on.
+    /// Number of votes that the agent has forwarded to the cluster.
     pub(crate) passed_on: u64,
 }
 
 impl AgentClient {
-    /// A client for the proxy of this name, whose votes stand at the release controller for `vote_ttl`.
+    /// Creates a client for the proxy `proxy_name`. Votes expire at the release controller after `vote_ttl`.
     pub(crate) fn new(settings: &ConsensusSettings, proxy_name: &str, vote_ttl: Micros, seed: u64) -> Self {
         AgentClient {
             proxy_name: proxy_name.to_owned(),
@@ -62,17 +62,17 @@
         }
     }
 
-    /// Whether there is nothing to do but to wait for updates.
+    /// Whether no vote is pending and no reconnect is due.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.watch.is_connected()
     }
 
-    /// A rollout status from the release controller. Returns the status that the policy is to be notified of.
+    /// Handles a rollout status from the release controller. Returns the status to pass to the policy.
     pub(crate) fn on_rollout_status(&mut self, now: Micros, status: RolloutStatus) -> RolloutStatus {
         self.router.on_rollout_update(now, status)
     }
 
-    /// The policy votes. Returns what the caller has to do.
+    /// Handles a vote of the policy. Returns the actions that the caller must perform.
     pub(crate) fn on_vote(
         &mut self,
         handle: &Handle,
@@ -84,21 +84,21 @@
         self.send_votes(handle, ids, now, vec![action])
     }
 
-    /// Reconnects and expires calls where that is due. Returns what the caller has to do.
+    /// Performs a due reconnect and expires overdue calls. Returns the actions that the caller must perform.
     pub(crate) fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<RouterAction> {
         let used_agent = self.router.uses_agent();
         let mut actions = Vec::new();
         let name = &self.proxy_name;
         let target = || format!("/v1/watch?front={name}");
         let events = self.watch.on_tick(handle, ids, Source::Agent, now, target);
-        self.take_events(events, now, &mut actions);
+        self.handle_events(events, now, &mut actions);
         self.expire_calls(now, &mut actions);
         actions.extend(self.router.on_tick(now));
         self.log_route_change(used_agent);
         self.send_votes(handle, ids, now, actions)
     }
 
-    /// Reads what has arrived on one of the client's connections. Returns what the caller has to do.
+    /// Handles readiness of one of the client's connections. Returns the actions that the caller must perform.
     pub(crate) fn on_ready(
         &mut self,
         handle: &Handle,
@@ -114,14 +114,14 @@
             ReadyCall::Pending => {}
             ReadyCall::NotACall => {
                 let events = self.watch.on_ready(id, readiness, now);
-                self.take_events(events, now, &mut actions);
+                self.handle_events(events, now, &mut actions);
             }
         }
         self.log_route_change(used_agent);
         self.send_votes(handle, ids, now, actions)
     }
 
-    /// Sends the votes that go to the agent; the other actions are returned.
+    /// Sends the votes that go to the agent. Returns the other actions.
     fn send_votes(
         &mut self,
         handle: &Handle,
@@ -129,14 +129,14 @@
         now: Micros,
         actions: Vec<RouterAction>,
     ) -> Vec<RouterAction> {
-        let mut rest = Vec::new();
+        let mut remaining = Vec::new();
         for action in actions {
             match action {
-                RouterAction::SendToAgent(vote) => rest.extend(self.send_vote(handle, ids, now, vote)),
-                other => rest.push(other),
+                RouterAction::SendToAgent(vote) => remaining.extend(self.send_vote(handle, ids, now, vote)),
+                other => remaining.push(other),
             }
         }
-        rest
+        remaining
     }
 
     fn send_vote(
@@ -147,15 +147,15 @@
         vote: Vote,
     ) -> Option<RouterAction> {
         let request = VoteRequest { proxy_name: &self.proxy_name, verdict: BuildVerdict::from(vote) };
-        // Fails only for types that JSON can't express, and this one has none.
+        // Serialization fails only for types that JSON cannot represent, and this request contains none.
         let body = serde_json::to_vec(&request).unwrap_or_default();
         let id = ids.next();
         let call = CallRequest {
-            to: self.agent,
+            address: self.agent,
             method: "POST",
             target: "/v1/verdicts",
             body: &body,
-            max_response_bytes: MAX_REPLY_BYTES,
+            max_response_bytes: MAX_RESPONSE_BYTES,
             deadline: now + self.call_timeout,
         };
         match self.pending.start(handle, id, Source::Agent(id), call, vote) {
@@ -168,31 +168,30 @@
     }
 
     fn on_call_ended(&mut self, ended: EndedCall<Vote>) -> Option<RouterAction> {
-        let passed_on = match ended.outcome {
+        let forwarded = match ended.outcome {
             CallOutcome::Response(response) if response.status == 200 => {
-                serde_json::from_slice::<VoteReply>(&response.body).is_ok_and(|reply| reply.passed_on)
+                serde_json::from_slice::<VoteResponse>(&response.body).is_ok_and(|body| body.forwarded)
             }
             CallOutcome::Response(_) | CallOutcome::NeverSent | CallOutcome::Unknown => false,
         };
-        self.passed_on += u64::from(passed_on);
-        self.router.on_agent_reply(ended.context, passed_on)
+        self.passed_on += u64::from(forwarded);
+        self.router.on_agent_reply(ended.context, forwarded)
     }
 
-    /// Ends calls whose time is over. An agent that misses one deadline counts as lost, so that no second vote waits
-    /// for it.
+    /// Expires overdue calls. An agent that misses one deadline counts as lost, so that no further vote waits for it.
     fn expire_calls(&mut self, now: Micros, actions: &mut Vec<RouterAction>) {
         let expired = self.pending.expire(now);
         if expired.is_empty() {
             return;
         }
         actions.extend(self.router.on_agent_lost(now));
-        self.watch.disconnect(now, "no answer to a vote");
+        self.watch.disconnect(now, "no response to a vote within the call timeout");
         for ended in expired {
             actions.extend(self.on_call_ended(ended));
         }
     }
 
-    fn take_events(&mut self, events: WatchEvents, now: Micros, actions: &mut Vec<RouterAction>) {
+    fn handle_events(&mut self, events: WatchEvents, now: Micros, actions: &mut Vec<RouterAction>) {
         let mut lost = events.lost;
         for line in events.non_empty_lines() {
             match serde_json::from_slice::<UpdateLine>(line) {
--- a/crates/proxy/src/agent_client/protocol.rs
+++ b/crates/proxy/src/agent_client/protocol.rs
@@ -1,5 +1,5 @@
-//! JSON between a proxy and its agent. Keys and words are those of the agent's HTTP port; agents of other versions use
-//! them too.
+//! JSON messages between a proxy and its agent. Agents of other versions use the same format, so its keys and values
+//! must not change.
 
 use garnetcrank_policy::api::{Build, Verdict};
 use garnetcrank_vote_router::{AgentUpdate, CastAssignment, Vote};
@@ -14,31 +14,31 @@
     pub(super) verdict: BuildVerdict,
 }
 
-/// Answer to `POST /v1/verdicts`.
+/// Body of the response to `POST /v1/verdicts`.
 #[derive(Deserialize)]
-pub(super) struct VoteReply {
-    /// Whether the agent passes the vote on to the cluster.
+pub(super) struct VoteResponse {
+    /// Whether the agent forwards the vote to the cluster.
     #[serde(rename = "heard")]
-    pub(super) passed_on: bool,
+    pub(super) forwarded: bool,
 }
 
-/// One line of `GET /v1/watch`.
+/// Line of the response to `GET /v1/watch`.
 #[derive(Deserialize)]
 pub(super) struct UpdateLine {
     condemned: Vec<u32>,
-    cast: Option<CastLine>,
+    cast: Option<ClusterVote>,
     #[serde(rename = "together")]
     has_quorum: bool,
 }
 
-/// The vote that this proxy has to keep cast for the cluster.
+/// Vote that this proxy must keep cast on behalf of the cluster.
 #[derive(Deserialize)]
-struct CastLine {
+struct ClusterVote {
     #[serde(rename = "opinion")]
     verdict: Option<BuildVerdict>,
 }
 
-/// A verdict on a build at a stage.
+/// Verdict on a build at a stage.
 #[derive(Serialize, Deserialize)]
 pub(super) struct BuildVerdict {
     build: u32,
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Client of discovery: the endpoint list, from the cached one of the configuration on, kept current by a watch stream
-//! or by polling.
+//! Client of discovery. It starts from the endpoint list cached in the configuration and keeps it current with a watch
+//! stream or by polling.
 
 mod endpoint_registry;
 mod line_assembler;
@@ -23,20 +23,21 @@
 use line_assembler::LineAssembler;
 pub(crate) use member_list::MemberList;
 
-/// Silence after which a watch stream is dead: one of its heartbeats, one every 2 s, and a margin. What a dead stream
-/// misses counts as notified 6 s after it fell silent, so two more connections may fail before one delivers it.
+/// Silence after which the watch stream counts as dead: its heartbeat interval of 2 s plus a margin. An update that a
+/// dead stream misses counts as delivered 6 s after the stream fell silent. Two more connections may fail before a
+/// third delivers the update in time.
 const SILENCE_TIMEOUT: Micros = 3 * SECOND;
-/// Wait for the answer to a poll.
+/// Timeout of a poll.
 const POLL_TIMEOUT: Micros = 2 * SECOND;
-/// Maximum size of a complete list, in bytes: about 20,000 endpoints.
+/// Maximum size of a complete list, in bytes; enough for about 20,000 endpoints.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// What has become known of the endpoint list.
+/// Changes to the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct DiscoveryUpdate {
-    /// For the policy, in order.
+    /// Updates for the policy, in order.
     pub(crate) endpoint_updates: Vec<EndpointUpdate>,
-    /// For the connections to endpoints, in order.
+    /// Address changes for the connections to endpoints, in order.
     pub(crate) addresses: Vec<EndpointAddress>,
 }
 
@@ -54,11 +55,11 @@
 /// Whether the watch stream is kept connected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WatchMode {
-    /// Nobody watches.
+    /// The stream is closed.
     Off,
-    /// It is kept connected.
+    /// The stream is kept connected.
     On,
-    /// It was lost, and the policy chooses when to watch again.
+    /// The stream was lost, and the policy decides when to watch again.
     AwaitingPolicy,
 }
 
@@ -67,22 +68,22 @@
     address: SocketAddr,
     registry: EndpointRegistry,
     watch: WatchStream,
-    /// Discovery pushes the list: the watch stream is kept connected without being asked for.
+    /// Whether discovery pushes the list. The watch stream is then kept connected without a request of the policy.
     pushed: bool,
     watch_mode: WatchMode,
     lines: LineAssembler,
     poll: Option<UnaryCall>,
-    /// Discovery has sent a list since the start.
+    /// Whether discovery has sent a list since the process started.
     pub(crate) list_received: bool,
-    /// Reconnects of the watch stream.
+    /// Number of times that the watch stream was lost.
     pub(crate) reconnects: u64,
 }
 
 impl Discovery {
-    /// A client that knows no endpoint yet.
+    /// Creates a client without endpoints.
     pub(crate) fn new(address: SocketAddr, settings: &Settings, seed: u64) -> Self {
         let pushed = !settings.config.poll_endpoints;
-        // Where the list is polled, many proxies poll at once and are answered one after another.
+        // In poll mode many proxies connect at the same time, and discovery answers them one after another.
         let first_byte_timeout = if pushed { FIRST_BYTE_TIMEOUT } else { SILENCE_TIMEOUT };
         Discovery {
             address,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Applies the list that the configuration holds.
+    /// Applies the endpoint list cached in the configuration.
     pub(crate) fn load_cached(&mut self, list: MemberList) -> DiscoveryUpdate {
         let mut update = DiscoveryUpdate::default();
         let complete_list = MemberList { complete: true, ..list };
@@ -111,16 +112,16 @@
         update
     }
 
-    /// Takes in a configuration that was read again. The present list stays, unless the cached one is newer; the next
-    /// connection goes to the new address, at once.
+    /// Applies a reloaded configuration. The current list stays, unless the cached one is newer. If the address has
+    /// changed, the client reconnects to the new one without backoff.
     pub(crate) fn reconfigure(
         &mut self,
         address: SocketAddr,
         cached: MemberList,
         now: Micros,
     ) -> DiscoveryUpdate {
-        let last_events = self.watch.retarget(address, now);
-        let mut update = self.take_events(last_events, now);
+        let final_events = self.watch.retarget(address, now);
+        let mut update = self.apply_events(final_events, now);
         if address != self.address {
             self.address = address;
             self.restart_at_new_address(&mut update);
@@ -134,36 +135,37 @@
     fn restart_at_new_address(&mut self, update: &mut DiscoveryUpdate) {
         self.lines = LineAssembler::default();
         if self.watch_mode == WatchMode::AwaitingPolicy {
-            // The policy's backoff belongs to the old address and may be longer than the new one's updates can wait.
+            // The policy's backoff applies to the old address. It may last longer than the time in which an update from
+            // the new address must arrive.
             self.watch_mode = WatchMode::On;
         }
         if self.poll.take().is_some() {
-            // The policy polls again, at the new address.
+            // The policy responds with another poll, which goes to the new address.
             update.endpoint_updates.push(EndpointUpdate::Unavailable);
         }
     }
 
-    /// The policy wants to watch the list, or no longer wants to.
-    pub(crate) fn set_watching(&mut self, want: bool, now: Micros) -> DiscoveryUpdate {
+    /// Starts or stops watching the list, as the policy requests. Has no effect if discovery pushes the list.
+    pub(crate) fn set_watching(&mut self, enabled: bool, now: Micros) -> DiscoveryUpdate {
         if self.pushed {
             return DiscoveryUpdate::default();
         }
-        let last_events = self.watch.close(now);
-        let update = self.take_events(last_events, now);
-        self.watch_mode = if want { WatchMode::On } else { WatchMode::Off };
+        let final_events = self.watch.close(now);
+        let update = self.apply_events(final_events, now);
+        self.watch_mode = if enabled { WatchMode::On } else { WatchMode::Off };
         self.lines = LineAssembler::default();
         update
     }
 
-    /// The policy polls the complete list.
+    /// Polls the complete list for the policy.
     pub(crate) fn poll(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> DiscoveryUpdate {
         if self.poll.is_some() {
-            // The answer that is on its way is the answer to this poll too.
+            // The response to the pending poll answers this one, too.
             return DiscoveryUpdate::default();
         }
         let id = ids.next();
         let request = CallRequest {
-            to: self.address,
+            address: self.address,
             method: "GET",
             target: "/v1/servers",
             body: b"",
@@ -176,19 +178,19 @@
                 DiscoveryUpdate::default()
             }
             Err(error) => {
-                warn!(%error, "endpoint list cannot be polled");
+                warn!(%error, "endpoint list poll could not be sent");
                 DiscoveryUpdate::unavailable()
             }
         }
     }
 
-    /// Whether there is nothing to do but to wait for updates.
+    /// Whether no poll is pending and no reconnect is due.
     pub(crate) fn is_idle(&self) -> bool {
-        let watch_needs_care = self.watch_mode == WatchMode::On && !self.watch.is_connected();
-        self.poll.is_none() && !watch_needs_care
+        let reconnect_needed = self.watch_mode == WatchMode::On && !self.watch.is_connected();
+        self.poll.is_none() && !reconnect_needed
     }
 
-    /// Reconnects and expires the poll where that is due.
+    /// Performs a due reconnect and expires an overdue poll.
     pub(crate) fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> DiscoveryUpdate {
         let mut update = DiscoveryUpdate::default();
         let poll_expired = self.poll.as_ref().is_some_and(|call| call.check_timeout(now).is_some());
@@ -200,12 +202,12 @@
             let revision = self.registry.revision();
             let target = || format!("/v1/servers?stream=1&index={revision}");
             let events = self.watch.on_tick(handle, ids, Source::Discovery, now, target);
-            update.append(self.take_events(events, now));
+            update.append(self.apply_events(events, now));
         }
         update
     }
 
-    /// Reads what has arrived on one of the client's connections.
+    /// Handles readiness of one of the client's connections.
     pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> DiscoveryUpdate {
         if let Some(call) = self.poll.as_mut().filter(|call| call.id == id) {
             let Some(outcome) = call.on_ready(readiness) else { return DiscoveryUpdate::default() };
@@ -213,10 +215,10 @@
             return self.on_poll_ended(outcome);
         }
         let events = self.watch.on_ready(id, readiness, now);
-        self.take_events(events, now)
+        self.apply_events(events, now)
     }
 
-    fn take_events(&mut self, events: WatchEvents, now: Micros) -> DiscoveryUpdate {
+    fn apply_events(&mut self, events: WatchEvents, now: Micros) -> DiscoveryUpdate {
         let mut update = DiscoveryUpdate::default();
         let mut lost = events.lost;
         for line in events.lines {
@@ -236,7 +238,7 @@
 
     fn on_watch_lost(&mut self, update: &mut DiscoveryUpdate) {
         self.reconnects += 1;
-        // The next connection begins with a text of its own.
+        // The next connection starts with a new JSON text.
         self.lines = LineAssembler::default();
         if !self.pushed {
             self.watch_mode = WatchMode::AwaitingPolicy;
@@ -244,8 +246,8 @@
         }
     }
 
-    /// The end of a poll. A list that is older than what the watch stream has delivered since counts as a change, so
-    /// that it undoes nothing.
+    /// Handles the outcome of a poll. A list that is older than the latest update of the watch stream is treated as an
+    /// outdated delta, so that it reverts no newer change.
     fn on_poll_ended(&mut self, outcome: CallOutcome) -> DiscoveryUpdate {
         let CallOutcome::Response(response) = outcome else {
             return DiscoveryUpdate::unavailable();
@@ -268,7 +270,7 @@
         }
     }
 
-    /// Applies a list or a change from the watch stream.
+    /// Parses and applies a list or a delta from the watch stream.
     fn apply_text(&mut self, text: &[u8], update: &mut DiscoveryUpdate) -> Result<(), serde_json::Error> {
         let list = MemberList::parse(text)?;
         self.apply_list(list, update);
@@ -280,8 +282,8 @@
         if list.complete || list.revision > self.registry.revision() {
             self.registry.apply(list, ListOrigin::Discovery, update);
         } else {
-            // A change that the present list already has says nothing new, but it is an answer: a policy that waits
-            // for one would take discovery for lost and poll again, in step with all other proxies.
+            // The current list already contains this delta, but the policy may be waiting for a response. Without one
+            // it would consider discovery unavailable and poll again, at the same time as all other proxies.
             update.endpoint_updates.push(EndpointUpdate::Delta(Vec::new()));
         }
     }
--- a/crates/proxy/src/discovery/endpoint_registry.rs
+++ b/crates/proxy/src/discovery/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! Ids for the names in endpoint lists, and what a list means for connections.
+//! Registry of endpoint ids. It turns endpoint lists into updates for the policy and for connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,42 +10,42 @@
 use super::DiscoveryUpdate;
 use super::member_list::{Member, MemberList, MemberPhase, ProcessId};
 
-/// What a list says of connections to an endpoint.
+/// Address and state of an endpoint, for the connections to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct EndpointAddress {
     /// The endpoint.
     pub(crate) endpoint: EndpointId,
-    /// Where it listens; none: it has been removed.
+    /// Address on which the endpoint listens; `None` if the endpoint was removed or has no address.
     pub(crate) address: Option<SocketAddr>,
-    /// Another process listens there than before: idle connections are of no use.
+    /// Whether the endpoint's process was replaced, so that idle connections to it are unusable.
     pub(crate) restarted: bool,
-    /// It takes no new requests.
+    /// Whether the endpoint accepts no new requests.
     pub(crate) draining: bool,
-    /// The build that it runs.
+    /// The build that the endpoint runs.
     pub(crate) build: Build,
 }
 
 impl EndpointAddress {
-    /// An endpoint that has been removed.
+    /// Creates the record of a removed endpoint.
     pub(super) fn removed(endpoint: EndpointId) -> Self {
         EndpointAddress { endpoint, address: None, restarted: true, draining: true, build: Build::default() }
     }
 }
 
-/// Whether a list comes from discovery now or from a configuration.
+/// Source of an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListOrigin {
-    /// Discovery has sent it.
+    /// Sent by discovery.
     Discovery,
-    /// An earlier process held it; it may be outdated.
+    /// Stored in the configuration by an earlier process; may be outdated.
     Cached,
 }
 
-/// The ids by which the policy knows endpoints, zones and kinds. Nothing is kept of endpoints that are removed.
+/// Ids of endpoints, zones and kinds, as the policy uses them. Removed endpoints are deleted from it.
 #[derive(Debug)]
 pub(super) struct EndpointRegistry {
     pub(super) ids: BTreeMap<String, EndpointId>,
-    /// The next id. An endpoint that returns after it was removed is another endpoint and gets a new one.
+    /// The next id. An endpoint that is added again after its removal gets a new id.
     next_id: u32,
     pub(super) processes: BTreeMap<EndpointId, ProcessId>,
     zones: Vec<String>,
@@ -54,7 +54,7 @@
 }
 
 impl EndpointRegistry {
-    /// A registry without endpoints that knows these zones and kinds.
+    /// Creates a registry without endpoints. Zones and kinds get their ids by their position.
     pub(super) fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
         EndpointRegistry {
             ids: BTreeMap::new(),
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Revision of the list that was applied last.
+    /// Returns the revision of the list that was applied last.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Applies a list and adds what it means to `update`.
+    /// Applies a list and appends the resulting changes to `update`.
     pub(super) fn apply(&mut self, list: MemberList, origin: ListOrigin, update: &mut DiscoveryUpdate) {
         self.revision = list.revision;
         let mut present = BTreeSet::new();
@@ -94,11 +94,11 @@
         present: &mut BTreeSet<EndpointId>,
         update: &mut DiscoveryUpdate,
     ) -> EndpointRecord {
-        let endpoint = self.id_of(&member.id);
+        let endpoint = self.id_or_insert(&member.id);
         let process = member.process();
         let previous = self.processes.get(&endpoint).copied();
-        let is_gone = member.phase == MemberPhase::Gone;
-        if is_gone {
+        let is_removed = member.phase == MemberPhase::Gone;
+        if is_removed {
             self.processes.remove(&endpoint);
             self.ids.remove(&member.id);
         } else {
@@ -108,8 +108,8 @@
         let status = member.status();
         update.addresses.push(EndpointAddress {
             endpoint,
-            address: member.address.filter(|_| !is_gone),
-            restarted: is_gone || previous.is_some_and(|previous| previous != process),
+            address: member.address.filter(|_| !is_removed),
+            restarted: is_removed || previous.is_some_and(|previous| previous != process),
             draining: status != EndpointStatus::Active,
             build: process.build,
         });
@@ -125,7 +125,7 @@
         }
     }
 
-    fn id_of(&mut self, name: &str) -> EndpointId {
+    fn id_or_insert(&mut self, name: &str) -> EndpointId {
         if let Some(known) = self.ids.get(name) {
             return *known;
         }
@@ -135,7 +135,7 @@
         id
     }
 
-    /// Forgets the endpoints that a complete list does not have.
+    /// Removes the endpoints that are missing from a complete list.
     fn remove_missing(&mut self, present: &BTreeSet<EndpointId>, update: &mut DiscoveryUpdate) {
         for endpoint in self.processes.keys() {
             if !present.contains(endpoint) {
@@ -147,10 +147,10 @@
     }
 }
 
-fn position_or_insert(names: &mut Vec<String>, wanted: &str) -> usize {
-    if let Some(position) = names.iter().position(|name| name == wanted) {
+fn position_or_insert(names: &mut Vec<String>, name: &str) -> usize {
+    if let Some(position) = names.iter().position(|existing| existing == name) {
         return position;
     }
-    names.push(wanted.to_owned());
+    names.push(name.to_owned());
     names.len() - 1
 }
--- a/crates/proxy/src/discovery/line_assembler.rs
+++ b/crates/proxy/src/discovery/line_assembler.rs
@@ -1,20 +1,20 @@
-//! Joins the lines of a JSON text that may be indented.
+//! Assembly of JSON texts that span several lines.
 
 use super::MAX_LIST_BYTES;
 
-/// The lines of a JSON text as far as they have come.
+/// Buffer for the lines of a JSON text that is incomplete.
 #[derive(Debug, Default)]
 pub(super) struct LineAssembler {
     bytes: Vec<u8>,
-    /// Brackets that are open. No string continues over the end of a line.
+    /// Number of unclosed brackets. JSON strings contain no line breaks, so each line starts outside a string.
     open_brackets: i32,
 }
 
 impl LineAssembler {
-    /// Adds a line. Returns the text if it ends here.
+    /// Adds a line. Returns the text if this line ends it.
     ///
-    /// An empty line, which is a heartbeat, ends a text that is incomplete: what follows is a text of its own, and a
-    /// half text that was kept would swallow all that come after it.
+    /// An empty line, which is a heartbeat, ends an incomplete text: the lines after it belong to another text. If the
+    /// incomplete text were kept, all later lines would be appended to it.
     pub(super) fn push_line(&mut self, line: &[u8]) -> Option<Vec<u8>> {
         let is_empty = line.trim_ascii().is_empty();
         if is_empty && self.bytes.is_empty() {
@@ -29,7 +29,7 @@
         None
     }
 
-    /// Counts the brackets of a line; whether the line ends inside a string.
+    /// Counts the brackets of a line. Returns whether the line ends inside a string.
     fn count_brackets(&mut self, line: &[u8]) -> bool {
         let mut in_string = false;
         let mut escaped = false;
--- a/crates/proxy/src/discovery/member_list.rs
+++ b/crates/proxy/src/discovery/member_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery writes it.
+//! JSON format of discovery's endpoint list.
 
 use std::net::SocketAddr;
 
@@ -7,25 +7,25 @@
 
 use crate::clock::MS;
 
-/// Relative size of an endpoint that states none.
+/// Relative size of an endpoint whose entry has no size.
 const DEFAULT_SIZE: f64 = 1.0;
 
-/// An endpoint list, or a change of one.
+/// An endpoint list, or a delta to one.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct MemberList {
-    /// Version of the list; it grows with each change.
+    /// Version of the list; increases with each change.
     pub(crate) revision: u64,
-    /// The list is complete; otherwise it holds changed members only.
+    /// Whether the list is complete; otherwise it contains changed members only.
     pub(crate) complete: bool,
-    /// The members.
+    /// The members in the list.
     pub(crate) members: Vec<Member>,
 }
 
-/// One endpoint of a list.
+/// An endpoint in a list.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct Member {
     pub(super) id: String,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     #[serde(rename = "host_port", default)]
     pub(super) address: Option<SocketAddr>,
     #[serde(rename = "locality", default)]
@@ -38,14 +38,14 @@
     /// Size relative to other endpoints.
     #[serde(default = "default_size")]
     pub(super) size: f64,
-    /// Start of its process, in milliseconds; 0 where that is long past or unknown.
+    /// Start of the endpoint's process, in milliseconds; 0 if it is long past or unknown.
     #[serde(rename = "up_since_ms", default)]
     pub(super) started_ms: f64,
     #[serde(default)]
     pub(super) build: u32,
 }
 
-/// Whether a member runs.
+/// Lifecycle phase of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub(super) enum MemberPhase {
     Ready,
@@ -58,23 +58,23 @@
 }
 
 impl MemberList {
-    /// Parses a list.
+    /// Parses a list from JSON.
     ///
     /// # Errors
-    /// The text is no list.
+    /// Fails if the text is not a valid endpoint list.
     pub(super) fn parse(text: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(text)
     }
 }
 
 impl Member {
-    /// The process that runs at the member, as far as the list tells processes apart.
+    /// Returns the identity of the member's process, as far as the list distinguishes processes.
     pub(super) fn process(&self) -> ProcessId {
         let started = (self.started_ms > 0.0).then_some((self.started_ms * MS as f64) as Micros);
         ProcessId { build: Build(self.build), started }
     }
 
-    /// A member without an address can't be reached, so it counts as draining.
+    /// Returns the status of the member. A member without an address cannot be reached, so it counts as draining.
     pub(super) fn status(&self) -> EndpointStatus {
         match self.phase {
             MemberPhase::Ready if self.address.is_some() => EndpointStatus::Active,
@@ -84,11 +84,11 @@
     }
 }
 
-/// What tells one process at an endpoint from the next.
+/// Identity of a process at an endpoint. It differs between successive processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProcessId {
-    /// The build that it runs.
+    /// The build that the process runs.
     pub(super) build: Build,
-    /// When it started, if not long past.
+    /// Start of the process; `None` if it is long past or unknown.
     pub(super) started: Option<Micros>,
 }
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -1,72 +1,74 @@
-//! One request and its response on a connection to a server.
+//! Exchange of one HTTP request and its response on a connection to a server.
 
 use garnetcrank_http::{Parsed, Response, ResponseReader};
 
 use crate::connection::Connection;
 
-/// How far an exchange is.
+/// Stage of an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ExchangeStage {
     /// The connection is being established.
     Connecting,
     /// The request is being sent.
     Sending,
-    /// The request was sent completely.
+    /// The request was sent completely, and the response is being received.
     Receiving,
 }
 
-/// The state of one exchange. The request is in the connection's output ring.
+/// State of an exchange. The request is in the connection's output buffer.
 #[derive(Debug)]
 pub(crate) struct HttpExchange {
     stage: ExchangeStage,
     reader: ResponseReader,
 }
 
-/// What a step of an exchange came to.
+/// Result of a step of an exchange.
 #[derive(Debug)]
 pub(crate) enum ExchangeProgress {
-    /// It goes on.
+    /// The exchange is not complete.
     Pending,
     /// The response is complete.
     Response {
-        /// The response.
+        /// The complete response.
         response: Response,
-        /// Another request may be sent on this connection.
+        /// Whether another request may be sent on this connection.
         reusable: bool,
     },
-    /// The connection was not established, or broke before the request's last byte was sent: it had no effect.
+    /// The connection was not established, or broke before the last byte of the request was sent. The request has had
+    /// no effect.
     NeverSent,
-    /// The connection broke, or the response made no sense, after that.
+    /// After the request was sent, the connection broke or the response was invalid. The request may have taken
+    /// effect.
     ConnectionLost,
 }
 
 impl HttpExchange {
-    /// An exchange on a connection that is being established.
+    /// Creates an exchange on a connection that is being established.
     pub(crate) fn connecting(reader: ResponseReader) -> Self {
         HttpExchange { stage: ExchangeStage::Connecting, reader }
     }
 
-    /// An exchange on a connection that is established.
+    /// Creates an exchange on an established connection.
     pub(crate) fn on_open_connection(reader: ResponseReader) -> Self {
         HttpExchange { stage: ExchangeStage::Sending, reader }
     }
 
-    /// Whether the request's last byte has been sent.
+    /// Whether the last byte of the request has been sent.
     pub(crate) fn request_sent(&self) -> bool {
         self.stage == ExchangeStage::Receiving
     }
 
-    /// Whether the connection was established.
+    /// Whether the connection is established.
     pub(crate) fn connected(&self) -> bool {
         self.stage != ExchangeStage::Connecting
     }
 
-    /// The reader of the response.
+    /// Returns the reader of the response.
     pub(crate) fn reader(&mut self) -> &mut ResponseReader {
         &mut self.reader
     }
 
-    /// Goes on as far as the connection allows.
+    /// Sends and reads as far as the connection allows.
     pub(crate) fn step(&mut self, connection: &mut Connection) -> ExchangeProgress {
         if self.stage == ExchangeStage::Connecting {
             match connection.connected() {
@@ -75,40 +77,41 @@
                 Err(_) => return ExchangeProgress::NeverSent,
             }
         }
-        let mut broken = false;
+        let mut write_failed = false;
         if self.stage == ExchangeStage::Sending {
             match connection.flush() {
                 Ok(true) => self.stage = ExchangeStage::Receiving,
                 Ok(false) => {}
-                // A response may have arrived before the connection broke, and is looked for below.
-                Err(_) => broken = true,
+                // A response may have arrived before the connection broke, so the input is still read below.
+                Err(_) => write_failed = true,
             }
         }
-        self.read(connection, broken)
+        self.read(connection, write_failed)
     }
 
-    fn read(&mut self, connection: &mut Connection, broken: bool) -> ExchangeProgress {
+    fn read(&mut self, connection: &mut Connection, write_failed: bool) -> ExchangeProgress {
         loop {
-            let ended = connection.fill();
-            match self.reader.read(&mut connection.input, ended) {
-                // No server answers with 200 what it has not read: those bytes are something else.
+            let closed = connection.fill();
+            match self.reader.read(&mut connection.input, closed) {
+                // A server does not respond with 200 to a request that it has not received completely, so these bytes
+                // are not the response to this request.
                 Ok(Parsed::Complete(response)) if !self.request_sent() && response.status == 200 => {
-                    return self.lost();
+                    return self.connection_lost();
                 }
                 Ok(Parsed::Complete(response)) => {
-                    let nothing_follows = self.request_sent() && !ended && connection.input.is_empty();
+                    let nothing_follows = self.request_sent() && !closed && connection.input.is_empty();
                     let reusable = nothing_follows && response.keep_alive;
                     return ExchangeProgress::Response { response, reusable };
                 }
-                Err(_) => return self.lost(),
-                Ok(Parsed::Incomplete) if ended || broken => return self.lost(),
+                Err(_) => return self.connection_lost(),
+                Ok(Parsed::Incomplete) if closed || write_failed => return self.connection_lost(),
                 Ok(Parsed::Incomplete) if connection.more_to_read() => {}
                 Ok(Parsed::Incomplete) => return ExchangeProgress::Pending,
             }
         }
     }
 
-    fn lost(&self) -> ExchangeProgress {
+    fn connection_lost(&self) -> ExchangeProgress {
         if self.request_sent() { ExchangeProgress::ConnectionLost } else { ExchangeProgress::NeverSent }
     }
 }
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -20,35 +20,34 @@
 pub(crate) use protocol::RolloutState;
 use protocol::{EventLine, PROGRESS_EVENT, VoteRequest};
 
-/// Silence after which the event stream is dead: three of its heartbeats, one a second, and a margin.
+/// Silence after which the event stream counts as dead: three of its heartbeat intervals of 1 s plus a margin.
 const SILENCE_TIMEOUT: Micros = 3_500 * MS;
-/// Maximum size of the answer to a vote, in bytes; it is one line.
-const MAX_ANSWER_BYTES: usize = 16 * 1024;
-/// Maximum number of votes under way. The policy casts one at a time, and the release controller accepts 32
-/// connections.
+/// Maximum size of the response to a vote, in bytes; the response is one line.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
+/// Maximum number of pending votes. The policy casts one at a time, and the release controller accepts 32 connections.
 const MAX_VOTES: usize = 8;
-/// Wait for the answer to a vote where the deployment sets none.
+/// Timeout of a vote if the deployment sets none.
 const DEFAULT_VOTE_TIMEOUT: Micros = SECOND;
-/// By how much reports of one state may differ in age, since they travel for different times.
-const TRAVEL_TOLERANCE: Micros = SECOND;
+/// Tolerated difference in age between reports of one state, since their transmission times differ.
+const AGE_TOLERANCE: Micros = SECOND;
 
-/// The newest rollout state that is known.
+/// Newest rollout state received.
 #[derive(Clone, Copy)]
-struct KnownState {
+struct LatestState {
     state: RolloutState,
-    /// When the state began.
-    since: Micros,
+    /// Time at which the state began.
+    began_at: Micros,
 }
 
-/// What became of a vote.
+/// Outcome of a vote.
 struct VoteOutcome {
     result: VoteResult,
-    /// The rollout status in its answer, unless that is older than the known one.
+    /// Rollout status in the response, unless it is older than the latest one.
     rollout: Option<RolloutStatus>,
 }
 
 impl From<VoteResult> for VoteOutcome {
-    /// Without a rollout status in the answer.
+    /// Creates an outcome without a rollout status.
     fn from(result: VoteResult) -> Self {
         VoteOutcome { result, rollout: None }
     }
@@ -58,20 +57,20 @@
 pub(crate) struct ReleaseController {
     address: SocketAddr,
     watch: WatchStream,
-    /// Votes that were sent and have not been answered.
+    /// Votes that were sent and have no response yet.
     pending: PendingCalls<VoteOrigin>,
     vote_timeout: Micros,
-    known: Option<KnownState>,
-    /// An event of an unknown type was logged; further ones are not.
+    latest: Option<LatestState>,
+    /// Whether an event of an unknown type was logged. Further ones are not logged.
     unknown_event_logged: bool,
-    /// Reconnects of the event stream.
+    /// Number of times that the event stream was lost.
     pub(crate) reconnects: u64,
-    /// Rollout states that were older than the known one.
+    /// Number of rollout states received that were older than the latest one.
     pub(crate) stale: u64,
 }
 
 impl ReleaseController {
-    /// A client that knows nothing yet. `vote_timeout` of 0 stands for one second.
+    /// Creates a client without a rollout state. A `vote_timeout` of 0 selects the default of 1 s.
     pub(crate) fn new(address: SocketAddr, vote_timeout: Micros, seed: u64) -> Self {
         ReleaseController {
             address,
@@ -84,33 +83,33 @@
             ),
             pending: PendingCalls::new(MAX_VOTES),
             vote_timeout: if vote_timeout > 0 { vote_timeout } else { DEFAULT_VOTE_TIMEOUT },
-            known: None,
+            latest: None,
             unknown_event_logged: false,
             reconnects: 0,
             stale: 0,
         }
     }
 
-    /// Takes in a rollout state. Returns its status, unless the state is older than the known one.
+    /// Applies a rollout state. Returns its status, unless the state is older than the latest one.
     pub(crate) fn on_rollout_state(&mut self, state: RolloutState, now: Micros) -> Option<RolloutStatus> {
-        let since = now.saturating_sub(state.age());
-        if !self.is_newer(state, since) {
+        let began_at = now.saturating_sub(state.age());
+        if !self.is_newer(state, began_at) {
             self.stale += 1;
             return None;
         }
-        self.known = Some(KnownState { state, since });
+        self.latest = Some(LatestState { state, began_at });
         Some(state.status())
     }
 
-    fn is_newer(&self, state: RolloutState, since: Micros) -> bool {
-        let Some(known) = self.known else { return true };
-        let same_progress = state.progress() == known.state.progress();
-        let began_later = since + TRAVEL_TOLERANCE >= known.since;
-        state.progress() > known.state.progress() || (same_progress && began_later)
+    fn is_newer(&self, state: RolloutState, began_at: Micros) -> bool {
+        let Some(latest) = self.latest else { return true };
+        let same_progress = state.progress() == latest.state.progress();
+        let is_no_older = began_at + AGE_TOLERANCE >= latest.began_at;
+        state.progress() > latest.state.progress() || (same_progress && is_no_older)
     }
 
-    /// Takes in a configuration that was read again. Its state counts only if it is further on. New connections go to
-    /// the new address; votes under way end at the old one.
+    /// Applies a reloaded configuration. Its rollout state is applied only if the rollout has progressed. New
+    /// connections go to the new address; pending votes complete at the old one.
     pub(crate) fn reconfigure(
         &mut self,
         address: SocketAddr,
@@ -118,22 +117,22 @@
         now: Micros,
     ) -> Vec<Event> {
         self.address = address;
-        let last_events = self.watch.retarget(address, now);
-        let mut events = self.take_events(last_events, now);
-        let is_further = self.known.is_none_or(|known| state.progress() > known.state.progress());
-        if is_further {
+        let final_events = self.watch.retarget(address, now);
+        let mut events = self.handle_events(final_events, now);
+        let has_progressed = self.latest.is_none_or(|latest| state.progress() > latest.state.progress());
+        if has_progressed {
             let status = self.on_rollout_state(state, now);
             events.extend(status.map(Event::RolloutUpdated));
         }
         events
     }
 
-    /// Whether there is nothing to do but to wait for events.
+    /// Whether no vote is pending and no reconnect is due.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.watch.is_connected()
     }
 
-    /// Casts a vote. Its result follows later as an event, or is returned if the vote cannot be sent.
+    /// Casts a vote. Its result follows as an event, or is returned immediately if the vote cannot be sent.
     pub(crate) fn cast_vote(
         &mut self,
         handle: &Handle,
@@ -142,15 +141,15 @@
         vote: Vote,
         origin: VoteOrigin,
     ) -> Option<Event> {
-        // Fails only for types that JSON can't express, and this one has none.
+        // Serialization fails only for types that JSON cannot represent, and this request contains none.
         let body = serde_json::to_vec(&VoteRequest::from(vote)).unwrap_or_default();
         let id = ids.next();
         let call = CallRequest {
-            to: self.address,
+            address: self.address,
             method: "POST",
             target: "/votes",
             body: &body,
-            max_response_bytes: MAX_ANSWER_BYTES,
+            max_response_bytes: MAX_RESPONSE_BYTES,
             deadline: now + self.vote_timeout,
         };
         match self.pending.start(handle, id, Source::ReleaseController(id), call, origin) {
@@ -163,30 +162,30 @@
         }
     }
 
-    /// Reconnects and expires votes where that is due.
+    /// Performs a due reconnect and expires overdue votes.
     pub(crate) fn on_tick(&mut self, handle: &Handle, ids: &mut ConnIds, now: Micros) -> Vec<Event> {
         let target = || "/events".to_owned();
         let watch_events = self.watch.on_tick(handle, ids, Source::ReleaseController, now, target);
-        let mut events = self.take_events(watch_events, now);
+        let mut events = self.handle_events(watch_events, now);
         for ended in self.pending.expire(now) {
             events.extend(self.on_vote_ended(ended, now));
         }
         events
     }
 
-    /// Reads what has arrived on one of the client's connections.
+    /// Handles readiness of one of the client's connections.
     pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
         match self.pending.on_ready(id, readiness) {
             ReadyCall::Ended(ended) => self.on_vote_ended(ended, now).into_iter().collect(),
             ReadyCall::Pending => Vec::new(),
             ReadyCall::NotACall => {
                 let watch_events = self.watch.on_ready(id, readiness, now);
-                self.take_events(watch_events, now)
+                self.handle_events(watch_events, now)
             }
         }
     }
 
-    fn take_events(&mut self, watch_events: WatchEvents, now: Micros) -> Vec<Event> {
+    fn handle_events(&mut self, watch_events: WatchEvents, now: Micros) -> Vec<Event> {
         self.reconnects += u64::from(watch_events.lost);
         let mut events = Vec::new();
         for line in watch_events.non_empty_lines() {
@@ -212,14 +211,14 @@
             }
             (None, _) => Ok(None),
             (Some(kind), _) => {
-                // The form of other events is not specified, so it is not guessed.
+                // The format of other events is not specified, so they are not parsed.
                 self.log_unknown_event(kind);
                 Ok(None)
             }
         }
     }
 
-    /// Logs an event of an unknown type, once a process.
+    /// Logs the first event of an unknown type.
     fn log_unknown_event(&mut self, kind: &str) {
         if !self.unknown_event_logged {
             self.unknown_event_logged = true;
@@ -227,7 +226,8 @@
         }
     }
 
-    /// What the policy is notified of when a vote ends: of a vote that it did not cast, only the rollout status.
+    /// Returns the event for the policy when a vote ends. A vote that the policy did not cast yields only the rollout
+    /// status.
     fn on_vote_ended(&mut self, ended: EndedCall<VoteOrigin>, now: Micros) -> Option<Event> {
         let vote = self.vote_outcome(ended.outcome, now);
         match ended.context {
@@ -238,13 +238,13 @@
 
     fn vote_outcome(&mut self, outcome: CallOutcome, now: Micros) -> VoteOutcome {
         match outcome {
-            CallOutcome::Response(response) => self.read_vote_answer(&response, now),
+            CallOutcome::Response(response) => self.read_vote_response(&response, now),
             CallOutcome::NeverSent => VoteResult::Failed.into(),
             CallOutcome::Unknown => VoteResult::Unknown.into(),
         }
     }
 
-    fn read_vote_answer(&mut self, response: &Response, now: Micros) -> VoteOutcome {
+    fn read_vote_response(&mut self, response: &Response, now: Micros) -> VoteOutcome {
         match response.status {
             200 => match serde_json::from_slice::<RolloutState>(&response.body) {
                 Ok(state) => {
@@ -252,7 +252,7 @@
                     VoteOutcome { result: VoteResult::Counted, rollout }
                 }
                 Err(error) => {
-                    warn!(%error, "unreadable answer to a vote");
+                    warn!(%error, "unreadable response to a vote");
                     VoteResult::Unknown.into()
                 }
             },
@@ -265,7 +265,7 @@
                 VoteResult::Failed.into()
             }
             other => {
-                warn!(status = other, "unexpected status of the answer to a vote");
+                warn!(status = other, "unexpected response status to a vote");
                 VoteResult::Unknown.into()
             }
         }
--- a/crates/proxy/src/release_controller/protocol.rs
+++ b/crates/proxy/src/release_controller/protocol.rs
@@ -1,4 +1,4 @@
-//! JSON between a proxy and the release controller: rollout states, events and votes.
+//! JSON messages between a proxy and the release controller: rollout states, events and votes.
 
 use garnetcrank_policy::api::{Build, Micros, RolloutPhase, RolloutStatus, Verdict};
 use garnetcrank_vote_router::Vote;
@@ -6,7 +6,7 @@
 
 use crate::clock::MS;
 
-/// Where the newest build stands, as the release controller writes it.
+/// Rollout state of the newest build, as the release controller sends it.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub(crate) struct RolloutState {
     #[serde(rename = "release")]
@@ -14,7 +14,7 @@
     #[serde(rename = "tranche")]
     pub(super) stage: usize,
     pub(super) mode: Mode,
-    /// Exposure cap, 0 to 1.
+    /// Maximum exposure, 0 to 1.
     pub(super) exposure: f64,
     /// Age of the state, in milliseconds.
     #[serde(rename = "old_ms")]
@@ -31,8 +31,8 @@
     RolledBack,
 }
 
-/// Orders rollout states by progress. Builds come in the order of their numbers, and each passes through its phases and
-/// stages in one order only.
+/// Progress of a rollout; defines the order of rollout states. Builds are released in the order of their numbers, and
+/// each passes through its phases and stages in one order only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Progress {
     build: u32,
@@ -41,7 +41,7 @@
 }
 
 impl RolloutState {
-    /// The state in the policy's terms.
+    /// Converts the state to the policy's type.
     pub(super) fn status(&self) -> RolloutStatus {
         RolloutStatus {
             build: Build(self.build),
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Time since the state began.
+    /// Returns the time since the state began.
     pub(super) fn age(&self) -> Micros {
         (self.age_ms.max(0.0) * MS as f64) as Micros
     }
 
-    /// How far the rollout is.
+    /// Returns the progress of the rollout.
     pub(super) fn progress(&self) -> Progress {
         let stage = if self.mode == Mode::InProgress { self.stage } else { 0 };
         Progress { build: self.build, mode: self.mode, stage }
@@ -92,7 +92,7 @@
     }
 }
 
-/// One line of `GET /events`. A line without a type is a heartbeat.
+/// Line of the response to `GET /events`. A line without a type is a heartbeat.
 #[derive(Deserialize)]
 pub(super) struct EventLine {
     #[serde(rename = "type")]
--- a/crates/proxy/src/release_controller/tests.rs
+++ b/crates/proxy/src/release_controller/tests.rs
@@ -1,4 +1,4 @@
-//! Order of rollout states, answers to votes, and event lines.
+//! Tests of the order of rollout states, responses to votes and event lines.
 
 use garnetcrank_policy::api::{Build, RolloutPhase, VoteResult};
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_older_state_changes_nothing() {
+fn a_state_with_less_progress_is_ignored() {
     let mut controller = controller();
     let now = 100 * SECOND;
     assert!(controller.on_rollout_state(state(42, 1, Mode::InProgress, 0.28, 300.0), now).is_some());
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn of_one_state_the_later_cap_counts() {
+fn a_report_of_the_same_state_that_is_older_is_ignored() {
     let mut controller = controller();
     let now = 100 * SECOND;
     assert!(controller.on_rollout_state(state(42, 1, Mode::InProgress, 0.2, 0.0), now).is_some());
@@ -45,27 +45,30 @@
 }
 
 #[test]
-fn every_answer_to_a_vote_has_a_result() {
+fn every_outcome_of_a_vote_has_a_result() {
     let body = br#"{"release":42,"tranche":1,"mode":"IN_PROGRESS","exposure":0.28,"old_ms":310}"#;
-    let answer = |status: u16, body: &[u8]| {
+    let response = |status: u16, body: &[u8]| {
         let mut ring = garnetcrank_http::Ring::new(4096);
-        garnetcrank_http::write_response(&mut ring, status, std::iter::empty(), Some(body)).expect("room");
+        garnetcrank_http::write_response(&mut ring, status, std::iter::empty(), Some(body))
+            .expect("the response fits");
         let mut reader = garnetcrank_http::ResponseReader::buffered(4096);
-        let garnetcrank_http::Parsed::Complete(r) = reader.read(&mut ring, false).expect("an answer") else {
-            panic!("half an answer");
+        let garnetcrank_http::Parsed::Complete(parsed) =
+            reader.read(&mut ring, false).expect("a valid response")
+        else {
+            panic!("incomplete response");
         };
-        CallOutcome::Response(r)
+        CallOutcome::Response(parsed)
     };
     let result = |outcome| {
         let vote = controller().vote_outcome(outcome, SECOND);
         (vote.result, vote.rollout.map(|status| status.exposure_cap))
     };
-    assert_eq!(result(answer(200, body)), (VoteResult::Counted, Some(0.28)));
-    assert_eq!(result(answer(200, b"{")), (VoteResult::Unknown, None));
-    assert_eq!(result(answer(409, b"{}")), (VoteResult::Obsolete, None));
-    assert_eq!(result(answer(429, b"{}")), (VoteResult::RateLimited, None));
-    assert_eq!(result(answer(500, b"{}")), (VoteResult::Failed, None));
-    assert_eq!(result(answer(400, b"{}")), (VoteResult::Failed, None));
+    assert_eq!(result(response(200, body)), (VoteResult::Counted, Some(0.28)));
+    assert_eq!(result(response(200, b"{")), (VoteResult::Unknown, None));
+    assert_eq!(result(response(409, b"{}")), (VoteResult::Obsolete, None));
+    assert_eq!(result(response(429, b"{}")), (VoteResult::RateLimited, None));
+    assert_eq!(result(response(500, b"{}")), (VoteResult::Failed, None));
+    assert_eq!(result(response(400, b"{}")), (VoteResult::Failed, None));
     assert_eq!(result(CallOutcome::NeverSent), (VoteResult::Failed, None));
     assert_eq!(result(CallOutcome::Unknown), (VoteResult::Unknown, None));
 }
--- a/crates/proxy/src/unary_call.rs
+++ b/crates/proxy/src/unary_call.rs
@@ -1,4 +1,5 @@
-//! A call to discovery, the release controller or the agent: one connection, one request, one response.
+//! Unary calls to discovery, the release controller or the agent. Each call uses its own connection for one request and
+//! one response.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,42 +12,42 @@
 use crate::http_exchange::{ExchangeProgress, HttpExchange};
 use crate::readiness::{ConnId, Handle, Source};
 
-/// Capacity of each of the connection's ring buffers, in bytes.
+/// Capacity of each of the connection's two ring buffers, in bytes.
 const RING_BYTES: usize = 32 * 1024;
 
-/// A call under way.
+/// Pending call.
 pub(crate) struct UnaryCall {
-    /// Id of its connection.
+    /// Id of the call's connection.
     pub(crate) id: ConnId,
     connection: Connection,
     exchange: HttpExchange,
     deadline: Micros,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Debug)]
 pub(crate) enum CallOutcome {
     /// A response arrived.
     Response(Response),
-    /// The request was not sent completely, so it had no effect.
+    /// The request was not sent completely, so it has had no effect.
     NeverSent,
-    /// No response arrived; the request may have had its effect.
+    /// No response arrived, and the request may have taken effect.
     Unknown,
 }
 
-/// The request of a call.
+/// Request of a call.
 pub(crate) struct CallRequest<'a> {
-    /// The peer.
-    pub(crate) to: SocketAddr,
-    /// HTTP method.
+    /// Address of the peer.
+    pub(crate) address: SocketAddr,
+    /// HTTP method of the request.
     pub(crate) method: &'a str,
-    /// Path and query.
+    /// Path and query of the request.
     pub(crate) target: &'a str,
-    /// Body, in JSON.
+    /// Body of the request, as JSON; may be empty.
     pub(crate) body: &'a [u8],
     /// Maximum size of the response body, in bytes.
     pub(crate) max_response_bytes: usize,
-    /// When the call is given up.
+    /// Time at which the call is aborted.
     pub(crate) deadline: Micros,
 }
 
@@ -54,20 +55,20 @@
     /// Connects and queues the request.
     ///
     /// # Errors
-    /// The connection could not be started, or the request is larger than its buffer.
+    /// Fails if the connection cannot be started or the request exceeds the output buffer.
     pub(crate) fn start(
         handle: &Handle,
         id: ConnId,
         source: Source,
         request: CallRequest<'_>,
     ) -> io::Result<Self> {
-        let mut connection = Connection::connect(handle, request.to, source, RING_BYTES, RING_BYTES)?;
-        let host = request.to.to_string();
+        let mut connection = Connection::connect(handle, request.address, source, RING_BYTES, RING_BYTES)?;
+        let host = request.address.to_string();
         let headers: [(&str, &[u8]); 3] = [
             ("Host", host.as_bytes()),
             ("Content-Type", b"application/json"),
-            // A connection of its own: the peer may close an idle one at the same moment, which would leave open
-            // whether the call had its effect.
+            // Connections are not reused. The peer could close an idle connection just as a call starts on it, and it
+            // would then be unknown whether the call took effect.
             ("Connection", b"close"),
         ];
         write_request(
@@ -77,12 +78,12 @@
             headers.into_iter(),
             request.body,
         )
-        .map_err(|_| io::Error::other("a call larger than its buffer"))?;
+        .map_err(|_| io::Error::other("request exceeds the connection's output buffer"))?;
         let exchange = HttpExchange::connecting(ResponseReader::buffered(request.max_response_bytes));
         Ok(UnaryCall { id, connection, exchange, deadline: request.deadline })
     }
 
-    /// Sends and reads what is possible. Returns the outcome once the call has ended.
+    /// Sends and reads as far as the connection allows. Returns the outcome once the call has ended.
     pub(crate) fn on_ready(&mut self, readiness: Readiness) -> Option<CallOutcome> {
         self.connection.update_readiness(readiness);
         match self.exchange.step(&mut self.connection) {
--- a/crates/proxy/src/watch_stream.rs
+++ b/crates/proxy/src/watch_stream.rs
@@ -1,4 +1,5 @@
-//! A response that stays open and carries one event a line: connected, supervised by its heartbeats, and reconnected.
+//! Watch streams: long-lived HTTP responses with one event per line. A stream is supervised by its heartbeats and
+//! reconnected when it fails.
 
 mod open_stream;
 #[cfg(test)]
@@ -18,74 +19,75 @@
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use open_stream::OpenStream;
 
-/// Wait before a connection that broke or was refused is made again. The wait is drawn between half of the present
-/// limit and the limit, so that proxies do not reconnect in step; the limit doubles from `initial` to `max`.
+/// Exponential backoff before the reconnect after a connection failed or was refused. The delay is drawn at random
+/// between half of the current limit and the limit, so that proxies do not reconnect in step. The limit doubles from
+/// `initial` to `max`.
 ///
-/// A silent connection is replaced at once, as its timeout bounds the rate: a peer that comes back sends on the
-/// connections that are open, and what it sends then may count from that moment on.
+/// A silent connection is replaced without backoff, since its timeout already bounds the rate. A peer that recovers
+/// sends on the connections that are open at that moment, and its updates may count as delivered from then on.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReconnectBackoff {
-    /// The first limit.
+    /// Initial limit of the delay.
     pub(crate) initial: Micros,
-    /// The highest limit.
+    /// Maximum limit of the delay.
     pub(crate) max: Micros,
 }
 
 impl ReconnectBackoff {
-    /// For a peer that many proxies share and that may be overloaded. Its events are wanted within four seconds, also
-    /// over a few connections that fail one after another.
+    /// Backoff for a peer that many proxies share and that may be overloaded. Its events must arrive within 4 s, even
+    /// if a few consecutive connections fail.
     pub(crate) const REMOTE: ReconnectBackoff = ReconnectBackoff { initial: 100 * MS, max: 800 * MS };
-    /// For a peer on this machine that serves this proxy alone: what it has counts as notified whether or not a
+    /// Backoff for a peer on this host that serves only this proxy. Its updates count as delivered whether or not a
     /// connection is open.
     pub(crate) const LOCAL: ReconnectBackoff = ReconnectBackoff { initial: 20 * MS, max: 100 * MS };
 }
 
-/// How long a connection may be silent before it is dead.
+/// Periods of silence after which a connection counts as dead.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WatchTimeouts {
-    /// Between two bytes, once a line has arrived.
+    /// Maximum silence after the first line.
     pub(crate) silence: Micros,
-    /// Without a byte, until the first line has arrived.
+    /// Maximum silence before the first line.
     pub(crate) first_byte: Micros,
 }
 
-/// Timeout of the first byte for a peer that sends its first line at once. What it sends matters soon after,
-/// whether or not it arrived, so a silent connection must leave time for two more.
+/// Timeout of the first byte for a peer that sends its first line immediately. The line counts as delivered shortly
+/// after, even if it was lost, so a silent connection must leave time for two more.
 pub(crate) const FIRST_BYTE_TIMEOUT: Micros = 1_000 * MS;
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Micros = 1_000 * MS;
-/// Capacity of each of the connection's ring buffers, in bytes.
+/// Capacity of each of the connection's two ring buffers, in bytes.
 const RING_BYTES: usize = 64 * 1024;
-/// Maximum length of a line, in bytes: a list of about 20,000 endpoints.
+/// Maximum length of a line, in bytes; enough for a list of about 20,000 endpoints.
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A supervised stream of events from one peer.
+/// Supervised stream of events from one peer.
 pub(crate) struct WatchStream {
     /// Name of the peer, for log lines.
     name: &'static str,
-    to: SocketAddr,
+    address: SocketAddr,
     timeouts: WatchTimeouts,
     backoff: ReconnectBackoff,
     rng: Rng,
     open: Option<OpenStream>,
-    /// When the connection was begun, or bytes last arrived on it.
+    /// Time at which the connection was started or bytes last arrived on it.
     last_activity: Micros,
     reconnect_at: Micros,
-    /// Present limit of the backoff.
+    /// Current limit of the backoff.
     backoff_limit: Micros,
 }
 
-/// What has arrived on a watch stream.
+/// Lines received on a watch stream, and whether it was lost.
 #[derive(Debug, Default)]
 pub(crate) struct WatchEvents {
-    /// Lines, heartbeats (empty lines) among them.
+    /// Lines in order of arrival, including heartbeats (empty lines).
     pub(crate) lines: Vec<Vec<u8>>,
-    /// The connection was lost or could not be made.
+    /// Whether the connection was lost or could not be established.
     pub(crate) lost: bool,
 }
 
 impl WatchEvents {
-    /// The lines that are no heartbeats.
+    /// Returns the lines that are not heartbeats.
     pub(crate) fn non_empty_lines(&self) -> impl Iterator<Item = &[u8]> {
         self.lines.iter().map(Vec::as_slice).filter(|line| !line.trim_ascii().is_empty())
     }
@@ -96,17 +98,17 @@
 }
 
 impl WatchStream {
-    /// A stream that connects at its first tick.
+    /// Creates a stream that connects at its first tick.
     pub(crate) fn new(
         name: &'static str,
-        to: SocketAddr,
+        address: SocketAddr,
         timeouts: WatchTimeouts,
         backoff: ReconnectBackoff,
         seed: u64,
     ) -> Self {
         WatchStream {
             name,
-            to,
+            address,
             timeouts,
             backoff,
             rng: Rng::with_seed(seed),
@@ -117,31 +119,31 @@
         }
     }
 
-    /// Whether a connection is open and has delivered a line.
+    /// Whether a connection is open and a line has arrived on it.
     pub(crate) fn is_connected(&self) -> bool {
-        self.open.as_ref().is_some_and(|open| open.has_delivered)
+        self.open.as_ref().is_some_and(|open| open.line_received)
     }
 
-    /// Closes the connection; the next one may be made at once. What had arrived and was not read yet counts as
-    /// notified, so it is returned.
+    /// Closes the connection and allows an immediate reconnect. Returns the lines that have arrived and were not read
+    /// yet, since they count as delivered.
     pub(crate) fn close(&mut self, now: Micros) -> WatchEvents {
-        let last_events = self.poll(now);
+        let final_events = self.poll(now);
         self.open = None;
         self.reconnect_at = 0;
-        WatchEvents { lost: false, ..last_events }
+        WatchEvents { lost: false, ..final_events }
     }
 
-    /// Moves to another address: the old connection is closed as by [`WatchStream::close`].
-    pub(crate) fn retarget(&mut self, to: SocketAddr, now: Micros) -> WatchEvents {
-        if self.to == to {
+    /// Changes the peer's address. The old connection is closed as by [`WatchStream::close`].
+    pub(crate) fn retarget(&mut self, address: SocketAddr, now: Micros) -> WatchEvents {
+        if self.address == address {
             return WatchEvents::default();
         }
-        self.to = to;
+        self.address = address;
         self.backoff_limit = self.backoff.initial;
         self.close(now)
     }
 
-    /// Gives the connection up, for a reason that is logged.
+    /// Drops the connection, logs the reason and schedules a reconnect.
     pub(crate) fn disconnect(&mut self, now: Micros, reason: &str) {
         if self.open.take().is_some() {
             self.schedule_reconnect(now, reason);
@@ -149,13 +151,13 @@
     }
 
     fn schedule_reconnect(&mut self, now: Micros, reason: &str) {
-        let wait = self.rng.u64(self.backoff_limit / 2..=self.backoff_limit);
-        warn!(peer = %self.name, reason, retry_in_ms = wait / MS, "watch stream lost");
-        self.reconnect_at = now + wait;
+        let delay = self.rng.u64(self.backoff_limit / 2..=self.backoff_limit);
+        warn!(peer = %self.name, reason, retry_in_ms = delay / MS, "watch stream lost");
+        self.reconnect_at = now + delay;
         self.backoff_limit = (self.backoff_limit * 2).min(self.backoff.max);
     }
 
-    /// Connects, or gives up a silent connection, where that is due. `target` gives the path and query to ask for.
+    /// Starts a connection if one is due, or drops a silent one. `target` returns the path and query of the request.
     pub(crate) fn on_tick(
         &mut self,
         handle: &Handle,
@@ -185,44 +187,44 @@
     }
 
     fn connect(&self, handle: &Handle, source: Source, target: &str) -> io::Result<Connection> {
-        let host = self.to.to_string();
-        let mut connection = Connection::connect(handle, self.to, source, RING_BYTES, RING_BYTES)?;
+        let host = self.address.to_string();
+        let mut connection = Connection::connect(handle, self.address, source, RING_BYTES, RING_BYTES)?;
         let headers = std::iter::once(("Host", host.as_bytes()));
         write_request(&mut connection.output, "GET", target, headers, b"")
-            .map_err(|_| io::Error::other("a request larger than its buffer"))?;
+            .map_err(|_| io::Error::other("request exceeds the connection's output buffer"))?;
         Ok(connection)
     }
 
-    /// Replaces the open connection if nothing arrived on it in time.
+    /// Drops the open connection if it has been silent for too long. The next tick reconnects.
     fn check_silence(&mut self, now: Micros) -> WatchEvents {
         let Some((timeout, reason)) = self.silence_limit() else { return WatchEvents::default() };
         if now < self.last_activity + timeout {
             return WatchEvents::default();
         }
-        // This process may have been suspended for as long, and what it waits for may have arrived.
-        let last_events = self.poll(now);
-        if last_events.lost || now < self.last_activity + timeout {
-            return last_events;
+        // This process may have been suspended, and bytes that arrived meanwhile may still be unread.
+        let final_events = self.poll(now);
+        if final_events.lost || now < self.last_activity + timeout {
+            return final_events;
         }
         warn!(peer = %self.name, reason, "watch stream silent, reconnecting");
         self.open = None;
         self.reconnect_at = now;
-        WatchEvents { lost: true, ..last_events }
+        WatchEvents { lost: true, ..final_events }
     }
 
-    /// How long the open connection may be silent, and what its silence means.
+    /// Returns the silence timeout of the open connection and the reason to log when it expires.
     fn silence_limit(&self) -> Option<(Micros, &'static str)> {
         let open = self.open.as_ref()?;
         Some(if !open.is_established {
             (CONNECT_TIMEOUT, "connection not established in time")
-        } else if !open.has_delivered {
+        } else if !open.line_received {
             (self.timeouts.first_byte, "no byte on a new connection")
         } else {
             (self.timeouts.silence, "no heartbeat")
         })
     }
 
-    /// Reads what has arrived on connection `id`, if that is this stream's.
+    /// Handles readiness of connection `id`, if it belongs to this stream.
     pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> WatchEvents {
         let Some(open) = self.open.as_mut().filter(|open| open.id == id) else {
             return WatchEvents::default();
@@ -231,7 +233,7 @@
         self.read(now)
     }
 
-    /// Reads what has arrived and the event loop has not reported yet.
+    /// Reads bytes that have arrived but were not reported by the event loop yet.
     fn poll(&mut self, now: Micros) -> WatchEvents {
         if let Some(open) = &mut self.open {
             open.connection.poll_readable();
@@ -244,13 +246,13 @@
         let mut lines = Vec::new();
         let read = open.read_lines(&mut lines);
         if read.any_bytes {
-            // An incomplete line is a heartbeat, too.
+            // An incomplete line shows that the peer is alive, too.
             self.last_activity = now;
         }
         if !lines.is_empty() {
             self.backoff_limit = self.backoff.initial;
-            if !open.has_delivered {
-                open.has_delivered = true;
+            if !open.line_received {
+                open.line_received = true;
                 info!(peer = %self.name, "watch stream connected");
             }
         }
--- a/crates/proxy/src/watch_stream/open_stream.rs
+++ b/crates/proxy/src/watch_stream/open_stream.rs
@@ -7,18 +7,18 @@
 use crate::connection::Connection;
 use crate::readiness::ConnId;
 
-/// A connection and how far it is.
+/// Connection of a watch stream, with the reader of its response.
 pub(super) struct OpenStream {
     pub(super) id: ConnId,
     pub(super) connection: Connection,
     reader: StreamReader,
-    /// The connection is established.
+    /// Whether the connection is established.
     pub(super) is_established: bool,
-    /// A line has arrived on it.
-    pub(super) has_delivered: bool,
+    /// Whether a line has arrived on the connection.
+    pub(super) line_received: bool,
 }
 
-/// Why a connection is over.
+/// Reason for the end of a connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StreamEnd {
     #[error("cannot connect: {0}")]
@@ -33,34 +33,34 @@
     Lost(io::Error),
 }
 
-/// What a read brought.
+/// Result of a read.
 pub(super) struct StreamRead {
-    /// Bytes have arrived.
+    /// Whether bytes have arrived.
     pub(super) any_bytes: bool,
-    /// The connection is over.
+    /// Reason for the end of the connection, if it has ended.
     pub(super) end: Option<StreamEnd>,
 }
 
 impl OpenStream {
-    /// A stream on a connection whose request is written and that may not be established yet.
+    /// Creates a stream on a connection whose request is queued and that may not be established yet.
     pub(super) fn new(id: ConnId, connection: Connection, max_line_bytes: usize) -> Self {
         OpenStream {
             id,
             connection,
             reader: StreamReader::new(max_line_bytes),
             is_established: false,
-            has_delivered: false,
+            line_received: false,
         }
     }
 
-    /// Adds all lines that have arrived to `lines`.
+    /// Reads all bytes that have arrived and appends complete lines to `lines`.
     pub(super) fn read_lines(&mut self, lines: &mut Vec<Vec<u8>>) -> StreamRead {
         let mut any_bytes = false;
         let end = self.read_until_end(&mut any_bytes, lines).err();
         StreamRead { any_bytes, end }
     }
 
-    /// `Err` gives the end of the connection.
+    /// Reads until no more bytes are available. Returns `Err` if the connection has ended.
     fn read_until_end(&mut self, any_bytes: &mut bool, lines: &mut Vec<Vec<u8>>) -> Result<(), StreamEnd> {
         if !self.is_established {
             self.is_established = self.connection.connected().map_err(StreamEnd::ConnectFailed)?;
@@ -68,7 +68,7 @@
                 return Ok(());
             }
         }
-        // What arrived before the connection broke counts: it is read first.
+        // Bytes that arrived before the connection broke still count, so they are read before the error is returned.
         let write_error = self.connection.flush().err();
         loop {
             let before = self.connection.input.len();
@@ -78,7 +78,7 @@
             let read = self.reader.read(&mut self.connection.input, ended, lines);
             let is_complete = read.map_err(StreamEnd::Unreadable)?;
             if let Some(status) = self.reader.status().filter(|status| *status != 200) {
-                // The body of an error response holds no events.
+                // The body of an error response contains no events.
                 lines.clear();
                 return Err(StreamEnd::Status(status));
             }
--- a/crates/proxy/src/watch_stream/tests.rs
+++ b/crates/proxy/src/watch_stream/tests.rs
@@ -1,4 +1,4 @@
-//! A watch stream against a peer whose every byte the test writes.
+//! Tests of a watch stream against a scripted peer.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -12,15 +12,15 @@
 
 const SILENCE_TIMEOUT: Micros = 3 * SECOND;
 
-/// A watch on a peer whose every byte the test writes, and a clock that the test moves.
+/// Watch stream to a scripted peer, with a clock that the test advances.
 struct Fixture {
     event_loop: EventLoop<'static, TurnInputs>,
     peer: TcpListener,
     watch: WatchStream,
     ids: ConnIds,
     now: Micros,
-    /// When connections were begun.
-    begun: Vec<Micros>,
+    /// Times at which connections were started.
+    started_at: Vec<Micros>,
 }
 
 impl Fixture {
@@ -33,43 +33,50 @@
             ReconnectBackoff::REMOTE,
             seed,
         );
-        let event_loop = EventLoop::try_new().expect("a loop");
-        Fixture { event_loop, peer, watch, ids: ConnIds::default(), now: 100 * SECOND, begun: Vec::new() }
+        let event_loop = EventLoop::try_new().expect("an event loop");
+        Fixture {
+            event_loop,
+            peer,
+            watch,
+            ids: ConnIds::default(),
+            now: 100 * SECOND,
+            started_at: Vec::new(),
+        }
     }
 
     fn tick(&mut self) -> WatchEvents {
-        let before = self.watch.open.as_ref().map(|o| o.id);
+        let before = self.watch.open.as_ref().map(|open| open.id);
         let handle = self.event_loop.handle();
         let events =
             self.watch.on_tick(&handle, &mut self.ids, Source::Discovery, self.now, || "/w".to_owned());
-        let after = self.watch.open.as_ref().map(|o| o.id);
-        self.begun.extend((after.is_some() && after != before).then_some(self.now));
+        let after = self.watch.open.as_ref().map(|open| open.id);
+        self.started_at.extend((after.is_some() && after != before).then_some(self.now));
         events
     }
 
-    /// The peer's end of the connection just made, once its request is there.
+    /// Accepts the new connection and reads its request. Returns the peer's end.
     fn accept(&mut self) -> TcpStream {
         let (mut stream, _) = self.peer.accept().expect("a connection");
-        self.receive(); // it is up, and the request leaves
+        self.receive(); // marks the connection as established and sends the request
         let mut request = [0; 512];
         assert!(stream.read(&mut request).expect("a request") > 0);
         stream
     }
 
-    /// What the watch reads when readiness is reported.
+    /// Reports readiness to the watch stream and returns the events that it reads.
     fn receive(&mut self) -> WatchEvents {
         let id = self.watch.open.as_ref().expect("a connection").id;
         self.watch.on_ready(id, Readiness { readable: true, writable: true, error: false }, self.now)
     }
 
-    /// Connected, with a first line received.
+    /// Creates a fixture whose watch stream is connected and has received a first line.
     fn connected(seed: u64) -> (Fixture, TcpStream) {
         let mut fixture = Fixture::new(seed);
         fixture.tick();
         let mut stream = fixture.accept();
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nfirst\n\r\n")
-            .expect("sent");
+            .expect("the peer writes");
         wait_for_bytes(&fixture);
         assert_eq!(fixture.receive().lines, [b"first"]);
         assert!(fixture.watch.is_connected());
@@ -77,71 +84,79 @@
     }
 }
 
-/// Waits until the watch's socket has bytes to read; readiness is not reported.
+/// Waits until the socket of the watch stream has bytes to read, without reporting readiness.
 fn wait_for_bytes(fixture: &Fixture) {
-    let conn = &fixture.watch.open.as_ref().expect("a connection").connection;
-    while conn.is_quiet() {
+    let connection = &fixture.watch.open.as_ref().expect("a connection").connection;
+    while connection.is_quiet() {
         std::thread::yield_now();
     }
 }
 
 #[test]
-fn two_silent_connections_leave_time_for_a_third_in_every_order() {
-    // What is missed counts 6 s after the silence began, and 4 s after a move.
-    for (seed, up) in
-        (0..40).flat_map(|seed| [[true, true], [true, false], [false, false]].map(|up| (seed, up)))
+fn two_silent_or_unestablished_connections_leave_time_for_a_third() {
+    // A missed update counts as delivered 6 s after the silence began, and 4 s after a change of address.
+    for (seed, established) in (0..40)
+        .flat_map(|seed| [[true, true], [true, false], [false, false]].map(|established| (seed, established)))
     {
         for (moved, limit) in [(false, 6 * SECOND), (true, 4 * SECOND)] {
-            let (mut fixture, _first) = Fixture::connected(seed);
-            let since = fixture.now;
+            let (mut fixture, _first_stream) = Fixture::connected(seed);
+            let silent_since = fixture.now;
             if moved {
                 fixture.peer = TcpListener::bind("127.0.0.1:0").expect("a port");
                 let events =
                     fixture.watch.retarget(fixture.peer.local_addr().expect("an address"), fixture.now);
                 assert!(events.lines.is_empty() && !events.lost);
             }
-            fixture.begun.clear();
-            let mut mute = Vec::new();
-            while fixture.begun.len() < 3 {
-                let before = fixture.begun.len();
+            fixture.started_at.clear();
+            let mut silent_streams = Vec::new();
+            while fixture.started_at.len() < 3 {
+                let before = fixture.started_at.len();
                 fixture.tick();
-                if fixture.begun.len() > before && up.get(before) == Some(&true) {
-                    mute.push(fixture.accept()); // established, and then not a byte
+                if fixture.started_at.len() > before && established.get(before) == Some(&true) {
+                    silent_streams.push(fixture.accept()); // established, but silent
                 }
-                fixture.now += 100 * MS; // the longest rest of a sweep
+                fixture.now += 100 * MS; // longest interval between sweeps
             }
-            let third = fixture.begun[2] - since;
-            assert!(third + 200 * MS < limit, "{third} us, seed {seed}, {up:?}, moved {moved}");
+            let third_after = fixture.started_at[2] - silent_since;
+            assert!(
+                third_after + 200 * MS < limit,
+                "third connection after {third_after} us, seed {seed}, {established:?}, moved {moved}"
+            );
         }
     }
 }
 
 #[test]
-fn while_the_peer_is_silent_a_connection_is_open_when_it_speaks_again() {
-    let (mut fixture, _first) = Fixture::connected(1);
-    let (mut mute, mut apart) = (Vec::new(), 0);
+fn a_connection_is_open_when_a_silent_peer_recovers() {
+    let (mut fixture, _first_stream) = Fixture::connected(1);
+    let (mut silent_streams, mut ticks_without_connection) = (Vec::new(), 0);
     for _ in 0..500 {
-        let before = fixture.begun.len();
+        let before = fixture.started_at.len();
         fixture.tick();
-        if fixture.begun.len() > before {
-            mute.push(fixture.accept()); // established, and then not a byte
+        if fixture.started_at.len() > before {
+            silent_streams.push(fixture.accept()); // established, but silent
         }
-        apart += u32::from(fixture.watch.open.is_none());
-        fixture.now += 20 * MS; // a sweep
+        ticks_without_connection += u32::from(fixture.watch.open.is_none());
+        fixture.now += 20 * MS; // interval between sweeps
     }
-    assert!((5..=8).contains(&mute.len()), "{} connections in 10 s", mute.len());
-    // Between two of them one sweep passes, so that a turn that tells of a loss makes no connection as well.
-    assert_eq!(apart as usize, mute.len(), "it waits while the other side may be back");
-    let mut last = mute.pop().expect("a connection");
-    last.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nback\n\r\n").expect("sent");
+    assert!((5..=8).contains(&silent_streams.len()), "{} connections in 10 s", silent_streams.len());
+    // One sweep passes between two connections: the sweep that reports a loss does not also reconnect.
+    assert_eq!(
+        ticks_without_connection as usize,
+        silent_streams.len(),
+        "more than one sweep passed without a connection"
+    );
+    let mut last = silent_streams.pop().expect("a connection");
+    last.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nback\n\r\n")
+        .expect("the peer writes");
     wait_for_bytes(&fixture);
     assert_eq!(fixture.receive().lines, [b"back"]);
 }
 
 #[test]
-fn what_arrived_before_the_address_changed_is_read() {
+fn lines_that_arrived_before_a_change_of_address_are_read() {
     let (mut fixture, mut stream) = Fixture::connected(1);
-    stream.write_all(b"5\r\nlast\n\r\n").expect("sent");
+    stream.write_all(b"5\r\nlast\n\r\n").expect("the peer writes");
     wait_for_bytes(&fixture);
     let events = fixture.watch.retarget("127.0.0.1:1".parse().expect("an address"), fixture.now);
     assert_eq!(events.lines, [b"last"]);
@@ -149,22 +164,22 @@
 }
 
 #[test]
-fn a_suspended_process_reads_what_has_arrived_and_keeps_the_stream() {
+fn a_process_that_was_suspended_reads_pending_lines_and_keeps_the_stream() {
     let (mut fixture, mut stream) = Fixture::connected(1);
-    stream.write_all(b"5\r\nlies\n\r\n").expect("sent");
+    stream.write_all(b"5\r\nline\n\r\n").expect("the peer writes");
     wait_for_bytes(&fixture);
     fixture.now += 2 * SILENCE_TIMEOUT;
     let events = fixture.tick();
-    assert_eq!(events.lines, [b"lies"]);
+    assert_eq!(events.lines, [b"line"]);
     assert!(!events.lost && fixture.watch.is_connected());
     fixture.now += SILENCE_TIMEOUT;
-    assert!(fixture.tick().lost, "and then nothing more");
+    assert!(fixture.tick().lost, "a silent stream is lost after the timeout");
 }
 
 #[test]
-fn what_arrived_before_the_connection_broke_is_read() {
+fn lines_that_arrived_before_the_connection_broke_are_read() {
     let (mut fixture, mut stream) = Fixture::connected(1);
-    stream.write_all(b"5\r\nlast\n\r\n").expect("sent");
+    stream.write_all(b"5\r\nlast\n\r\n").expect("the peer writes");
     drop(stream);
     wait_for_bytes(&fixture);
     let events = fixture.receive();
@@ -172,14 +187,14 @@
 }
 
 #[test]
-fn backoff_differs_between_proxies_and_is_bounded() {
-    let mut waits = std::collections::BTreeSet::new();
+fn backoff_is_bounded_and_differs_between_proxies() {
+    let mut delays = std::collections::BTreeSet::new();
     for seed in 0..20 {
         let (mut fixture, _stream) = Fixture::connected(seed);
-        fixture.watch.disconnect(fixture.now, "a test");
-        waits.insert(fixture.watch.reconnect_at - fixture.now);
+        fixture.watch.disconnect(fixture.now, "test");
+        delays.insert(fixture.watch.reconnect_at - fixture.now);
     }
-    assert!(waits.len() > 10, "in step: {waits:?}");
-    let first = ReconnectBackoff::REMOTE.initial;
-    assert!(waits.iter().all(|w| (first / 2..=first).contains(w)), "{waits:?}");
+    assert!(delays.len() > 10, "too few different delays: {delays:?}");
+    let initial_limit = ReconnectBackoff::REMOTE.initial;
+    assert!(delays.iter().all(|delay| (initial_limit / 2..=initial_limit).contains(delay)), "{delays:?}");
 }
