--- a/crates/proxy/src/feature_settings.rs
+++ b/crates/proxy/src/feature_settings.rs
@@ -1,4 +1,4 @@
-//! Features that the platform's configuration does not give, in a file of their own.
+//! Settings of optional features, in a file separate from the platform's configuration.
 
 #[cfg(test)]
 mod tests;
@@ -15,27 +15,27 @@
 use crate::clock::MS;
 use crate::worker_id::MAX_WORKERS;
 
-/// Longest waits for the agent's answer that may be configured, in milliseconds.
+/// Allowed range of the timeout of a call to the agent, in milliseconds.
 const CALL_TIMEOUT_RANGE_MS: RangeInclusive<u64> = 10..=5_000;
-/// Silences of the agent that may be configured, in milliseconds. It sends a heartbeat every 200.
+/// Allowed range of the agent's silence timeout, in milliseconds. The agent sends a heartbeat every 200 ms.
 const SILENCE_TIMEOUT_RANGE_MS: RangeInclusive<u64> = 300..=60_000;
 
-/// The whole file. Without one, everything in it is off.
+/// Contents of the features file. Without a file, all features are disabled.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FeatureSettings {
-    /// Verdicts on builds go through the consensus of the instances.
+    /// Consensus of the instances on verdicts on builds; disabled if absent.
     pub(crate) agreement: Option<ConsensusSettings>,
-    /// Number of worker threads; one if it is not given.
+    /// Number of worker threads; 1 if absent.
     #[serde(rename = "cores")]
     worker_count: Option<usize>,
 }
 
-/// The agent on this host.
+/// Settings for the agent on this host.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ConsensusSettings {
-    /// Its local address.
+    /// Local address of the agent.
     pub(crate) agent: SocketAddr,
     #[serde(rename = "wait_ms", default = "default_call_timeout_ms")]
     call_timeout_ms: u64,
@@ -43,65 +43,65 @@
     silence_timeout_ms: u64,
 }
 
-/// Why the file of features can't be used.
+/// Reason why the features file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FeatureSettingsError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A value in the file is not allowed.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The value.
+        /// Error in the value.
         source: InvalidFeature,
     },
 }
 
-/// What is wrong with one value.
+/// Error in a value of the features file.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InvalidFeature {
     /// The file is not JSON, a key is unknown, or a value has the wrong type.
     #[error("{0}")]
     Malformed(#[source] SettingsError),
-    /// There can't be this many worker threads.
-    #[error("cores: {count} is not allowed, 1 to {MAX_WORKERS} are")]
+    /// The number of worker threads is out of range.
+    #[error("cores: {count} is out of range, must be 1 to {MAX_WORKERS}")]
     WorkerCount {
-        /// The number as given.
+        /// The configured number.
         count: usize,
     },
-    /// The platform counts several instances' votes, and consensus would cast one for all of them.
+    /// The platform requires the votes of several instances, but with consensus one vote is cast for all of them.
     #[error(
-        "agreement: the platform wants more than one instance's vote here ({rollback_quorum} to roll back); leave it out"
+        "agreement: not allowed where the platform requires votes of more than one instance ({rollback_quorum} to roll back); remove this key"
     )]
     SeveralVotesNeeded {
-        /// Votes that it takes to roll a build back.
+        /// Number of votes required to roll a build back.
         rollback_quorum: u32,
     },
-    /// The wait for the agent's answer is too short or too long.
+    /// The timeout of a call to the agent is out of range.
     #[error(
-        "agreement.wait_ms: {milliseconds} is not allowed, {} to {} are",
+        "agreement.wait_ms: {milliseconds} is out of range, must be {} to {}",
         CALL_TIMEOUT_RANGE_MS.start(),
         CALL_TIMEOUT_RANGE_MS.end()
     )]
     CallTimeout {
-        /// The wait as given.
+        /// The configured timeout.
         milliseconds: u64,
     },
-    /// The silence after which the agent counts as lost is too short or too long.
+    /// The silence timeout of the agent is out of range.
     #[error(
-        "agreement.silence_ms: {milliseconds} is not allowed, {} to {} are; the agent sends a heartbeat every 200",
+        "agreement.silence_ms: {milliseconds} is out of range, must be {} to {}; the agent sends a heartbeat every 200 ms",
         SILENCE_TIMEOUT_RANGE_MS.start(),
         SILENCE_TIMEOUT_RANGE_MS.end()
     )]
     SilenceTimeout {
-        /// The silence as given.
+        /// The configured timeout.
         milliseconds: u64,
     },
 }
@@ -115,20 +115,21 @@
 }
 
 impl ConsensusSettings {
-    /// Longest wait for the agent's answer to a verdict. After it, this instance casts its vote itself.
+    /// Returns the timeout of a vote sent to the agent. After it, this instance casts its vote itself.
     pub(crate) fn call_timeout(&self) -> Micros {
         self.call_timeout_ms * MS
     }
 
-    /// Silence after which the agent counts as lost and this instance votes alone.
+    /// Returns the silence after which the agent counts as lost and this instance votes alone.
     pub(crate) fn silence_timeout(&self) -> Micros {
         self.silence_timeout_ms * MS
     }
 
-    fn check(&self, settings: &Settings) -> Result<(), InvalidFeature> {
+    fn validate(&self, settings: &Settings) -> Result<(), InvalidFeature> {
         let rollout = &settings.config.rollout;
         if rollout.mode == VoteMode::Share || rollout.rollback_quorum > 1 {
-            // One vote cast for all would be one of several that must stand, and no build would ever move.
+            // With consensus, one vote would be cast where several are required, so no build would ever be advanced or
+            // rolled back.
             return Err(InvalidFeature::SeveralVotesNeeded { rollback_quorum: rollout.rollback_quorum });
         }
         if !CALL_TIMEOUT_RANGE_MS.contains(&self.call_timeout_ms) {
@@ -142,15 +143,15 @@
 }
 
 impl FeatureSettings {
-    /// Number of worker threads.
+    /// Returns the number of worker threads.
     pub(crate) fn worker_count(&self) -> usize {
         self.worker_count.unwrap_or(1)
     }
 
-    /// Reads and checks a file, together with the settings of the deployment.
+    /// Reads a features file and checks it against the deployment's settings.
     ///
     /// # Errors
-    /// When the file can't be read, or a value in it is not allowed. The message names the file and the key.
+    /// Fails if the file cannot be read or a value in it is not allowed. The message names the file and the key.
     pub(crate) fn read(path: &Path, settings: &Settings) -> Result<Self, FeatureSettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| FeatureSettingsError::Unreadable { path: path.to_owned(), source })?;
@@ -165,8 +166,8 @@
         if !(1..=MAX_WORKERS).contains(&features.worker_count()) {
             return Err(InvalidFeature::WorkerCount { count: features.worker_count() });
         }
-        if let Some(agreement) = &features.agreement {
-            agreement.check(settings)?;
+        if let Some(consensus) = &features.agreement {
+            consensus.validate(settings)?;
         }
         Ok(features)
     }
--- a/crates/proxy/src/process_settings.rs
+++ b/crates/proxy/src/process_settings.rs
@@ -1,4 +1,4 @@
-//! The one place where the process configuration is read, checked and given defaults.
+//! Process configuration: reading, validation and defaults.
 
 mod error;
 
@@ -15,56 +15,56 @@
 
 pub(crate) use error::{InvalidSetting, ProcessSettingsError};
 
-/// Memory assumed where no limit is given, in MiB.
+/// Default memory limit, in MiB.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Least memory that may be given, in MiB.
+/// Minimum memory limit, in MiB.
 const MIN_MEMORY_MB: u64 = 16;
-/// Descriptors assumed where no limit is given.
+/// Default limit on descriptors.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Fewest descriptors that may be given.
+/// Minimum limit on descriptors.
 const MIN_SOCKETS: usize = 64;
-/// Name assumed where none is given.
+/// Default name of the instance.
 const DEFAULT_NAME: &str = "front";
-/// Base of the seed's digits.
+/// Radix of the seed's digits.
 const SEED_RADIX: u32 = 16;
 
-/// Names the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Overrides the name in the file.
+/// Environment variable that overrides the name in the file.
 const NAME_VARIABLE: &str = "RELAY_NAME";
-/// Overrides the listening address in the file.
+/// Environment variable that overrides the listening address in the file.
 const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
-/// Overrides discovery's address in the file, until it is read again.
+/// Environment variable that overrides discovery's address in the file, until the first reload.
 const DISCOVERY_VARIABLE: &str = "RELAY_DISCOVERY";
 
-/// What an instance is configured with at its start.
+/// Configuration of an instance at its start.
 #[derive(Debug)]
 pub(crate) struct ProcessSettings {
-    /// Its name.
+    /// Name of the instance.
     pub(crate) name: String,
-    /// Where it listens for clients.
+    /// Address on which the instance listens for clients.
     pub(crate) listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub(crate) discovery: SocketAddr,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub(crate) seed: u64,
     /// Memory limit, in MiB; at least 16.
     pub(crate) memory_mb: u64,
     /// Limit on descriptors; at least 64.
     pub(crate) sockets: usize,
-    /// Where the platform's release controller listens.
+    /// Address of the platform's release controller.
     pub(crate) release_controller: SocketAddr,
-    /// State of the newest build's rollout when the file was written.
+    /// Rollout state of the newest build at the time the file was written.
     pub(crate) rollout_state: RolloutState,
-    /// Endpoint list that this instance received last before the file was written.
+    /// Last endpoint list that this instance received before the file was written.
     pub(crate) cached_members: MemberList,
-    /// The settings of the deployment.
+    /// Settings of the deployment.
     pub(crate) settings: Settings,
-    /// The same as they stand in the file, to be compared with a later one.
+    /// Unparsed settings of the deployment, compared on a reload.
     raw_settings: serde_json::Value,
 }
 
-/// The file as it is written.
+/// Format of the configuration file.
 #[derive(Deserialize)]
 struct SettingsFile {
     name: Option<String>,
@@ -73,8 +73,10 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    pipeline: Pipeline,
-    known: MemberList,
+    #[serde(rename = "pipeline")]
+    release_controller: ReleaseControllerSection,
+    #[serde(rename = "known")]
+    cached_members: MemberList,
     settings: serde_json::Value,
 }
 
@@ -85,28 +87,28 @@
 }
 
 #[derive(Deserialize)]
-struct Pipeline {
+struct ReleaseControllerSection {
     address: SocketAddr,
     #[serde(rename = "news")]
     rollout_state: RolloutState,
 }
 
-/// What a configuration that is read again may change, and the keys that it may not.
+/// Settings that a reload may change, and the changed keys that it ignores.
 #[derive(Debug)]
 pub(crate) struct ReloadedSettings {
-    /// Where discovery listens.
+    /// Address of discovery.
     pub(crate) discovery: SocketAddr,
-    /// Where the platform's release controller listens.
+    /// Address of the platform's release controller.
     pub(crate) release_controller: SocketAddr,
-    /// State of the newest build's rollout when the file was written.
+    /// Rollout state of the newest build at the time the file was written.
     pub(crate) rollout_state: RolloutState,
-    /// An endpoint list.
+    /// Last endpoint list that this instance received before the file was written.
     pub(crate) cached_members: MemberList,
-    /// Keys with new values that count only from the next start on.
+    /// Keys whose new values take effect only after a restart.
     pub(crate) ignored_keys: Vec<&'static str>,
 }
 
-/// What can't change while the process runs, to be compared with what is read later.
+/// Settings that cannot change while the process runs. A reload compares its values with them.
 #[derive(Debug)]
 pub(crate) struct StartupSettings {
     name: String,
@@ -117,7 +119,7 @@
 }
 
 impl StartupSettings {
-    /// The part of the configuration at the start that can't change.
+    /// Copies the settings that cannot change from the configuration at the start.
     pub(crate) fn from_process(process: &ProcessSettings) -> Self {
         StartupSettings {
             name: process.name.clone(),
@@ -128,10 +130,10 @@
         }
     }
 
-    /// Reads the file again. Its discovery address counts, whatever the environment said at the start.
+    /// Reads the file again. Its discovery address applies, even if an environment variable overrode it at the start.
     ///
     /// # Errors
-    /// As [`ProcessSettings::read`].
+    /// Fails under the same conditions as [`ProcessSettings::read`].
     pub(crate) fn reload(
         &self,
         variable: impl Fn(&str) -> Option<String>,
@@ -160,12 +162,11 @@
 }
 
 impl ProcessSettings {
-    /// Reads the file named in `RELAY_CONFIG`. `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` override what the
-    /// file says.
+    /// Reads the file named in `RELAY_CONFIG`. `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` override its values.
     ///
     /// # Errors
-    /// When the variable is not set, the file can't be read, or a value is missing or not allowed. The message names
-    /// the variable or the key.
+    /// Fails if `RELAY_CONFIG` is not set, the file cannot be read, or a value is missing or not allowed. The message
+    /// names the variable or the key.
     pub(crate) fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ProcessSettingsError> {
         let path = variable(CONFIG_VARIABLE).ok_or(ProcessSettingsError::PathNotSet)?;
         let text = match std::fs::read_to_string(&path) {
@@ -188,8 +189,8 @@
         if memory_mb < MIN_MEMORY_MB {
             return Err(InvalidSetting::TooLittleMemory { memory_mb });
         }
-        let listen = address(&variable, LISTEN_VARIABLE, "listen", file.listen)?;
-        let discovery = address(&variable, DISCOVERY_VARIABLE, "discovery", file.discovery)?;
+        let listen = address_setting(&variable, LISTEN_VARIABLE, "listen", file.listen)?;
+        let discovery = address_setting(&variable, DISCOVERY_VARIABLE, "discovery", file.discovery)?;
         let seed = parse_seed(&file.seed)?;
         let settings = Settings::read(&file.settings).map_err(InvalidSetting::Deployment)?;
         Ok(ProcessSettings {
@@ -199,17 +200,17 @@
             seed,
             memory_mb,
             sockets,
-            release_controller: file.pipeline.address,
-            rollout_state: file.pipeline.rollout_state,
-            cached_members: file.known,
+            release_controller: file.release_controller.address,
+            rollout_state: file.release_controller.rollout_state,
+            cached_members: file.cached_members,
             settings,
             raw_settings: file.settings,
         })
     }
 }
 
-/// The address in an environment variable, or else the one in the file.
-fn address(
+/// Returns the address from an environment variable, or the one from the file if the variable is not set.
+fn address_setting(
     variable: impl Fn(&str) -> Option<String>,
     name: &'static str,
     key: &'static str,
--- a/crates/proxy/src/process_settings/error.rs
+++ b/crates/proxy/src/process_settings/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the process configuration.
+//! Errors in the process configuration.
 
 use std::io;
 use std::net::AddrParseError;
@@ -8,73 +8,73 @@
 
 use super::{MIN_MEMORY_MB, MIN_SOCKETS};
 
-/// Why the process configuration can't be used. The message names the variable, or the file and the key.
+/// Reason why the process configuration cannot be used. The message names the variable, or the file and the key.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ProcessSettingsError {
-    /// No file is named.
+    /// `RELAY_CONFIG` is not set.
     #[error("RELAY_CONFIG is not set")]
     PathNotSet,
-    /// The file that is named can't be read.
+    /// The configuration file cannot be read.
     #[error("RELAY_CONFIG: {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A value in the file, or one that overrides it, is missing or not allowed.
+    /// A value in the file or in an environment variable is missing or not allowed.
     #[error("{path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The value.
+        /// Error in the value.
         source: InvalidSetting,
     },
 }
 
-/// What is wrong with one value.
+/// Error in a value of the process configuration.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InvalidSetting {
     /// The file is not JSON, a key is missing, or a value has the wrong type.
     #[error("{0}")]
     Malformed(#[source] SettingsError),
-    /// Neither the file nor the environment gives this address.
+    /// The address is set neither in the file nor in the environment.
     #[error("{key} is missing")]
     Missing {
-        /// The key in the file.
+        /// Key of the address in the file.
         key: &'static str,
     },
-    /// A variable holds something else than an address with a port.
+    /// The value of an environment variable is not an address with a port.
     #[error("{variable}: {value:?} is not an address with a port")]
     NotAnAddress {
-        /// The variable.
+        /// Name of the variable.
         variable: &'static str,
-        /// Its value.
+        /// Value of the variable.
         value: String,
-        /// What is wrong with it.
+        /// Parse error.
         source: AddrParseError,
     },
-    /// The seed is not a hexadecimal number of 64 bits.
+    /// The seed is not a hexadecimal number of at most 64 bits.
     #[error("seed: {digits:?} is not a number of up to 16 hex digits")]
     InvalidSeed {
-        /// The seed as given.
+        /// The configured seed.
         digits: String,
-        /// What is wrong with it.
+        /// Parse error.
         source: ParseIntError,
     },
-    /// The limit on descriptors is too low to serve with.
-    #[error("limits.sockets: {sockets} is too few, at least {MIN_SOCKETS} are needed")]
+    /// The limit on descriptors is below the minimum.
+    #[error("limits.sockets: {sockets} is too low, the minimum is {MIN_SOCKETS}")]
     TooFewSockets {
-        /// The limit as given.
+        /// The configured limit.
         sockets: usize,
     },
-    /// The memory limit is too low to serve with.
-    #[error("limits.memory_mb: {memory_mb} is too little, at least {MIN_MEMORY_MB} are needed")]
+    /// The memory limit is below the minimum.
+    #[error("limits.memory_mb: {memory_mb} is too low, the minimum is {MIN_MEMORY_MB} MiB")]
     TooLittleMemory {
-        /// The limit as given, in MiB.
+        /// The configured limit, in MiB.
         memory_mb: u64,
     },
-    /// The deployment's settings are not allowed.
+    /// The settings of the deployment are invalid.
     #[error("settings: {0}")]
     Deployment(#[source] SettingsError),
 }
--- a/crates/proxy/src/process_settings/tests.rs
+++ b/crates/proxy/src/process_settings/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what a wrong configuration is answered with.
+//! Tests of overrides by the environment and of errors in the process configuration.
 
 use std::error::Error;
 
@@ -6,7 +6,7 @@
 
 const SEED: &str = "8c1f30d27a5be964";
 
-/// A configuration without a listening address.
+/// Returns a configuration without a listening address.
 fn config(seed: &str, sockets: usize, memory_mb: u64) -> String {
     let settings = include_str!("../../tests/settings.json");
     format!(
@@ -17,42 +17,48 @@
     )
 }
 
-fn fault(text: &str, listen: Option<&str>) -> InvalidSetting {
+fn parse_error(text: &str, listen: Option<&str>) -> InvalidSetting {
     let variable = |name: &str| listen.filter(|_| name == LISTEN_VARIABLE).map(str::to_owned);
-    ProcessSettings::parse(text, variable).expect_err("a fault")
+    ProcessSettings::parse(text, variable).expect_err("invalid configuration")
 }
 
 #[test]
-fn the_environment_gives_what_the_file_does_not() {
+fn the_environment_provides_an_address_missing_from_the_file() {
     let variable = |name: &str| (name == LISTEN_VARIABLE).then(|| "127.0.0.1:7000".to_owned());
-    let process = ProcessSettings::parse(&config(SEED, 64, 16), variable).expect("a configuration");
+    let process = ProcessSettings::parse(&config(SEED, 64, 16), variable).expect("valid configuration");
     assert_eq!(process.listen.to_string(), "127.0.0.1:7000");
     assert_eq!((process.name.as_str(), process.seed), ("front", 0x8c1f_30d2_7a5b_e964));
 }
 
 #[test]
-fn a_fault_names_the_key_the_value_and_what_is_allowed() {
+fn an_error_names_the_key_the_value_and_the_limit() {
     let listen = Some("127.0.0.1:7000");
     let messages = [
-        (fault(&config(SEED, 64, 16), None), "listen is missing"),
-        (fault(&config(SEED, 64, 16), Some("here")), "RELAY_LISTEN: \"here\" is not an address with a port"),
-        (fault(&config("zz", 64, 16), listen), "seed: \"zz\" is not a number of up to 16 hex digits"),
-        (fault(&config(SEED, 63, 16), listen), "limits.sockets: 63 is too few, at least 64 are needed"),
-        (fault(&config(SEED, 64, 15), listen), "limits.memory_mb: 15 is too little, at least 16 are needed"),
+        (parse_error(&config(SEED, 64, 16), None), "listen is missing"),
+        (
+            parse_error(&config(SEED, 64, 16), Some("here")),
+            "RELAY_LISTEN: \"here\" is not an address with a port",
+        ),
+        (parse_error(&config("zz", 64, 16), listen), "seed: \"zz\" is not a number of up to 16 hex digits"),
+        (parse_error(&config(SEED, 63, 16), listen), "limits.sockets: 63 is too low, the minimum is 64"),
+        (
+            parse_error(&config(SEED, 64, 15), listen),
+            "limits.memory_mb: 15 is too low, the minimum is 16 MiB",
+        ),
     ];
-    for (fault, message) in messages {
-        assert_eq!(fault.to_string(), message);
+    for (error, message) in messages {
+        assert_eq!(error.to_string(), message);
     }
 }
 
 #[test]
-fn the_cause_of_a_fault_is_kept() {
-    let variable = |name: &str| (name == CONFIG_VARIABLE).then(|| "/nowhere/to/be/found".to_owned());
-    let unreadable = ProcessSettings::read(variable).expect_err("no such file");
-    assert!(unreadable.to_string().starts_with("RELAY_CONFIG: /nowhere/to/be/found: "), "{unreadable}");
+fn an_error_keeps_its_source() {
+    let variable = |name: &str| (name == CONFIG_VARIABLE).then(|| "/nonexistent/config.json".to_owned());
+    let unreadable = ProcessSettings::read(variable).expect_err("missing file");
+    assert!(unreadable.to_string().starts_with("RELAY_CONFIG: /nonexistent/config.json: "), "{unreadable}");
     assert!(unreadable.source().is_some_and(|source| source.is::<std::io::Error>()));
-    let seed = fault(&config("zz", 64, 16), Some("127.0.0.1:7000"));
+    let seed = parse_error(&config("zz", 64, 16), Some("127.0.0.1:7000"));
     assert!(seed.source().is_some_and(|source| source.is::<std::num::ParseIntError>()));
-    let not_set = ProcessSettings::read(|_| None).expect_err("nothing is set");
+    let not_set = ProcessSettings::read(|_| None).expect_err("no variables");
     assert_eq!(not_set.to_string(), "RELAY_CONFIG is not set");
 }
