--- a/crates/proxy/src/watch_stream/tests.rs
+++ b/crates/proxy/src/watch_stream/tests.rs
@@ -144,7 +144,7 @@
     assert_eq!(
         ticks_without_connection as usize,
         silent_streams.len(),
-        "more than one sweep passed without a connection"
+        "each reconnect takes exactly one sweep without a connection"
     );
     let mut last = silent_streams.pop().expect("a connection");
     last.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nback\n\r\n")
