--- a/crates/consensus/src/build_verdicts.rs
+++ b/crates/consensus/src/build_verdicts.rs
@@ -1,8 +1,8 @@
-//! What the proxies think of a build, what all instances remember of it, and the one vote that follows.
+//! The proxies' verdicts on a build, their replication, and the vote derived from them.
 //!
-//! How far a build is rolled out is each proxy's policy to say. Here a proxy's verdict to roll back becomes a
-//! permanent decision (`condemned/BUILD`), its verdict to hold or to advance becomes this instance's notice, and
-//! whoever holds the lease of the role `votes` casts the most severe verdict that has not expired.
+//! Each proxy's policy determines its verdict on a rollout. A verdict to roll back becomes a permanent
+//! decision (`condemned/BUILD`), and a verdict to hold or to advance becomes this instance's notice. The
+//! holder of the lease of the role `votes` casts the most severe verdict that has not expired.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,35 +13,36 @@
 
 /// The space of condemned builds.
 pub const CONDEMNED_SPACE: &str = "condemned";
-/// The topic of instances' verdicts.
+/// The topic of the instances' verdicts.
 pub const VERDICT_TOPIC: &str = "trust";
-/// Greatest number of proxies of one instance whose verdicts count.
+/// Maximum number of proxies of one instance whose verdicts are recorded.
 pub const MAX_PROXIES: usize = 1024;
-/// Condemned builds that are remembered: older ones are retired, and builds come in the order of their numbers.
+/// Range of build numbers below the newest condemned build in which condemned builds are retained; older ones
+/// are retired. Build numbers increase over time.
 pub const MAX_CONDEMNED_BUILDS: u64 = 256;
-/// A notice is published again after this part of a verdict's ttl, so that two may be lost before it expires.
+/// Publications of a notice within one TTL of a verdict, so that two may be lost before the verdict expires.
 const PUBLICATIONS_PER_TTL: u64 = 3;
-/// A proxy that has reported no verdict for so many ttls makes room for another.
+/// Number of TTLs without a verdict after which a proxy is removed, so that another one can be recorded.
 const PROXY_RETENTION_TTLS: u64 = 10;
 
-/// The role of the instance that casts the platform's vote.
+/// Returns the role whose holder casts the vote at the release controller.
 pub fn vote_role() -> Role {
     Role("votes".to_owned())
 }
 
-/// A verdict on a build, from the mildest to the most severe.
+/// The kind of a verdict on a build, ordered from the mildest to the most severe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VerdictKind {
-    /// None, or no longer one.
+    /// No verdict, or a withdrawn one.
     #[serde(rename = "none")]
     Abstain,
-    /// Go on with the rollout.
+    /// Verdict to continue the rollout.
     #[serde(rename = "on")]
     Advance,
-    /// Stop the rollout's clock.
+    /// Verdict to hold the rollout, which stops its clock.
     Hold,
-    /// Roll the build back.
+    /// Verdict to roll the build back.
     #[serde(rename = "back")]
     RollBack,
 }
@@ -53,34 +54,34 @@
     pub build: u64,
     /// The stage.
     pub stage: u64,
-    /// The verdict.
+    /// The kind of the verdict.
     #[serde(rename = "word")]
     pub kind: VerdictKind,
 }
 
 impl BuildVerdict {
-    /// The later build first, then its later stage, then the more severe verdict.
+    /// Returns a sort key: a newer build takes precedence, then a later stage, then a more severe verdict.
     fn precedence(&self) -> (u64, u64, VerdictKind) {
         (self.build, self.stage, self.kind)
     }
 }
 
-/// A verdict and when it was reported or published.
+/// A verdict and the time at which it was reported or published.
 #[derive(Debug, Clone, Copy)]
 struct TimedVerdict {
     verdict: BuildVerdict,
     at: Ticks,
 }
 
-/// When another member's notice was last published, as this instance saw it.
+/// The last publication of another member's notice that this instance has seen.
 #[derive(Debug, Clone, Copy)]
 struct ObservedNotice {
     published_at: Index,
-    /// By this instance's own ticks, for no clock is shared.
+    /// Time at which it was first seen, in this instance's ticks: instances share no clock.
     first_seen: Ticks,
 }
 
-/// One instance's part in judging builds.
+/// The verdicts known to one instance.
 #[derive(Debug)]
 pub struct BuildVerdicts {
     id: InstanceId,
@@ -89,17 +90,17 @@
     by_proxy: BTreeMap<String, TimedVerdict>,
     published: Option<TimedVerdict>,
     observed: BTreeMap<InstanceId, ObservedNotice>,
-    /// Builds that this instance has proposed to condemn, and since when.
-    condemning: BTreeMap<u64, Ticks>,
+    /// Builds that this instance has proposed to condemn, and the time of the proposal.
+    pending_condemnations: BTreeMap<u64, Ticks>,
 }
 
-/// No further proxy's verdict is recorded: there are [`MAX_PROXIES`] already.
+/// The error for a verdict from a new proxy when those of [`MAX_PROXIES`] proxies are already recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("verdicts of {MAX_PROXIES} proxies are recorded already")]
+#[error("verdicts of {MAX_PROXIES} proxies, the maximum, are already recorded")]
 pub struct TooManyProxies;
 
 impl BuildVerdicts {
-    /// `ttl`: ticks after which a verdict expires unless it is reported again.
+    /// Creates an empty record. A verdict expires after `ttl` ticks unless it is reported again.
     pub fn new(id: InstanceId, ttl: u64) -> Self {
         Self {
             id,
@@ -107,14 +108,14 @@
             by_proxy: BTreeMap::new(),
             published: None,
             observed: BTreeMap::new(),
-            condemning: BTreeMap::new(),
+            pending_condemnations: BTreeMap::new(),
         }
     }
 
-    /// A proxy reports its own policy's verdict.
+    /// Records the verdict of a proxy's policy.
     ///
     /// # Errors
-    /// Verdicts of too many proxies are recorded already: this one decides alone.
+    /// The verdicts of [`MAX_PROXIES`] other proxies are already recorded; this proxy has to vote on its own.
     pub fn record_verdict(
         &mut self,
         now: Ticks,
@@ -128,27 +129,28 @@
         Ok(())
     }
 
-    /// A proxy has disconnected: its verdict no longer counts. What it had condemned stays condemned.
+    /// Removes the verdict of a proxy that has disconnected. Builds that it condemned remain condemned.
     pub fn remove_proxy(&mut self, proxy: &str) {
         self.by_proxy.remove(proxy);
     }
 
-    /// What is to be proposed now.
+    /// Returns the commands to propose now.
     pub fn proposals(&mut self, now: Ticks, state: &ReplicatedState) -> Vec<Command> {
-        self.forget_old(now);
-        let mut commands = self.condemnations(now, state);
-        commands.extend(self.publication(now));
+        self.remove_old_entries(now);
+        let mut commands = self.condemn_commands(now, state);
+        commands.extend(self.notice_command(now));
         commands
     }
 
-    fn forget_old(&mut self, now: Ticks) {
+    fn remove_old_entries(&mut self, now: Ticks) {
         let ttl = self.ttl;
         self.by_proxy.retain(|_, reported| now.0 < reported.at.0 + PROXY_RETENTION_TTLS * ttl);
-        self.condemning.retain(|_, proposed_at| now.0 < proposed_at.0 + ttl);
+        self.pending_condemnations.retain(|_, proposed_at| now.0 < proposed_at.0 + ttl);
     }
 
-    /// Commands that condemn the builds which a proxy wants rolled back, and retire the oldest condemned ones.
-    fn condemnations(&mut self, now: Ticks, state: &ReplicatedState) -> Vec<Command> {
+    /// Returns commands that condemn the builds which a proxy wants to roll back, and that retire the oldest
+    /// condemned builds.
+    fn condemn_commands(&mut self, now: Ticks, state: &ReplicatedState) -> Vec<Command> {
         let rolled_back: BTreeSet<u64> = (self.by_proxy.values())
             .filter(|reported| reported.verdict.kind == VerdictKind::RollBack)
             .filter(|reported| self.is_current(now, reported.at))
@@ -157,10 +159,10 @@
         let mut commands = Vec::new();
         for build in rolled_back {
             let subject = Subject::new(CONDEMNED_SPACE, build);
-            if state.subject_state(&subject).is_some() || self.condemning.contains_key(&build) {
+            if state.subject_state(&subject).is_some() || self.pending_condemnations.contains_key(&build) {
                 continue;
             }
-            self.condemning.insert(build, now);
+            self.pending_condemnations.insert(build, now);
             commands.push(Command::Decide { subject, value: self.id.0.to_le_bytes().to_vec() });
             if let Some(below) = build.checked_sub(MAX_CONDEMNED_BUILDS) {
                 commands.push(Command::RetireSubjects { space: CONDEMNED_SPACE.to_owned(), below });
@@ -169,8 +171,9 @@
         commands
     }
 
-    /// This instance's notice, if its verdict has changed or the notice is to be published again.
-    fn publication(&mut self, now: Ticks) -> Option<Command> {
+    /// Returns the command that publishes this instance's notice, if its verdict has changed or the notice is
+    /// due again.
+    fn notice_command(&mut self, now: Ticks) -> Option<Command> {
         let own = self.own_verdict(now);
         let published = self.published.map(|published| published.verdict);
         let refresh_ticks = self.ttl / PUBLICATIONS_PER_TTL;
@@ -183,7 +186,8 @@
         Some(Command::PublishNotice { from: self.id, topic: VERDICT_TOPIC.to_owned(), value })
     }
 
-    /// The most severe current verdict of this instance's proxies on the newest build that any has a verdict on.
+    /// Returns the most severe unexpired verdict of this instance's proxies on the latest stage of the newest
+    /// build for which any of them has a verdict.
     fn own_verdict(&self, now: Ticks) -> Option<BuildVerdict> {
         (self.by_proxy.values())
             .filter(|reported| reported.verdict.kind != VerdictKind::Abstain)
@@ -196,15 +200,15 @@
         now.0 < since.0 + self.ttl
     }
 
-    /// The vote that the holder of the lease should have cast at the platform.
+    /// Returns the vote that the holder of the lease should cast at the release controller.
     pub fn vote_to_cast(&mut self, now: Ticks, state: &ReplicatedState) -> Option<BuildVerdict> {
         self.observe_notices(now, state);
         let others = (state.notices(VERDICT_TOPIC))
             .filter(|(id, _)| *id != self.id)
             .filter_map(|(id, notice)| self.current_notice(now, id, notice));
         let newest = others.chain(self.own_verdict(now)).max_by_key(BuildVerdict::precedence)?;
-        // A condemned build stays condemned, also after the proxies that condemned it have gone, and at every later
-        // stage.
+        // A condemned build remains condemned at every later stage, and after the proxies that condemned it
+        // have disconnected.
         let kind = match self.is_condemned(state, newest.build) {
             true => VerdictKind::RollBack,
             false => newest.kind,
@@ -212,7 +216,7 @@
         Some(BuildVerdict { kind, ..newest })
     }
 
-    /// What another member's notice says, unless it has expired.
+    /// Returns the verdict in another member's notice; `None` if it has expired or can't be decoded.
     fn current_notice(&self, now: Ticks, from: InstanceId, notice: &Notice) -> Option<BuildVerdict> {
         let observed = self.observed.get(&from)?;
         if !self.is_current(now, observed.first_seen) {
@@ -221,8 +225,8 @@
         postcard::from_bytes(&notice.value).ok()
     }
 
-    /// Records which notices are new. To be called now and then also without the lease, or a notice published long
-    /// ago would pass for a new one.
+    /// Records which notices are new. Must be called regularly, even without the lease, or else a notice
+    /// published long ago would be mistaken for a new one when the lease is acquired.
     pub fn observe_notices(&mut self, now: Ticks, state: &ReplicatedState) {
         self.observed.retain(|id, _| state.member(*id).is_some());
         for (id, notice) in state.notices(VERDICT_TOPIC) {
@@ -234,14 +238,14 @@
         }
     }
 
-    /// Whether a build is condemned.
+    /// Returns whether a build is condemned.
     pub fn is_condemned(&self, state: &ReplicatedState, build: u64) -> bool {
         let subject = Subject::new(CONDEMNED_SPACE, build);
         matches!(state.subject_state(&subject), Some(SubjectState::Decided(_)))
     }
 }
 
-/// The builds that are condemned, in order.
+/// Returns the condemned builds, in order.
 pub fn condemned_builds(state: &ReplicatedState) -> impl Iterator<Item = u64> {
     state.subjects(CONDEMNED_SPACE, 0).map(|(subject, _)| subject.number)
 }
--- a/crates/consensus/src/chunking.rs
+++ b/crates/consensus/src/chunking.rs
@@ -1,29 +1,29 @@
-//! Messages that are too long for one frame, such as snapshots, in chunks: short messages pass between them, and the
-//! receiver assembles one message at a time, of a bounded size.
+//! Splitting of messages that are too long for one frame, such as snapshots, into chunks. Short messages can
+//! be sent between the chunks, and the receiver assembles one message of bounded size at a time.
 
 use serde::{Deserialize, Serialize};
 
-/// Longest chunk, in bytes.
+/// Maximum size of a chunk, in bytes.
 pub const CHUNK_BYTES: usize = 64 * 1024;
-/// Longest message that is assembled, in bytes.
+/// Maximum size of an assembled message, in bytes.
 pub const MAX_MESSAGE_BYTES: u64 = 256 * 1024 * 1024;
 
-/// A part of a message.
+/// A chunk of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Which message of this sender it belongs to.
+    /// Number of the message, among those of the same sender, that the chunk belongs to.
     pub transfer: u64,
-    /// Where in the message it begins, in bytes.
+    /// Offset of the chunk in the message, in bytes.
     #[serde(rename = "at")]
     pub offset: u64,
-    /// Length of the message, in bytes.
+    /// Size of the complete message, in bytes.
     #[serde(rename = "whole")]
     pub total_len: u64,
-    /// The bytes.
+    /// Contents of the chunk.
     pub bytes: Vec<u8>,
 }
 
-/// The chunks of a message, in order.
+/// Splits a message into chunks, in order.
 pub fn split(transfer: u64, message: &[u8]) -> impl Iterator<Item = Chunk> {
     let total_len = message.len() as u64;
     message.chunks(CHUNK_BYTES).enumerate().map(move |(position, bytes)| Chunk {
@@ -34,23 +34,23 @@
     })
 }
 
-/// Why chunks don't make a message.
+/// Reason why chunks can't be assembled into a message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    /// A chunk before this one is missing.
-    #[error("a chunk at {found} where one at {expected} was expected")]
+    /// Missing chunk before this one.
+    #[error("chunk out of order: got offset {found}, expected {expected}")]
     Gap {
-        /// Where this chunk begins.
+        /// Offset of this chunk, in bytes.
         found: u64,
-        /// Where the next one should begin.
+        /// Expected offset of the next chunk, in bytes.
         expected: u64,
     },
-    /// The sizes contradict one another or the limit.
-    #[error("a message of {0} bytes, {MAX_MESSAGE_BYTES} at the most, with a chunk that does not fit")]
+    /// Inconsistent sizes, or a message that exceeds the limit. The value is the message size, in bytes.
+    #[error("invalid chunk or message size: message of {0} bytes, at most {MAX_MESSAGE_BYTES} allowed")]
     InvalidSize(u64),
 }
 
-/// Assembles one sender's chunks.
+/// An assembler for the chunks of one sender.
 #[derive(Debug, Default)]
 pub struct ChunkAssembler {
     transfer: u64,
@@ -59,11 +59,11 @@
 }
 
 impl ChunkAssembler {
-    /// One more chunk; the message, if it was the last. A new transfer ends an unfinished one: its sender has given
-    /// it up.
+    /// Adds a chunk, and returns the message if it was the last one. The first chunk of a new transfer
+    /// discards an unfinished transfer, which its sender has abandoned.
     ///
     /// # Errors
-    /// A chunk is missing or its size is invalid; what was buffered is dropped.
+    /// A chunk is missing or its size is invalid. The buffered chunks are discarded.
     pub fn push(&mut self, chunk: Chunk) -> Result<Option<Vec<u8>>, ChunkError> {
         if chunk.transfer != self.transfer || chunk.offset == 0 {
             *self = Self { transfer: chunk.transfer, total_len: chunk.total_len, buffer: Vec::new() };
@@ -77,7 +77,7 @@
             *self = Self::default();
             return Err(ChunkError::Gap { found: chunk.offset, expected });
         }
-        // Grown by what has come, never by what was announced: an announced length costs nothing.
+        // The buffer grows with the received bytes only, so that announcing a large size allocates no memory.
         self.buffer.extend_from_slice(&chunk.bytes);
         let buffered = self.buffer.len() as u64;
         if buffered < self.total_len {
@@ -95,7 +95,7 @@
             && !chunk.bytes.is_empty()
     }
 
-    /// Bytes of an unfinished message.
+    /// Returns the number of bytes buffered for an unfinished message.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
--- a/crates/consensus/src/fencing.rs
+++ b/crates/consensus/src/fencing.rs
@@ -1,9 +1,10 @@
-//! The fencing gate, in front of whatever a lease allows. It keeps the newest epoch that it has observed
-//! for each role and rejects older ones, so a holder that froze and wakes does nothing more, whatever any clock says.
+//! The fencing gate, which every action under a lease has to pass. It records the newest epoch observed for
+//! each role and rejects older ones, so a deposed holder that resumes after a pause can't act, independently
+//! of any clock.
 //!
-//! It remembers what it has admitted until the replicated state has resolved the order and its epoch is over: the
-//! next holder asks it which orders in doubt were executed, and a copy of an old message may come minutes late. Its
-//! state must survive its own crashes at least as well as the effects behind it do.
+//! The gate remembers an admitted order until the replicated state has resolved it and its epoch has ended:
+//! the next holder asks the gate which orders in doubt were executed, and a copy of an old message may arrive
+//! minutes late. The gate's state must survive crashes at least as well as the effects that it protects.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +12,33 @@
 
 use crate::ids::{Epoch, Role, Subject};
 
-/// Orders remembered for each role. Beyond that no more is admitted until some are resolved and the role has a new
-/// epoch (a holder may pass the lease on to itself).
+/// Maximum number of orders remembered for each role. At the limit no order is admitted until some are
+/// resolved and the role has a new epoch, which a holder can obtain by transferring the lease to itself.
 pub const MAX_ORDERS: usize = 65_536;
 
-/// What the gate says to an order.
+/// The gate's decision on an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FencingDecision {
-    /// The effect may happen, now and once.
+    /// Admitted: the order may be executed now, once.
     #[serde(rename = "Open")]
     Admit,
-    /// An older epoch than one observed before: rejected for good.
+    /// Rejected for good, because a newer epoch has been observed.
     #[serde(rename = "Stale")]
     StaleEpoch {
         /// The newest epoch observed.
         newest: Epoch,
     },
-    /// This order was admitted before.
+    /// Rejected, because the order was admitted before.
     #[serde(rename = "Repeat")]
     Duplicate {
-        /// Under this epoch.
+        /// The epoch under which it was admitted.
         epoch: Epoch,
     },
-    /// The gate remembers as many orders as it may.
+    /// Rejected, because [`MAX_ORDERS`] orders are remembered for the role.
     Full,
 }
 
+/// What the gate records for one role.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct RoleFence {
     #[serde(rename = "newest")]
@@ -53,33 +55,34 @@
 }
 
 impl RoleFence {
-    /// Forgets orders that are resolved and of an older epoch. Until no message of its epoch can pass any more, a
-    /// late copy of the message that an order was admitted with would have it admitted again.
-    fn forget_finished_orders(&mut self) {
+    /// Removes orders that are resolved and of an older epoch. An order of the current epoch is retained: a
+    /// late copy of its message would otherwise be admitted again.
+    fn prune_resolved_orders(&mut self) {
         let newest = self.newest_epoch;
         self.admitted.retain(|_, order| !order.resolved || order.epoch == newest);
     }
 }
 
-/// The gate has observed a newer epoch.
+/// The error for an epoch that is not the newest one that the gate has observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("epoch {newest} has been observed")]
+#[error("the newest epoch that the fencing gate has observed is {newest}")]
 pub struct NewerEpoch {
     /// The newest epoch observed.
     pub newest: Epoch,
 }
 
-/// The gate's whole state.
+/// The complete state of the gate.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingGate {
     roles: BTreeMap<Role, RoleFence>,
 }
 
 impl FencingGate {
-    /// A holder shows its epoch, before it acts for the first time. From here on no older one is admitted.
+    /// Records the epoch of a holder that is about to act for the first time. Older epochs are rejected from
+    /// then on.
     ///
     /// # Errors
-    /// A later epoch has been observed.
+    /// A newer epoch has been observed.
     pub fn observe_epoch(&mut self, role: &Role, epoch: Epoch) -> Result<(), NewerEpoch> {
         let fence = self.roles.entry(role.clone()).or_default();
         if epoch < fence.newest_epoch {
@@ -87,12 +90,12 @@
         }
         if epoch > fence.newest_epoch {
             fence.newest_epoch = epoch;
-            fence.forget_finished_orders();
+            fence.prune_resolved_orders();
         }
         Ok(())
     }
 
-    /// An order comes to the gate under an epoch.
+    /// Decides whether an order may be executed under `epoch`, and remembers it if so.
     pub fn admit(&mut self, role: &Role, epoch: Epoch, order: &Subject) -> FencingDecision {
         if let Err(NewerEpoch { newest }) = self.observe_epoch(role, epoch) {
             return FencingDecision::StaleEpoch { newest };
@@ -108,8 +111,8 @@
         FencingDecision::Admit
     }
 
-    /// Whether an order was admitted, asked under an epoch that the gate has observed: the answer is final for every
-    /// older one.
+    /// Returns whether an order was admitted. `epoch` must be the newest one observed: the answer is final
+    /// for all older epochs, which are rejected.
     ///
     /// # Errors
     /// `epoch` is not the newest one observed.
@@ -121,16 +124,16 @@
         Ok(self.roles.get(role).is_some_and(|fence| fence.admitted.contains_key(order)))
     }
 
-    /// The replicated state has resolved this order as executed: it is dispatched no more, and need not be remembered
-    /// beyond its epoch.
+    /// Records that the replicated state has resolved an order as executed. Such an order is never dispatched
+    /// again, so it need not be remembered after its epoch has ended.
     pub fn mark_resolved(&mut self, role: &Role, order: &Subject) {
         let Some(fence) = self.roles.get_mut(role) else { return };
         let Some(admitted) = fence.admitted.get_mut(order) else { return };
         admitted.resolved = true;
-        fence.forget_finished_orders();
+        fence.prune_resolved_orders();
     }
 
-    /// The newest epoch observed for a role; 0 if none was.
+    /// Returns the newest epoch observed for a role; 0 if none was.
     pub fn current_epoch(&self, role: &Role) -> Epoch {
         self.roles.get(role).map_or(Epoch(0), |fence| fence.newest_epoch)
     }
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers and names that must not be confused with one another.
+//! Distinct types for ids, counters and names, so that they can't be confused with one another.
 
 use std::fmt;
 
@@ -20,25 +20,28 @@
 }
 
 ids! {
-    /// An instance, by the id that its store was created with. A store created anew is another instance.
+    /// Id of an instance, assigned when its store is created. An instance with a new store is a different
+    /// instance.
     InstanceId;
-    /// An entry's place in the log, from 1; 0 is before the first entry.
+    /// Position of an entry in the log, starting at 1; 0 is the position before the first entry.
     Index;
-    /// A term: at most one leader in each.
+    /// Raft term. Each term has at most one leader.
     Term;
-    /// How many times a role's lease has changed hands. A higher one deposes all lower ones for good.
+    /// Number of times that a role's lease has changed hands. A higher epoch invalidates all lower ones for
+    /// good.
     Epoch;
-    /// A proposer's session, by the index of the entry that opened it.
+    /// Id of a proposer's session: the index of the entry that opened it.
     SessionId;
-    /// A proposal's place in its session, from 1.
+    /// Position of a proposal in its session, starting at 1.
     Sequence;
-    /// A request of a caller at one instance; the caller numbers them.
+    /// Number of a request at one instance, assigned by the caller.
     Ticket;
-    /// Ticks of one instance's own time. They decide only how soon something happens: nothing is safe because of them.
+    /// Ticks of one instance's own time. They affect only how soon something happens; safety does not depend
+    /// on them.
     Ticks;
 }
 
-/// A task that one instance at a time does, by name. Its lease says which instance.
+/// The name of a task that one instance at a time performs, namely the holder of the role's lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Role(pub String);
@@ -49,20 +52,20 @@
     }
 }
 
-/// Longest name of a space that a caller may give, in bytes.
+/// Maximum length of the name of a space in a parsed subject, in bytes.
 const MAX_SPACE_BYTES: usize = 64;
 
-/// What is decided: a number in a space, such as a build among the condemned ones.
+/// The subject of a decision: a number in a space, such as a build in the space of condemned builds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Subject {
     /// The space.
     pub space: String,
-    /// The number in it.
+    /// The number within the space.
     pub number: u64,
 }
 
 impl Subject {
-    /// The subject with this number in this space.
+    /// Creates the subject with this number in this space.
     pub fn new(space: &str, number: u64) -> Self {
         Self { space: space.to_owned(), number }
     }
@@ -74,7 +77,7 @@
     }
 }
 
-/// A text that is no subject.
+/// The error for a text that is not a valid subject.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("\"{0}\" is no subject: SPACE/NUMBER is wanted, such as condemned/42")]
 pub struct ParseSubjectError(String);
@@ -93,7 +96,8 @@
     }
 }
 
-/// Whether a caller may name a space so: ASCII letters, digits, `-`, `_` and `.`.
+/// Returns whether a name is valid for a space: 1 to [`MAX_SPACE_BYTES`] ASCII letters, digits, `-`, `_` and
+/// `.`.
 fn is_valid_space(space: &str) -> bool {
     let is_valid_char = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     !space.is_empty() && space.len() <= MAX_SPACE_BYTES && space.chars().all(is_valid_char)
--- a/crates/consensus/src/lease_client.rs
+++ b/crates/consensus/src/lease_client.rs
@@ -1,40 +1,44 @@
-//! The lease client: when this instance acquires a role's lease, renews it, acts under it and stops. Its ticks decide
-//! only how soon; that no deposed holder acts is the work of the replicated state and the fencing gate.
+//! The lease client, which determines when this instance acquires a role's lease, renews it and may act under
+//! it.
+//!
+//! Ticks affect only how soon a lease changes hands. The replicated state and the fencing gate ensure that a
+//! deposed holder can't act.
 
 use crate::ids::{Epoch, Index, InstanceId, Role, Ticks};
 use crate::pending_requests::Answer;
 use crate::replicated_state::{Command, Lease, Reply};
 
-/// A renewal, and a question to the gate without an answer, are due after this part of the lease's ttl: two may be
-/// lost before the lease lapses.
+/// Renewals within one TTL of the lease, so that two may be lost before the lease expires. An unanswered
+/// request to the fencing gate is repeated at the same interval.
 const RENEWALS_PER_TTL: u64 = 3;
-/// A renewal that failed is proposed again after this part of the ttl, and one tick at the least.
+/// Divisor of the lease's TTL that gives the delay, plus one tick, after which a failed renewal is proposed
+/// again.
 const RETRIES_PER_TTL: u64 = 10;
 
-/// What a lease client asks for.
+/// An action that the lease client's caller has to take.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Propose this, and call [`LeaseClient::on_answer`] with what came of it.
+    /// Proposal of this command; its answer is passed to [`LeaseClient::on_answer`].
     Propose(Command),
-    /// Show this epoch to the fencing gate, and call [`LeaseClient::on_epoch_observed`] or
-    /// [`LeaseClient::on_newer_epoch`] with its answer.
+    /// Request to the fencing gate to observe this epoch; its answer is passed to
+    /// [`LeaseClient::on_epoch_observed`] or [`LeaseClient::on_newer_epoch`].
     ObserveEpoch(Epoch),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseState {
-    /// Another instance holds the lease, or nobody.
+    /// Lease free or held by another instance.
     NoLease,
-    /// A proposal to acquire it is in flight.
+    /// Proposal to acquire the lease in flight.
     Acquiring,
-    /// Held; the fencing gate has not observed the epoch yet.
+    /// Lease held, but the fencing gate has not confirmed the epoch yet.
     AwaitingFencing { epoch: Epoch, acquired_at: Ticks, requested_at: Option<Ticks> },
-    /// Held and observed by the gate. To act from `valid_until` on takes a renewal.
+    /// Lease held and its epoch confirmed by the gate. Valid until `valid_until`, unless it is renewed.
     Active { epoch: Epoch, valid_until: Ticks, renew_at: Ticks, renewal_sent_at: Option<Ticks> },
 }
 
 impl LeaseState {
-    /// The epoch under which the lease is held here.
+    /// Returns the epoch under which this instance holds the lease.
     fn epoch(self) -> Option<Epoch> {
         match self {
             LeaseState::NoLease | LeaseState::Acquiring => None,
@@ -43,42 +47,45 @@
     }
 }
 
-/// The lease as the replicated state last showed it here.
+/// The lease as last seen in this instance's replicated state.
 #[derive(Debug, Clone, Copy)]
 struct ObservedLease {
     epoch: Epoch,
     renewed: Index,
-    /// Since when it looks so, by this instance's own ticks: no clock is shared.
+    /// Time at which this epoch and renewal were first seen, or at which this instance last failed to acquire
+    /// the lease. In this instance's ticks: instances share no clock.
     since: Ticks,
 }
 
-/// One role's lease client at one instance.
+/// The lease client of one role at one instance.
 #[derive(Debug)]
 pub struct LeaseClient {
     role: Role,
     id: InstanceId,
-    /// Ticks that a holder may go on without a renewal.
+    /// Ticks for which a holder may act without a renewal.
     ttl: u64,
-    /// More ticks that this instance waits before it acquires the lease.
+    /// Additional ticks before this instance tries to acquire the lease.
     stagger: u64,
     state: LeaseState,
     observed: ObservedLease,
 }
 
 impl LeaseClient {
-    /// A client for `role`. `ttl`: ticks that a holder may go on without a renewal; `stagger`: more ticks that this
-    /// instance waits before it acquires the lease, so that not all instances try at once.
+    /// Creates a client for `role`. A holder may act for `ttl` ticks without a renewal. This instance waits
+    /// for `stagger` additional ticks before it tries to acquire the lease, so that not all instances try at
+    /// once.
     pub fn new(role: Role, id: InstanceId, ttl: u64, stagger: u64) -> Self {
         let observed = ObservedLease { epoch: Epoch(0), renewed: Index(0), since: Ticks(0) };
         Self { role, id, ttl, stagger, state: LeaseState::NoLease, observed }
     }
 
-    /// The role.
+    /// Returns the role of the lease.
     pub fn role(&self) -> &Role {
         &self.role
     }
 
-    /// The epoch under which this instance may act now. Whatever acts on it shows it to the fencing gate as well.
+    /// Returns the epoch under which this instance may act now. Every action must present this epoch to the
+    /// fencing gate as well.
     pub fn valid_epoch(&self, now: Ticks) -> Option<Epoch> {
         match self.state {
             LeaseState::Active { epoch, valid_until, .. } if now < valid_until => Some(epoch),
@@ -86,7 +93,7 @@
         }
     }
 
-    /// What is to be done now, by the lease as the replicated state here has it.
+    /// Returns the next action, if one is due, given the lease in this instance's replicated state.
     pub fn poll(&mut self, now: Ticks, lease: Option<&Lease>) -> Option<LeaseAction> {
         self.observe(now, lease);
         match self.state {
@@ -121,14 +128,15 @@
     }
 
     fn acquire_if_due(&mut self, now: Ticks, lease: Option<&Lease>) -> Option<LeaseAction> {
-        // Held by this instance in the replicated state and not here: by an earlier incarnation, whose acts may still
-        // be on their way. This one starts under a new epoch like any other, but need not wait for itself.
-        let wait = match lease.and_then(|lease| lease.holder) {
+        // If the replicated state names this instance as the holder, an earlier incarnation acquired the
+        // lease, and its messages may still be in transit. This incarnation needs a new epoch, but need not
+        // wait for the TTL.
+        let required_delay = match lease.and_then(|lease| lease.holder) {
             Some(holder) if holder != self.id => self.ttl + self.stagger,
             _ => self.stagger,
         };
-        let waited = now.0.saturating_sub(self.observed.since.0);
-        if waited < wait {
+        let elapsed = now.0.saturating_sub(self.observed.since.0);
+        if elapsed < required_delay {
             return None;
         }
         self.state = LeaseState::Acquiring;
@@ -140,7 +148,7 @@
         }))
     }
 
-    /// What became of the command that [`LeaseAction::Propose`] asked for.
+    /// Handles the answer to the command of [`LeaseAction::Propose`].
     pub fn on_answer(&mut self, now: Ticks, answer: &Answer) {
         match self.state {
             LeaseState::Acquiring => self.on_acquire_answer(now, answer),
@@ -170,8 +178,8 @@
         };
     }
 
-    /// Active for a ttl that counts from when the lease was proposed: others may take it for lapsed from any moment
-    /// after that.
+    /// Returns the active state of a lease that is valid for one TTL from `start`. A renewal counts from the
+    /// time at which it was proposed, because other instances may count its TTL from any later moment.
     fn active_from(&self, epoch: Epoch, start: Ticks) -> LeaseState {
         LeaseState::Active {
             epoch,
@@ -185,7 +193,7 @@
         Ticks(start.0 + self.ttl / RENEWALS_PER_TTL)
     }
 
-    /// The fencing gate has taken this epoch as the newest.
+    /// Handles the fencing gate's confirmation that it has observed this epoch.
     pub fn on_epoch_observed(&mut self, observed: Epoch) {
         if let LeaseState::AwaitingFencing { epoch, acquired_at, .. } = self.state
             && epoch == observed
@@ -194,7 +202,8 @@
         }
     }
 
-    /// The fencing gate, or anyone, knows of this later epoch: whoever holds an older one stops.
+    /// Handles a report of a newer epoch, from the fencing gate or another source: gives up a lease that is
+    /// held under an older one.
     pub fn on_newer_epoch(&mut self, newest: Epoch) {
         if self.state.epoch().is_some_and(|epoch| epoch < newest) {
             self.state = LeaseState::NoLease;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,19 +1,20 @@
-//! Consensus among several instances. No I/O, no clock, no threads: ticks, messages and completed writes come
-//! in; writes, messages and answers go out.
+//! Consensus among several instances, without I/O, clocks or threads: the input consists of ticks, messages
+//! and completed writes, the output of writes, messages and answers.
 //!
 //! In reading order:
 //!
 //! - [`ids`]: instances, indexes, terms, epochs, tickets and the names of roles and subjects;
-//! - [`replicated_state`]: what all instances agree on: subjects decided once, sessions, leases, notices, members;
-//! - [`raft_node`]: one instance's part in the consensus, on a Raft library without I/O;
-//! - `raft_log`: the log in memory, as the library reads it;
-//! - [`pending_requests`]: proposals and reads that wait for their answer;
-//! - [`membership`]: changes of membership, one instance at a time;
-//! - [`proposal_queue`]: a session that sends a command again until it is answered;
-//! - [`lease_client`]: when an instance acquires, renews and stops using a lease;
-//! - [`fencing`]: the gate in front of whatever a lease allows, which rejects older epochs;
-//! - [`build_verdicts`]: what the proxies think of a build, and the one vote that follows from it;
-//! - [`chunking`]: messages too long for one frame.
+//! - [`replicated_state`]: the state on which all instances agree: subjects, sessions, leases, notices and
+//!   members;
+//! - [`raft_node`]: the Raft node of one instance, built on a Raft library that performs no I/O;
+//! - `raft_log`: the in-memory log that the library reads;
+//! - [`pending_requests`]: proposals and reads that wait for an answer;
+//! - [`membership`]: membership changes, one instance at a time;
+//! - [`proposal_queue`]: a queue of commands in one session, each sent until it is answered;
+//! - [`lease_client`]: acquisition, renewal and expiry of a lease at one instance;
+//! - [`fencing`]: the fencing gate, which rejects actions under older epochs;
+//! - [`build_verdicts`]: the proxies' verdicts on a build, and the vote derived from them;
+//! - [`chunking`]: splitting and assembly of messages that are too long for one frame.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,78 +1,80 @@
-//! Changes of membership: one instance at a time, as a learner first, a voter once it has caught up.
+//! Membership changes, one instance at a time. A new instance joins as a learner and becomes a voter once it
+//! has caught up.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{InstanceId, Ticket};
 use crate::replicated_state::Member;
 
-/// Greatest number of members. Three to nine decide quickly; more is slower, and the operators' choice.
+/// Maximum number of members. Three to nine members decide quickly; larger clusters work but decide more
+/// slowly.
 pub const MAX_MEMBERS: usize = 1024;
-/// Longest name of a member, in bytes.
+/// Maximum length of a member's name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A change that an operator asks for.
+/// A membership change requested by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// An instance joins.
+    /// Addition of an instance.
     Add(Member),
-    /// An instance leaves for good. Its name may be used again, by an instance with another id.
+    /// Permanent removal of an instance. Its name may be reused by an instance with another id.
     Remove(InstanceId),
 }
 
-/// Which request a change comes from.
+/// The request that a membership change originates from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ChangeOrigin {
-    /// The instance that was asked.
+    /// Instance that received the request.
     pub(crate) instance: InstanceId,
-    /// That instance's incarnation then.
+    /// Incarnation of that instance when it received the request.
     pub(crate) incarnation: u64,
-    /// The caller's ticket there.
+    /// Ticket of the request at that instance.
     pub(crate) ticket: Ticket,
 }
 
-/// What goes into the log beside the library's own record of a change.
+/// Data stored in the log together with the Raft library's record of a configuration change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ChangeContext {
-    /// The request that it comes from.
+    /// The request that the change originates from.
     #[serde(rename = "asked")]
     pub(crate) origin: ChangeOrigin,
-    /// What was asked for.
+    /// The requested change.
     pub(crate) change: MembershipChange,
 }
 
-/// One voter or learner as the leader sees it.
+/// The leader's view of one voter or learner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerProgress {
-    /// Which instance.
+    /// Id of the instance.
     pub id: InstanceId,
     /// Whether it votes.
     pub is_voter: bool,
-    /// Whether a message of it came within the last election timeout.
+    /// Whether the leader received a message from it within the last election timeout.
     pub recently_active: bool,
-    /// The last index that it is known to hold.
+    /// The highest log index known to be replicated to it.
     pub matched: u64,
 }
 
-/// What the leader does about a change.
+/// The leader's decision on a requested change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ChangeDecision {
-    /// Add the instance as a learner.
+    /// Addition of the instance as a learner.
     AddLearner(InstanceId),
-    /// Remove the instance.
+    /// Removal of the instance.
     Remove(InstanceId),
-    /// Nothing: the members are as asked for already.
+    /// No change, because the members already are as requested.
     AlreadyDone,
 }
 
-/// Why a change may not begin now. Operators read these texts.
+/// Reason why a change can't start now. Operators see these texts.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ChangeError {
     #[error("a member needs a number and a name of 1 to {MAX_NAME_BYTES} bytes")]
     InvalidMember,
     #[error("{:016x} is {} at {} already", .0.id.0, .0.name, .0.address)]
     IdInUse(Member),
-    /// The same name with another id is an instance that lost its store: as the old member it could vote a second
-    /// time in a term that it has forgotten.
+    /// Name of an existing member with another id. Such an instance has lost its store; if it were taken for
+    /// the old member, it could vote a second time in a term in which the old member had already voted.
     #[error("{} is a member as {:016x}; if its store is lost, remove that member first", .0.name, .0.id.0)]
     NameInUse(Member),
     #[error("{MAX_MEMBERS} members at the most")]
@@ -85,7 +87,11 @@
     NoActiveQuorum { active: usize, voters: usize },
 }
 
-/// Whether a change may begin now. Rejected is whatever could leave the cluster without an active quorum.
+/// Decides whether a change may start now.
+///
+/// # Errors
+/// The member is invalid or in conflict with another one, or the change could leave the cluster without an
+/// active quorum.
 pub(crate) fn decide_change(
     change: &MembershipChange,
     leader: InstanceId,
@@ -146,11 +152,13 @@
     Ok(ChangeDecision::Remove(id))
 }
 
-/// A learner that may vote from now on: it is active and holds all but the last `slack` entries. One that holds
-/// nothing yet never does, however short the log: as a voter it would count towards a quorum that can't be reached.
-pub(crate) fn caught_up_learner(peers: &[PeerProgress], last_index: u64, slack: u64) -> Option<InstanceId> {
+/// Returns a learner that may become a voter: it is recently active and lacks at most `max_lag` entries.
+///
+/// A learner without any entry is never promoted, however short the log: as a voter it would count towards a
+/// quorum that can't be reached.
+pub(crate) fn caught_up_learner(peers: &[PeerProgress], last_index: u64, max_lag: u64) -> Option<InstanceId> {
     let caught_up = |peer: &&PeerProgress| {
-        !peer.is_voter && peer.recently_active && peer.matched > 0 && peer.matched + slack >= last_index
+        !peer.is_voter && peer.recently_active && peer.matched > 0 && peer.matched + max_lag >= last_index
     };
     peers.iter().find(caught_up).map(|peer| peer.id)
 }
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -1,53 +1,55 @@
-//! Proposals and reads of one instance's callers, from their arrival to their one answer. They are bounded, and each
-//! has a deadline: without a quorum a caller gets its answer in time, and it says whether the
-//! proposal may yet be decided.
+//! Proposals and reads of one instance's callers, from arrival to answer. Each request receives exactly one
+//! answer.
+//!
+//! The number of requests is bounded, and each has a deadline: even without a quorum a caller receives its
+//! answer in time, and the answer states whether the proposal may still be decided.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{InstanceId, Sequence, SessionId, Ticket, Ticks};
 use crate::replicated_state::{Command, Proposal, Reply};
 
-/// The one answer to a caller.
+/// The answer to a request; each request receives exactly one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The proposal was applied, with this reply.
+    /// Proposal applied, with this reply.
     Applied(Reply),
-    /// A read may be answered from the replicated state as it is now.
+    /// Read that may now be answered from the replicated state.
     ReadReady,
-    /// The change of membership is done, or the transfer of leadership begun.
+    /// Membership change complete, or leadership transfer started.
     MembershipChanged,
-    /// The deadline has passed and the proposal was never given to the other instances: it decides nothing.
+    /// Deadline passed without the proposal being sent to the other instances: it will not be decided.
     NotProposed,
-    /// The deadline has passed and the proposal may yet be decided. Sent again in the same session it is the same
-    /// proposal.
+    /// Deadline passed for a proposal that may still be decided. The caller can safely send it again in the
+    /// same session, where it is deduplicated.
     Indeterminate,
-    /// The read's deadline has passed.
+    /// Deadline of a read passed.
     ReadTimedOut,
-    /// Too many requests wait already; nothing was done.
+    /// Request rejected because too many requests are waiting; it had no effect.
     Busy,
-    /// The store is nearly full: nothing new is accepted.
+    /// Request rejected because the store is nearly full.
     StoreFull,
-    /// Only the leader does this; it is the one named, as far as is known.
+    /// Request rejected because this instance is not the leader. The value is the leader, if known.
     NotLeader(Option<InstanceId>),
-    /// The request is invalid, and why.
+    /// Request rejected, with the reason.
     Rejected(String),
 }
 
-/// A caller's answer, and which request it answers.
+/// An answer and the ticket of its request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TicketAnswer {
-    /// The request's ticket.
+    /// Ticket of the request.
     pub ticket: Ticket,
-    /// Its one answer.
+    /// The answer to the request.
     pub answer: Answer,
 }
 
-/// What identifies a proposal when it is applied.
+/// The key that identifies a proposal when it is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ProposalKey {
-    /// Opens a session, with this nonce.
+    /// Request to open a session, with this nonce.
     OpenSession(u64),
-    /// A command of an open session.
+    /// Command in an open session.
     InSession(SessionId, Sequence),
 }
 
@@ -64,29 +66,29 @@
 struct PendingProposal {
     proposal: Proposal,
     deadline: Ticks,
-    /// When it is given to the Raft library next.
+    /// Time at which it is next passed to the Raft library.
     next_attempt: Ticks,
-    /// Whether the library ever took it: from then on it may be decided.
+    /// Whether the library has ever accepted it, after which it may be decided.
     forwarded: bool,
 }
 
-/// A read index request whose answer is not known yet.
+/// A read index request that is not answered yet.
 #[derive(Debug)]
 struct ReadRound {
     context: Vec<u8>,
     tickets: BTreeSet<Ticket>,
-    /// When it is given up and another one is begun.
+    /// Time at which it is abandoned and another one may start.
     retry_at: Ticks,
 }
 
-/// Reads that may be answered once so much is applied.
+/// Reads that may be answered once the entry at `index` is applied.
 #[derive(Debug)]
 struct ConfirmedReads {
     index: u64,
     tickets: BTreeSet<Ticket>,
 }
 
-/// All requests that wait at one instance.
+/// The requests that wait for an answer at one instance.
 #[derive(Debug)]
 pub(crate) struct PendingRequests {
     max_pending: usize,
@@ -100,7 +102,8 @@
 }
 
 impl PendingRequests {
-    /// At the most `max_pending` requests, each given to the library again after `retry_ticks` without an answer.
+    /// Creates an empty set of at most `max_pending` requests. A request without an answer is passed to the
+    /// library again after `retry_ticks`.
     pub(crate) fn new(max_pending: usize, retry_ticks: u64) -> Self {
         Self {
             max_pending,
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Proposals and reads that wait.
+    /// Returns the number of waiting proposals and reads.
     pub(crate) fn len(&self) -> usize {
         self.proposals.len() + self.read_deadlines.len()
     }
@@ -123,12 +126,13 @@
         self.answers.push(TicketAnswer { ticket, answer });
     }
 
-    /// Answers since the last call, in the order in which they were given.
+    /// Returns the answers given since the last call, in order.
     pub(crate) fn take_answers(&mut self) -> Vec<TicketAnswer> {
         std::mem::take(&mut self.answers)
     }
 
-    /// Adds a proposal that is due at once, unless too many requests wait.
+    /// Adds a proposal, which is due immediately. If too many requests are waiting, it is answered with
+    /// [`Answer::Busy`] instead.
     pub(crate) fn add_proposal(&mut self, ticket: Ticket, proposal: Proposal, now: Ticks, deadline: Ticks) {
         if self.is_full() {
             self.answer(ticket, Answer::Busy);
@@ -139,7 +143,7 @@
         self.proposals.insert(ticket, pending);
     }
 
-    /// Adds a read, unless too many requests wait.
+    /// Adds a read. If too many requests are waiting, it is answered with [`Answer::Busy`] instead.
     pub(crate) fn add_read(&mut self, ticket: Ticket, deadline: Ticks) {
         if self.is_full() {
             self.answer(ticket, Answer::Busy);
@@ -152,8 +156,8 @@
         self.len() >= self.max_pending
     }
 
-    /// Proposals that are due to be given to the library, for the first time or again: the leader that they were
-    /// forwarded to may have lost them.
+    /// Returns the proposals to pass to the library now, for the first time or as a retry: the leader to
+    /// which they were forwarded may have lost them.
     pub(crate) fn due_proposals(&mut self, now: Ticks) -> Vec<(Ticket, Proposal)> {
         let next_attempt = Ticks(now.0 + self.retry_ticks);
         let mut due = Vec::new();
@@ -166,21 +170,21 @@
         due
     }
 
-    /// The library took the proposal: from here on it may be decided.
+    /// Records that the library has accepted a proposal, which may be decided from then on.
     pub(crate) fn mark_forwarded(&mut self, ticket: Ticket) {
         if let Some(pending) = self.proposals.get_mut(&ticket) {
             pending.forwarded = true;
         }
     }
 
-    /// The library did not take the proposal; it is due again at the next tick.
+    /// Schedules a proposal that the library has rejected for the next tick.
     pub(crate) fn retry_next_tick(&mut self, ticket: Ticket, now: Ticks) {
         if let Some(pending) = self.proposals.get_mut(&ticket) {
             pending.next_attempt = Ticks(now.0 + 1);
         }
     }
 
-    /// A proposal was applied: answers all who wait for it here.
+    /// Answers all requests that wait for a proposal, which has been applied.
     pub(crate) fn complete(&mut self, key: ProposalKey, reply: &Reply) {
         let tickets = self.tickets_by_key.get(&key).cloned().unwrap_or_default();
         for ticket in tickets {
@@ -201,9 +205,9 @@
         Some(pending)
     }
 
-    /// Begins a round that is to answer the reads which wait, if one is due, and returns its context. `context` must
-    /// never have been used before, not even by an earlier incarnation of this instance: an old answer would pass for
-    /// a new one.
+    /// Starts a round that confirms the waiting reads, if one is due, and returns its context. `context` must
+    /// return a value that was never used before, even by an earlier incarnation of this instance, or else an
+    /// old answer could be mistaken for a new one.
     pub(crate) fn begin_read_round(
         &mut self,
         now: Ticks,
@@ -227,14 +231,14 @@
         self.read_deadlines.keys().filter(|ticket| !is_confirmed(ticket)).copied().collect()
     }
 
-    /// The round's read index is known: its reads may be answered once that much is applied.
+    /// Records the read index of a round. Its reads may be answered once the entry at that index is applied.
     pub(crate) fn confirm_read_round(&mut self, context: &[u8], index: u64) {
         if let Some(round) = self.read_round.take_if(|round| round.context == context) {
             self.confirmed_reads.push(ConfirmedReads { index, tickets: round.tickets });
         }
     }
 
-    /// Answers the confirmed reads that need no more than the entries up to `applied`.
+    /// Answers the confirmed reads whose read index is at most `applied`.
     pub(crate) fn answer_reads_up_to(&mut self, applied: u64) {
         let confirmed = std::mem::take(&mut self.confirmed_reads);
         for reads in confirmed {
--- a/crates/consensus/src/pending_requests/tests.rs
+++ b/crates/consensus/src/pending_requests/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn each_caller_gets_one_answer_that_says_whether_its_proposal_may_yet_be_decided() {
+fn each_request_gets_one_answer_that_states_whether_its_proposal_may_still_be_decided() {
     let mut pending = PendingRequests::new(3, 10);
     pending.add_proposal(Ticket(1), proposal(1), Ticks(0), Ticks(50));
     pending.add_proposal(Ticket(2), proposal(2), Ticks(0), Ticks(50));
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn a_read_is_answered_by_a_round_that_began_after_it_and_once_enough_is_applied() {
+fn a_read_is_answered_once_a_round_started_after_it_is_confirmed_and_its_index_is_applied() {
     let mut pending = PendingRequests::new(9, 10);
     pending.add_read(Ticket(1), Ticks(100));
     let first = pending.begin_read_round(Ticks(0), || vec![1]).unwrap();
     pending.add_read(Ticket(2), Ticks(100));
-    assert_eq!(pending.begin_read_round(Ticks(1), || vec![2]), None, "one round at a time");
+    assert_eq!(pending.begin_read_round(Ticks(1), || vec![2]), None, "only one round runs at a time");
     pending.confirm_read_round(&[9], 1);
     pending.confirm_read_round(&first, 7);
     pending.answer_reads_up_to(6);
@@ -52,11 +52,11 @@
     assert_eq!(
         pending.begin_read_round(Ticks(12), || vec![3]),
         Some(vec![3]),
-        "a round without an answer begins anew"
+        "a new round replaces one that is not answered in time"
     );
     pending.confirm_read_round(&second, 7);
     pending.answer_reads_up_to(7);
-    assert!(pending.take_answers().is_empty(), "the old round's answer counts for nothing");
+    assert!(pending.take_answers().is_empty(), "the answer to a replaced round is ignored");
     pending.expire(Ticks(100));
     assert_eq!(pending.take_answers(), [TicketAnswer { ticket: Ticket(2), answer: Answer::ReadTimedOut }]);
 }
--- a/crates/consensus/src/proposal_queue.rs
+++ b/crates/consensus/src/proposal_queue.rs
@@ -1,5 +1,6 @@
-//! A proposer: one session, one command in flight at a time, each sent again under the same sequence number until it
-//! is answered, so that it counts once whichever instance it reaches and however often.
+//! A proposer with one session and one command in flight at a time. Each command is sent with the same
+//! sequence number until it is answered, so that it is applied once regardless of which instances receive it
+//! and how often.
 
 use std::collections::VecDeque;
 
@@ -10,25 +11,27 @@
 /// The sequence number of a session's first proposal.
 const FIRST_SEQUENCE: Sequence = Sequence(1);
 
-/// What to send now.
+/// The next request to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextProposal {
-    /// Ask for a session.
+    /// Request to open a session.
     OpenSession,
-    /// This proposal.
+    /// Proposal of a command.
     Propose(Proposal),
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// Applied once, with this reply.
+    /// Command applied once, with this reply.
     Applied(Reply),
-    /// The session was lost: the command may have been applied once or not at all, and won't be from here on.
+    /// Outcome unknown because the session has expired: the command was applied once or not at all, and will
+    /// not be applied from now on.
     Unknown,
-    /// Given up after too many attempts; it is not applied after any later command of this proposer.
+    /// Command abandoned after the maximum number of attempts. It may still be applied, but not after any
+    /// later command of this proposer.
     Abandoned,
-    /// Rejected without effect, and why.
+    /// Command rejected without effect, with the reason.
     Rejected(String),
 }
 
@@ -39,21 +42,22 @@
     attempts: u32,
 }
 
-/// A session and the commands that wait for it. `K` tells commands apart for the caller.
+/// A session and its queue of commands. The caller identifies each command by a key of type `K`.
 #[derive(Debug)]
 pub struct ProposalQueue<K> {
     session: Option<SessionId>,
     /// The sequence number of the first command in the queue.
     sequence: Sequence,
     queue: VecDeque<QueuedCommand<K>>,
-    /// Whether a session was asked for or the first command sent, and no answer has come.
+    /// Whether the request for a session or the first command has been sent and is not answered yet.
     in_flight: bool,
     max_queued: usize,
     max_attempts: u32,
 }
 
 impl<K> ProposalQueue<K> {
-    /// A proposer that holds `max_queued` commands and sends each at most `max_attempts` times.
+    /// Creates a proposer that queues at most `max_queued` commands and sends each at most `max_attempts`
+    /// times.
     pub fn new(max_queued: usize, max_attempts: u32) -> Self {
         Self {
             session: None,
@@ -65,10 +69,10 @@
         }
     }
 
-    /// One more command, unless too many wait.
+    /// Adds a command to the queue.
     ///
     /// # Errors
-    /// The key, if the queue is full.
+    /// Returns the key if the queue is full.
     pub fn submit(&mut self, key: K, command: Command) -> Result<(), K> {
         if self.queue.len() >= self.max_queued {
             return Err(key);
@@ -77,12 +81,13 @@
         Ok(())
     }
 
-    /// Commands that wait, the one in flight included.
+    /// Returns the number of queued commands, including the one in flight.
     pub fn pending(&self) -> usize {
         self.queue.len()
     }
 
-    /// What to send now, if anything; its answer goes to [`ProposalQueue::on_answer`].
+    /// Returns the next request to send, if there is one. Its answer must be passed to
+    /// [`ProposalQueue::on_answer`].
     pub fn next_proposal(&mut self) -> Option<NextProposal> {
         if self.in_flight {
             return None;
@@ -95,7 +100,8 @@
         Some(NextProposal::Propose(proposal))
     }
 
-    /// The answer to what was sent; what became of a command, if that is known now.
+    /// Handles the answer to the last request, and returns a command's key and outcome once the outcome is
+    /// known.
     pub fn on_answer(&mut self, answer: Answer) -> Option<(K, ProposalOutcome)> {
         if !self.in_flight {
             return None;
@@ -108,23 +114,25 @@
                 None
             }
             Answer::Applied(Reply::SessionExpired) => {
-                // Unknown even if it was sent once: its instance forwards a proposal again when the leader changes,
-                // and an earlier copy may have been applied before the session's end.
+                // The outcome is unknown even if the proposal was sent only once: its instance forwards it
+                // again when the leader changes, and an earlier copy may have been applied before the session
+                // expired.
                 self.session = None;
                 self.finish_first(ProposalOutcome::Unknown)
             }
             Answer::Applied(reply) => self.finish_first(ProposalOutcome::Applied(reply)),
-            Answer::Rejected(why) => self.finish_first(ProposalOutcome::Rejected(why)),
-            _ if self.attempts_are_spent() => self.finish_first(ProposalOutcome::Abandoned),
+            Answer::Rejected(reason) => self.finish_first(ProposalOutcome::Rejected(reason)),
+            _ if self.attempts_exhausted() => self.finish_first(ProposalOutcome::Abandoned),
             _ => None,
         }
     }
 
-    fn attempts_are_spent(&self) -> bool {
+    fn attempts_exhausted(&self) -> bool {
         self.queue.front().is_some_and(|first| first.attempts >= self.max_attempts)
     }
 
-    /// Ends the first command. The next one's higher sequence number keeps late copies of it from being applied.
+    /// Removes the first command. The higher sequence number of the next one prevents late copies of it from
+    /// being applied.
     fn finish_first(&mut self, outcome: ProposalOutcome) -> Option<(K, ProposalOutcome)> {
         self.sequence.0 += 1;
         let finished = self.queue.pop_front()?;
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -1,5 +1,5 @@
-//! The log in memory, as the Raft library reads it: what the store holds, and some entries before it that the
-//! snapshot covers already. They are retained so that a follower a little behind needs no snapshot.
+//! The in-memory log that the Raft library reads. It consists of the store's contents and some earlier
+//! entries that the snapshot already covers, retained so that a follower slightly behind needs no snapshot.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -13,12 +13,14 @@
 use crate::ids::Index;
 use crate::raft_node::RaftNodeError;
 
-/// The store's numbers of the kinds of entries.
+/// Entry kind in the store: a normal entry.
 const KIND_NORMAL: u8 = 0;
+/// Entry kind in the store: a configuration change.
 const KIND_CONF_CHANGE: u8 = 1;
+/// Entry kind in the store: a configuration change of several members at once.
 const KIND_CONF_CHANGE_V2: u8 = 2;
 
-/// An entry in the store's form.
+/// Converts an entry to its stored form.
 pub(crate) fn to_record(entry: &Entry) -> store::Record {
     store::Record {
         index: entry.index,
@@ -47,8 +49,8 @@
     Ok(entry)
 }
 
-/// A snapshot in the store's form.
-pub(crate) fn to_stored(snapshot: &Snapshot) -> store::Snapshot {
+/// Converts a snapshot to its stored form.
+pub(crate) fn to_stored_snapshot(snapshot: &Snapshot) -> store::Snapshot {
     let metadata = snapshot.get_metadata();
     store::Snapshot {
         index: metadata.index,
@@ -58,7 +60,7 @@
     }
 }
 
-fn from_stored(stored: store::Snapshot) -> Result<Snapshot, RaftNodeError> {
+fn from_stored_snapshot(stored: store::Snapshot) -> Result<Snapshot, RaftNodeError> {
     let index = Index(stored.index);
     let mut conf_state = ConfState::default();
     conf_state
@@ -76,7 +78,7 @@
     snapshot
 }
 
-/// What tells one entry from every other.
+/// The identity of an entry.
 #[derive(Debug, Clone, Copy, Default)]
 struct EntryId {
     index: u64,
@@ -85,11 +87,11 @@
 
 #[derive(Debug, Default)]
 struct LogState {
-    hard: HardState,
+    hard_state: HardState,
     snapshot: Snapshot,
-    /// Entries after `before_first`, without a gap.
+    /// Consecutive entries that follow `before_first`.
     entries: VecDeque<Entry>,
-    /// The entry before the first one in memory.
+    /// Identity of the entry before the first one in memory.
     before_first: EntryId,
 }
 
@@ -117,18 +119,18 @@
     }
 }
 
-/// The log in memory. Clones are the same log: the library owns one, the node the other.
+/// The in-memory log. Clones share the same contents: the library owns one clone, the node the other.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RaftLog(Rc<RefCell<LogState>>);
 
 impl RaftLog {
-    /// The log that the store holds.
+    /// Restores the log from the contents of the store.
     ///
     /// # Errors
     /// An entry is of an unknown kind, or the snapshot's members can't be decoded.
     pub(crate) fn restore(loaded: store::Loaded) -> Result<Self, RaftNodeError> {
         let mut state = LogState {
-            hard: HardState {
+            hard_state: HardState {
                 term: loaded.hard_state.term,
                 vote: loaded.hard_state.vote,
                 commit: loaded.hard_state.commit,
@@ -138,66 +140,67 @@
         };
         if let Some(stored) = loaded.snapshot {
             state.before_first = EntryId { index: stored.index, term: stored.term };
-            state.snapshot = from_stored(stored)?;
+            state.snapshot = from_stored_snapshot(stored)?;
         }
-        // The commit index is written with the entries that it covers; the snapshot alone may be further on.
-        state.hard.commit = state.hard.commit.max(state.before_first.index);
+        // The commit index is written together with the entries that it covers, but a snapshot may be newer.
+        state.hard_state.commit = state.hard_state.commit.max(state.before_first.index);
         state.entries = loaded.entries.into_iter().map(to_entry).collect::<Result<_, _>>()?;
         Ok(Self(Rc::new(RefCell::new(state))))
     }
 
-    /// Voters and learners as of the snapshot.
+    /// Returns the voters and learners as of the snapshot.
     pub(crate) fn conf_state(&self) -> ConfState {
         self.0.borrow().snapshot.get_metadata().get_conf_state().clone()
     }
 
-    /// Index of the snapshot; 0 if there is none.
+    /// Returns the index of the snapshot; 0 if there is none.
     pub(crate) fn snapshot_index(&self) -> u64 {
         self.0.borrow().snapshot.get_metadata().index
     }
 
-    /// Index and bytes of the snapshot.
+    /// Returns the index and the data of the snapshot.
     pub(crate) fn snapshot_data(&self) -> (u64, Vec<u8>) {
         let state = self.0.borrow();
         (state.snapshot.get_metadata().index, state.snapshot.data.to_vec())
     }
 
-    /// Entries in memory.
+    /// Returns the number of entries in memory.
     pub(crate) fn len(&self) -> usize {
         self.0.borrow().entries.len()
     }
 
-    /// The last entry's index.
+    /// Returns the index of the last entry.
     pub(crate) fn last_index(&self) -> u64 {
         self.0.borrow().last_index()
     }
 
-    pub(crate) fn set_hard_state(&self, hard: HardState) {
-        self.0.borrow_mut().hard = hard;
+    pub(crate) fn set_hard_state(&self, hard_state: HardState) {
+        self.0.borrow_mut().hard_state = hard_state;
     }
 
-    /// Replaces everything by a snapshot from the leader.
+    /// Replaces the entire log by a snapshot from the leader.
     pub(crate) fn install(&self, snapshot: Snapshot) {
         let mut state = self.0.borrow_mut();
         let last = EntryId { index: snapshot.get_metadata().index, term: snapshot.get_metadata().term };
         state.entries.clear();
         state.before_first = last;
-        state.hard.commit = state.hard.commit.max(last.index);
-        state.hard.term = state.hard.term.max(last.term);
+        state.hard_state.commit = state.hard_state.commit.max(last.index);
+        state.hard_state.term = state.hard_state.term.max(last.term);
         state.snapshot = snapshot;
     }
 
-    /// Appends entries; they replace whatever the log has from the first one's index on.
+    /// Appends entries, which replace all entries in the log from the index of the first one on.
     pub(crate) fn append(&self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let mut state = self.0.borrow_mut();
-        let kept = first.index.saturating_sub(state.first_index()) as usize;
-        state.entries.truncate(kept);
+        let retained_count = first.index.saturating_sub(state.first_index()) as usize;
+        state.entries.truncate(retained_count);
         state.entries.extend(entries.iter().cloned());
     }
 
-    /// Compacts the log into a snapshot of this instance's state at `index`; `retained` entries before it stay for
-    /// followers that are behind. None if the log has no entry at `index`.
+    /// Compacts the log into a snapshot of this instance's state at `index`. The last `retained` entries up
+    /// to `index` stay in memory for followers that are behind. Returns `None` if the log contains no entry
+    /// at `index`.
     pub(crate) fn compact(
         &self,
         index: u64,
@@ -209,12 +212,12 @@
         let term = state.term(index).ok()?;
         let snapshot = new_snapshot(EntryId { index, term }, conf_state, data);
         state.snapshot = snapshot.clone();
-        let last_dropped = index.saturating_sub(retained);
-        if last_dropped > state.before_first.index {
-            let term = state.term(last_dropped).ok()?;
-            let dropped = (last_dropped - state.before_first.index) as usize;
-            state.entries.drain(..dropped);
-            state.before_first = EntryId { index: last_dropped, term };
+        let last_removed = index.saturating_sub(retained);
+        if last_removed > state.before_first.index {
+            let term = state.term(last_removed).ok()?;
+            let removed_count = (last_removed - state.before_first.index) as usize;
+            state.entries.drain(..removed_count);
+            state.before_first = EntryId { index: last_removed, term };
         }
         Some(snapshot)
     }
@@ -224,7 +227,7 @@
     fn initial_state(&self) -> raft::Result<RaftState> {
         let state = self.0.borrow();
         let conf_state = state.snapshot.get_metadata().get_conf_state().clone();
-        Ok(RaftState::new(state.hard.clone(), conf_state))
+        Ok(RaftState::new(state.hard_state.clone(), conf_state))
     }
 
     fn entries(
@@ -243,17 +246,17 @@
         }
         let range = (low - state.first_index()) as usize..(high - state.first_index()) as usize;
         let max_bytes = max_size.into().unwrap_or(u64::MAX);
-        let mut found = Vec::new();
-        let mut found_bytes = 0;
+        let mut selected = Vec::new();
+        let mut selected_bytes = 0;
         for entry in state.entries.range(range) {
-            found_bytes += u64::from(entry.compute_size());
-            // The first entry goes whatever its size, or a large one would never be sent.
-            if found_bytes > max_bytes && !found.is_empty() {
+            selected_bytes += u64::from(entry.compute_size());
+            // The first entry is returned regardless of its size, or a large one would never be sent.
+            if selected_bytes > max_bytes && !selected.is_empty() {
                 break;
             }
-            found.push(entry.clone());
+            selected.push(entry.clone());
         }
-        Ok(found)
+        Ok(selected)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
--- a/crates/consensus/src/raft_node/apply.rs
+++ b/crates/consensus/src/raft_node/apply.rs
@@ -1,4 +1,4 @@
-//! Applying committed entries to the replicated state.
+//! Application of committed entries to the replicated state.
 
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, Entry, EntryType};
@@ -12,14 +12,14 @@
 /// An entry that was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AppliedEntry {
-    /// Its index.
+    /// Index of the entry.
     pub index: Index,
-    /// The term of the leader that proposed it.
+    /// Term of the leader that proposed the entry.
     pub term: Term,
 }
 
 impl RaftNode {
-    /// Entries applied since the last call, in order.
+    /// Returns the entries applied since the last call, in order.
     pub fn take_applied(&mut self) -> Vec<AppliedEntry> {
         std::mem::take(&mut self.applied_entries)
     }
@@ -29,7 +29,7 @@
             let index = Index(entry.index);
             self.applied_entries.push(AppliedEntry { index, term: Term(entry.term) });
             match entry.get_entry_type() {
-                // A leader's first entry in its term carries no proposal.
+                // The first entry of a leader in its term contains no proposal.
                 EntryType::EntryNormal if entry.data.is_empty() => self.state.skip(index),
                 EntryType::EntryNormal => self.apply_proposal(index, &entry)?,
                 EntryType::EntryConfChange => self.apply_conf_change(index, &entry)?,
@@ -56,7 +56,7 @@
             .map_err(|source| RaftNodeError::UnreadableConfChange { index, source })?;
         self.conf_state = self.raw.apply_conf_change(&change)?;
         self.state.skip(index);
-        // The promotion of a learner changes no member.
+        // The promotion of a learner has no context and does not change the member list.
         if change.context.is_empty() {
             return Ok(());
         }
@@ -65,7 +65,7 @@
         match context.change {
             MembershipChange::Add(member) => {
                 self.state.add_member(index, member);
-                // A new member takes no snapshot that does not name it, and all there is yet are older ones.
+                // A new member rejects any snapshot that does not list it, and all existing ones predate it.
                 self.compact_now();
             }
             MembershipChange::Remove(id) => self.state.remove_member(index, id),
--- a/crates/consensus/src/raft_node/error.rs
+++ b/crates/consensus/src/raft_node/error.rs
@@ -1,76 +1,74 @@
-//! Why an instance can't take part.
+//! Errors after which a Raft node can't continue.
 
 use crate::ids::Index;
 
-/// Why an instance can't take part. None of these passes by itself: the instance must stop.
+/// An error after which an instance can't continue. None of them is transient: the instance must stop.
 #[derive(Debug, thiserror::Error)]
 pub enum RaftNodeError {
-    /// The store has lost entries that this instance once knew to be committed.
-    #[error(
-        "the store has lost committed entries: those up to {committed} are committed, those up to {last} are held"
-    )]
+    /// Loss of entries from the store that this instance knew to be committed.
+    #[error("the store has lost committed entries: got those up to {last}, expected those up to {committed}")]
     CommittedEntriesLost {
-        /// The last index that was committed.
+        /// Index of the last entry known to be committed.
         committed: Index,
-        /// The last index that the store holds.
+        /// Index of the last entry in the store.
         last: Index,
     },
-    /// The store holds an entry of a kind that this version doesn't know.
-    #[error("the store holds entry {index} of kind {kind}: 0, 1 and 2 are known")]
+    /// Entry in the store of a kind that this version does not know.
+    #[error("unknown kind {kind} of entry {index} in the store: must be 0, 1 or 2")]
     UnknownEntryKind {
-        /// The entry's index.
+        /// Index of the entry.
         index: Index,
-        /// Its kind.
+        /// Kind of the entry.
         kind: u8,
     },
-    /// The voters and learners beside a stored snapshot can't be decoded.
-    #[error("the members of the snapshot at {index} can't be decoded: {source}")]
+    /// Undecodable voters and learners of a stored snapshot.
+    #[error("can't decode the members of the snapshot at index {index}: {source}")]
     UnreadableMembers {
-        /// The snapshot's index.
+        /// Index of the snapshot.
         index: Index,
-        /// Why not.
+        /// Cause of the failure.
         source: protobuf::ProtobufError,
     },
-    /// The state in a snapshot can't be decoded.
-    #[error("the state in the snapshot at {index} can't be decoded: {source}")]
+    /// Undecodable replicated state in a snapshot.
+    #[error("can't decode the state in the snapshot at index {index}: {source}")]
     UnreadableSnapshot {
-        /// The snapshot's index.
+        /// Index of the snapshot.
         index: Index,
-        /// Why not.
+        /// Cause of the failure.
         source: postcard::Error,
     },
-    /// A committed proposal can't be decoded. Every instance must skip the same entries: one that can't be decoded
-    /// here may be of a later version, and going on without it would lead to another history.
-    #[error("the proposal in entry {index} can't be decoded: {source}")]
+    /// Undecodable committed proposal. It may come from a later version, and instances that can decode it
+    /// apply it: an instance that skipped it would diverge from them.
+    #[error("can't decode the proposal in entry {index}: {source}")]
     UnreadableProposal {
-        /// The entry's index.
+        /// Index of the entry.
         index: Index,
-        /// Why not.
+        /// Cause of the failure.
         source: postcard::Error,
     },
-    /// A committed configuration change can't be decoded.
-    #[error("the configuration change in entry {index} can't be decoded: {source}")]
+    /// Undecodable committed configuration change.
+    #[error("can't decode the configuration change in entry {index}: {source}")]
     UnreadableConfChange {
-        /// The entry's index.
+        /// Index of the entry.
         index: Index,
-        /// Why not.
+        /// Cause of the failure.
         source: protobuf::ProtobufError,
     },
-    /// What an operator asked for, beside a committed configuration change, can't be decoded.
-    #[error("the member in the configuration change in entry {index} can't be decoded: {source}")]
+    /// Undecodable membership change requested by an operator, stored with a committed configuration change.
+    #[error("can't decode the membership change in entry {index}: {source}")]
     UnreadableMembershipChange {
-        /// The entry's index.
+        /// Index of the entry.
         index: Index,
-        /// Why not.
+        /// Cause of the failure.
         source: postcard::Error,
     },
-    /// A committed entry changes several members at once, which no instance ever proposes.
-    #[error("entry {index} changes several members at once: only one at a time is supported")]
+    /// Committed entry that changes several members at once, which no instance proposes.
+    #[error("entry {index} changes several members at once: only one member at a time may change")]
     JointConfChange {
-        /// The entry's index.
+        /// Index of the entry.
         index: Index,
     },
-    /// The Raft library reports a fault.
+    /// Error reported by the Raft library.
     #[error("{0}")]
     Library(#[from] raft::Error),
 }
--- a/crates/consensus/src/raft_node/membership_changes.rs
+++ b/crates/consensus/src/raft_node/membership_changes.rs
@@ -1,4 +1,4 @@
-//! Configuration changes and transfers of leadership, at the leader.
+//! Membership changes and leadership transfers, which only the leader performs.
 
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
@@ -9,20 +9,22 @@
 use crate::pending_requests::Answer;
 use crate::replicated_state::Member;
 
-/// Entries that a learner may lack and still become a voter: the leader goes on appending while the last ones are on
-/// their way, so a learner that must hold all of them might never be promoted.
-const PROMOTION_SLACK_ENTRIES: u64 = 16;
+/// Maximum number of entries that a learner may lack when it is promoted to a voter. The leader keeps
+/// appending entries while earlier ones are in transit, so a learner required to have all of them might never
+/// be promoted.
+const MAX_PROMOTION_LAG_ENTRIES: u64 = 16;
 
 impl RaftNode {
-    /// Asks for a change of membership, which only the leader makes. The answer comes within `within` ticks.
-    pub fn change_membership(&mut self, ticket: Ticket, change: MembershipChange, within: u64) {
+    /// Requests a membership change, which only the leader performs. The answer follows within `timeout`
+    /// ticks.
+    pub fn change_membership(&mut self, ticket: Ticket, change: MembershipChange, timeout: u64) {
         if !self.is_leader() {
             self.pending.answer(ticket, Answer::NotLeader(self.leader()));
             return;
         }
         if self.membership_request.is_some() || self.raw.raft.has_pending_conf() {
-            let why = "another change is under way: one at a time".to_owned();
-            self.pending.answer(ticket, Answer::Rejected(why));
+            let reason = "another change is under way: one at a time".to_owned();
+            self.pending.answer(ticket, Answer::Rejected(reason));
             return;
         }
         let members: Vec<Member> = self.state.members().cloned().collect();
@@ -43,27 +45,28 @@
         let context = ChangeContext { origin, change };
         match self.propose_conf_change(kind, id, Some(&context)) {
             Ok(()) => {
-                let deadline = self.deadline(within);
+                let deadline = self.deadline(timeout);
                 self.membership_request = Some(PendingMembershipChange { ticket, deadline });
             }
             Err(error) => self.pending.answer(ticket, Answer::Rejected(error.to_string())),
         }
     }
 
-    /// Transfers leadership to another voter. The answer says that the transfer was begun, not that it is done.
-    pub fn transfer(&mut self, ticket: Ticket, to: InstanceId) {
+    /// Transfers leadership to another voter. The answer confirms that the transfer has started, not that it
+    /// is complete.
+    pub fn transfer(&mut self, ticket: Ticket, transferee: InstanceId) {
         let answer = if !self.is_leader() {
             Answer::NotLeader(self.leader())
-        } else if !self.is_voter(to) {
-            Answer::Rejected(format!("{:016x} does not vote", to.0))
+        } else if !self.is_voter(transferee) {
+            Answer::Rejected(format!("{:016x} does not vote", transferee.0))
         } else {
-            self.raw.transfer_leader(to.0);
+            self.raw.transfer_leader(transferee.0);
             Answer::MembershipChanged
         };
         self.pending.answer(ticket, answer);
     }
 
-    /// Makes a learner that has caught up a voter.
+    /// Promotes a learner that has caught up, so that it becomes a voter. Runs once per heartbeat interval.
     pub(super) fn promote_learner(&mut self) {
         let due = self.now.0.is_multiple_of(self.settings.heartbeat_ticks as u64);
         if !due || self.conf_state.learners.is_empty() || !self.is_leader() {
@@ -73,14 +76,14 @@
             return;
         }
         let peers = self.peer_progress();
-        let ready = membership::caught_up_learner(&peers, self.log.last_index(), PROMOTION_SLACK_ENTRIES);
+        let ready = membership::caught_up_learner(&peers, self.log.last_index(), MAX_PROMOTION_LAG_ENTRIES);
         if let Some(id) = ready {
-            // If the library doesn't take it now, it is proposed again at the next heartbeat.
+            // If the library rejects the proposal now, it is made again at the next heartbeat.
             let _ = self.propose_conf_change(ConfChangeType::AddNode, id, None);
         }
     }
 
-    /// Ends a request whose deadline has passed. The change may still be committed later.
+    /// Answers the pending request if its deadline has passed. The change may still be committed later.
     pub(super) fn expire_membership_request(&mut self) {
         let Some(request) = &self.membership_request else { return };
         if self.now < request.deadline {
@@ -91,7 +94,7 @@
         self.pending.answer(ticket, Answer::Indeterminate);
     }
 
-    /// Answers the request that waits here, if it is the one that a committed change comes from.
+    /// Answers the pending request if a committed change originates from it.
     pub(super) fn complete_membership_request(&mut self, origin: ChangeOrigin) {
         if (origin.instance, origin.incarnation) != (self.id, self.incarnation) {
             return;
--- a/crates/consensus/src/raft_node/proposals.rs
+++ b/crates/consensus/src/raft_node/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals and linearizable reads of this instance's callers.
+//! Proposals and linearizable reads from this instance's callers.
 
 use super::codec::encode;
 use super::random::split_mix_64;
@@ -7,52 +7,53 @@
 use crate::pending_requests::{Answer, TicketAnswer};
 use crate::replicated_state::{Command, Proposal};
 
-/// Bits that the incarnation is shifted by in a nonce: an incarnation may make 2^40 of them before two collide.
+/// Number of low bits of a nonce that contain the counter. An incarnation can generate 2^40 nonces before
+/// they may collide with those of another.
 const NONCE_COUNTER_BITS: u32 = 40;
 
 impl RaftNode {
-    /// A number that no other command of this cluster has, for [`Command::OpenSession`].
+    /// Generates the nonce of a [`Command::OpenSession`], which no other command in the cluster uses.
     pub fn nonce(&mut self) -> u64 {
         self.counter += 1;
         split_mix_64(self.id.0) ^ split_mix_64(self.incarnation << NONCE_COUNTER_BITS | self.counter)
     }
 
-    /// Proposes; the answer comes within `within` ticks.
-    pub fn propose(&mut self, ticket: Ticket, proposal: Proposal, within: u64) {
+    /// Proposes a command. The answer follows within `timeout` ticks.
+    pub fn propose(&mut self, ticket: Ticket, proposal: Proposal, timeout: u64) {
         if self.headroom == StorageHeadroom::Low {
             self.pending.answer(ticket, Answer::StoreFull);
             return;
         }
-        let deadline = self.deadline(within);
+        let deadline = self.deadline(timeout);
         self.pending.add_proposal(ticket, proposal, self.now, deadline);
         self.forward_pending();
     }
 
-    /// Opens a session for a proposer; the answer comes within `within` ticks.
-    pub fn open_session(&mut self, ticket: Ticket, within: u64) {
+    /// Opens a session for a proposer. The answer follows within `timeout` ticks.
+    pub fn open_session(&mut self, ticket: Ticket, timeout: u64) {
         let command = Command::OpenSession { nonce: self.nonce() };
         let proposal = Proposal { session: SessionId(0), sequence: Sequence(0), command };
-        self.propose(ticket, proposal, within);
+        self.propose(ticket, proposal, timeout);
     }
 
-    /// Asks for a moment at which the replicated state here holds everything that was decided before this call. The
-    /// answer comes within `within` ticks.
-    pub fn read(&mut self, ticket: Ticket, within: u64) {
-        self.pending.add_read(ticket, self.deadline(within));
+    /// Requests a linearizable read: once it is answered, this instance's replicated state contains
+    /// everything that was decided before this call. The answer follows within `timeout` ticks.
+    pub fn read(&mut self, ticket: Ticket, timeout: u64) {
+        self.pending.add_read(ticket, self.deadline(timeout));
         self.forward_pending();
     }
 
-    /// Answers since the last call, one for each ticket.
+    /// Returns the answers given since the last call, one for each ticket.
     pub fn take_answers(&mut self) -> Vec<TicketAnswer> {
         self.pending.take_answers()
     }
 
-    /// The tick by which a request that comes now is answered: the next one at the earliest.
-    pub(super) fn deadline(&self, within: u64) -> Ticks {
-        Ticks(self.now.0 + within.max(1))
+    /// Returns the deadline of a request that arrives now, at the earliest the next tick.
+    pub(super) fn deadline(&self, timeout: u64) -> Ticks {
+        Ticks(self.now.0 + timeout.max(1))
     }
 
-    /// Gives the Raft library the proposals and reads that are due, for the first time or again.
+    /// Forwards the proposals and reads that are due to the Raft library, for the first time or as a retry.
     pub(super) fn forward_pending(&mut self) {
         for (ticket, proposal) in self.pending.due_proposals(self.now) {
             match self.raw.propose(Vec::new(), encode(&proposal)) {
@@ -75,8 +76,8 @@
     }
 }
 
-/// What tells one round of reads from every other. The incarnation is part of it: an answer to a read of an earlier
-/// incarnation must not pass for one of this incarnation's.
+/// Returns the unique context of a read round. It contains the incarnation, so that an answer to a round of
+/// an earlier incarnation is not mistaken for an answer to one of this incarnation.
 fn read_context(id: InstanceId, incarnation: u64, counter: u64) -> Vec<u8> {
     [id.0, incarnation, counter].iter().flat_map(|number| number.to_le_bytes()).collect()
 }
--- a/crates/consensus/src/raft_node/ready.rs
+++ b/crates/consensus/src/raft_node/ready.rs
@@ -1,4 +1,4 @@
-//! What is to be written and sent, and what follows once a write is durable.
+//! Pending writes and messages, and the steps that follow once a write is durable.
 
 use garnetcrank_store as store;
 use raft::eraftpb::{HardState, Message, Snapshot};
@@ -6,33 +6,34 @@
 use super::{RaftNode, RaftNodeError};
 use crate::raft_log;
 
-/// What is to be done now: write `batch` durably, send `messages` at any time, then call
-/// [`RaftNode::on_persisted`].
+/// Work for the caller, which makes `batch` durable and then calls [`RaftNode::on_persisted`]. It may send
+/// `messages` at any time.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// To be durable before [`RaftNode::on_persisted`] is called; may be empty.
+    /// Batch that must be durable before [`RaftNode::on_persisted`] is called; it may be empty.
     pub batch: store::Batch,
-    /// Messages that need not wait for the write.
+    /// Messages that do not depend on the write.
     pub messages: Vec<Message>,
 }
 
-/// A write that was given out and is not durable yet.
+/// A write that the caller has received and that is not durable yet.
 #[derive(Default)]
 pub(super) struct PendingWrite {
-    /// The library's number of the ready that it belongs to; 0 if it comes from no ready.
+    /// Number of the Raft library's `Ready` that the write belongs to; 0 if there is none.
     number: u64,
-    /// A snapshot of the leader's that replaces the log with this write.
+    /// Snapshot from the leader that replaces the log with this write.
     pub(super) installed_snapshot: Option<Snapshot>,
-    /// Messages that promise what the write makes durable: votes, and that entries are held.
+    /// Messages that depend on the write: votes and acknowledgements of entries.
     messages_after: Vec<Message>,
 }
 
 impl RaftNode {
-    /// What is to be written and sent now, if anything. There is no more until [`RaftNode::on_persisted`] is called;
-    /// messages and ticks may come in between, so a slow device does not keep a leader from sending heartbeats.
+    /// Returns the next writes and messages, if there are any. Returns `None` until
+    /// [`RaftNode::on_persisted`] is called for the previous ones. Messages and ticks are accepted in
+    /// between, so that a slow disk does not block a leader's heartbeats.
     ///
     /// # Errors
-    /// What was committed can't be decoded or applied: this instance can't go on.
+    /// A committed entry can't be decoded or applied, and this instance can't continue.
     pub fn ready(&mut self) -> Result<Option<Ready>, RaftNodeError> {
         if self.pending_write.is_some() {
             return Ok(None);
@@ -46,21 +47,21 @@
         output.batch.snapshot = self.unsaved_snapshot.take();
         let mut write = PendingWrite { number: ready.number(), ..PendingWrite::default() };
         if !ready.snapshot().is_empty() {
-            output.batch.snapshot = Some(raft_log::to_stored(ready.snapshot()));
+            output.batch.snapshot = Some(raft_log::to_stored_snapshot(ready.snapshot()));
             write.installed_snapshot = Some(ready.snapshot().clone());
             self.log.install(ready.snapshot().clone());
         }
         output.batch.entries = ready.entries().iter().map(raft_log::to_record).collect();
         self.log.append(ready.entries());
-        if let Some(hard) = ready.hs() {
-            output.batch.hard_state = Some(to_stored_hard_state(hard));
-            self.log.set_hard_state(hard.clone());
+        if let Some(hard_state) = ready.hs() {
+            output.batch.hard_state = Some(to_stored_hard_state(hard_state));
+            self.log.set_hard_state(hard_state.clone());
         }
         for read in ready.take_read_states() {
             self.pending.confirm_read_round(&read.request_ctx, read.index);
         }
         write.messages_after = ready.take_persisted_messages();
-        // All of these are durable here already: the library gives no others.
+        // The library returns only committed entries that are already durable on this instance.
         let committed = ready.take_committed_entries();
         self.raw.advance_append_async(ready);
         self.apply_entries(committed)?;
@@ -68,7 +69,7 @@
         Ok(Some(output))
     }
 
-    /// What is left to write and send when the library has nothing new.
+    /// Returns the remaining writes and messages when the library has nothing new.
     fn ready_without_library(&mut self) -> Option<Ready> {
         let messages = std::mem::take(&mut self.outbound);
         let batch = store::Batch { snapshot: self.unsaved_snapshot.take(), ..store::Batch::default() };
@@ -79,10 +80,10 @@
         Some(Ready { batch, messages })
     }
 
-    /// The batch of the last [`Ready`] is durable.
+    /// Handles the completion of the last [`Ready`], whose batch is now durable.
     ///
     /// # Errors
-    /// A snapshot of the leader's can't be decoded: this instance can't go on.
+    /// A snapshot from the leader can't be decoded, and this instance can't continue.
     pub fn on_persisted(&mut self) -> Result<(), RaftNodeError> {
         let Some(write) = self.pending_write.take() else { return Ok(()) };
         if write.number > 0 {
@@ -92,12 +93,12 @@
             self.restore_snapshot(snapshot)?;
         }
         self.outbound.extend(write.messages_after);
-        self.seed_election_timeout();
+        self.set_seeded_election_timeout();
         self.compact_if_due();
         Ok(())
     }
 }
 
-fn to_stored_hard_state(hard: &HardState) -> store::HardState {
-    store::HardState { term: hard.term, vote: hard.vote, commit: hard.commit }
+fn to_stored_hard_state(hard_state: &HardState) -> store::HardState {
+    store::HardState { term: hard_state.term, vote: hard_state.vote, commit: hard_state.commit }
 }
--- a/crates/consensus/src/raft_node/settings.rs
+++ b/crates/consensus/src/raft_node/settings.rs
@@ -1,27 +1,28 @@
-//! How an instance behaves.
+//! Settings of a Raft node.
 
-/// How an instance behaves. All instances of a cluster should have the same settings, the seed excepted.
+/// The settings of a Raft node. All instances of a cluster should use the same settings except for the seed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RaftSettings {
-    /// Ticks without a leader after which an instance starts an election. The actual timeout is drawn between this
-    /// and twice as many, so that not all instances start one at once.
+    /// Minimum ticks without a leader after which an instance starts an election. The actual timeout lies
+    /// between this and twice this number, so that instances do not all start elections at once.
     pub election_ticks: usize,
-    /// Ticks between two heartbeats of a leader.
+    /// Ticks between heartbeats of a leader.
     pub heartbeat_ticks: usize,
-    /// Ticks after which a proposal or a read without an answer is given to the Raft library again: the leader that
-    /// it was forwarded to may have lost it.
+    /// Ticks after which an unanswered proposal or read is passed to the Raft library again, because the
+    /// leader to which it was forwarded may have lost it.
     pub retry_ticks: u64,
-    /// Greatest number of proposals and reads that wait for an answer at this instance.
+    /// Maximum number of proposals and reads that wait for an answer at this instance.
     pub max_pending_requests: usize,
-    /// Entries applied before the log is compacted into a snapshot.
+    /// Number of applied entries after which the log is compacted into a snapshot.
     pub compact_every: u64,
-    /// Entries kept in memory behind a snapshot, so that a follower a little behind needs no snapshot.
+    /// Number of entries before a snapshot's index that are retained in memory, so that a follower slightly
+    /// behind needs no snapshot.
     pub retained_entries: u64,
-    /// Greatest number of bytes of entries in one message. A single entry is sent whatever its size.
+    /// Maximum size of the entries in one message, in bytes. A single entry is sent regardless of its size.
     pub max_message_bytes: u64,
-    /// Greatest number of bytes of entries that a leader has proposed and that are not committed yet.
+    /// Maximum size of the entries that a leader has proposed but that are not committed yet, in bytes.
     pub max_uncommitted_bytes: u64,
-    /// Seed of the election timeouts; a different one at each instance.
+    /// Seed of the election timeouts, different for each instance.
     pub seed: u64,
 }
 
--- a/crates/consensus/src/raft_node/status.rs
+++ b/crates/consensus/src/raft_node/status.rs
@@ -1,4 +1,4 @@
-//! What an instance is at the moment, for operators and for callers that want to reach the leader.
+//! Current role and status of an instance, for operators and for callers that need to reach the leader.
 
 use raft::StateRole;
 use serde::Serialize;
@@ -7,17 +7,17 @@
 use crate::ids::{Index, InstanceId, Term};
 use crate::membership::PeerProgress;
 
-/// What an instance is at the moment.
+/// The current Raft role of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeRole {
-    /// Follows a leader, or waits for one.
+    /// Follower of a leader, or instance that waits for one.
     Follower,
-    /// Asks whether it would win an election.
+    /// Instance that asks whether it could win an election.
     PreCandidate,
-    /// Has started an election.
+    /// Instance that has started an election.
     Candidate,
-    /// Leads.
+    /// Leader of its term.
     Leader,
 }
 
@@ -32,29 +32,29 @@
     }
 }
 
-/// Figures for operators.
+/// The status of an instance, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct NodeStatus {
-    /// This instance.
+    /// Id of this instance.
     pub id: InstanceId,
-    /// What it is.
+    /// Current Raft role.
     #[serde(rename = "standing")]
     pub role: NodeRole,
-    /// The leader, as far as this instance knows.
+    /// The leader, if this instance knows of one.
     pub leader: Option<InstanceId>,
     /// The current term.
     pub term: Term,
-    /// The last index known to be committed.
+    /// Index of the last entry known to be committed.
     pub committed: Index,
-    /// The last index applied here.
+    /// Index of the last entry applied by this instance.
     pub applied: Index,
-    /// The last index in the log here.
+    /// Index of the last entry in this instance's log.
     #[serde(rename = "last")]
     pub last_index: Index,
-    /// Entries in memory.
+    /// Number of entries in memory.
     #[serde(rename = "held")]
     pub log_entries: usize,
-    /// Proposals and reads that wait for an answer here.
+    /// Number of proposals and reads that wait for an answer at this instance.
     #[serde(rename = "waiting")]
     pub pending_requests: usize,
     /// Whether the store is nearly full.
@@ -63,12 +63,13 @@
 }
 
 impl RaftNode {
-    /// Whether this instance believes that it leads. For speed and for display: nothing is safe because of it.
+    /// Returns whether this instance considers itself the leader. Only for efficiency and display: safety
+    /// must not depend on it.
     pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader
     }
 
-    /// The leader, as far as this instance knows.
+    /// Returns the leader, if this instance knows of one.
     pub fn leader(&self) -> Option<InstanceId> {
         match self.raw.raft.leader_id {
             raft::INVALID_ID => None,
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Voters and learners as the leader sees them, in order of their ids; empty at any other instance.
+    /// Returns the leader's view of all voters and learners, in order of their ids; empty on any other
+    /// instance.
     pub fn peer_progress(&self) -> Vec<PeerProgress> {
         if !self.is_leader() {
             return Vec::new();
@@ -94,12 +96,12 @@
         peers
     }
 
-    /// Whether an instance votes.
+    /// Returns whether an instance is a voter.
     pub fn is_voter(&self, id: InstanceId) -> bool {
         self.conf_state.voters.contains(&id.0)
     }
 
-    /// Figures for operators.
+    /// Returns the status of this instance, for operators.
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
             id: self.id,
--- a/crates/consensus/src/raft_node/tests.rs
+++ b/crates/consensus/src/raft_node/tests.rs
@@ -11,7 +11,7 @@
     (1..=3).map(|id| Member { id: InstanceId(id), name: format!("n{id}"), address: String::new() }).collect()
 }
 
-fn loaded() -> store::Loaded {
+fn initial_store() -> store::Loaded {
     let initial = initial_state(&members());
     store::Loaded {
         hard_state: initial.hard_state.unwrap_or_default(),
@@ -20,21 +20,21 @@
     }
 }
 
-/// Instance 1 of the three members.
+/// Starts instance 1 of the three members.
 fn start(loaded: store::Loaded) -> Result<RaftNode, RaftNodeError> {
     RaftNode::start(RaftSettings::default(), InstanceId(1), 1, loaded)
 }
 
-/// A fresh instance 1 that has nothing left to write.
-fn started() -> RaftNode {
-    let mut node = start(loaded()).expect("a node");
+/// Starts instance 1 from its initial store and completes all of its writes.
+fn start_from_initial_store() -> RaftNode {
+    let mut node = start(initial_store()).expect("the node must start");
     persist_all(&mut node);
     node
 }
 
 fn persist_all(node: &mut RaftNode) {
-    while node.ready().expect("its work").is_some() {
-        node.on_persisted().expect("a write");
+    while node.ready().expect("ready must succeed").is_some() {
+        node.on_persisted().expect("on_persisted must succeed");
     }
 }
 
@@ -44,7 +44,7 @@
     message
 }
 
-/// Entries of term 1 behind the initial state, up to `last`.
+/// Returns an append message with the entries of term 1 that follow the initial snapshot, up to `last`.
 fn append(term: u64, last: u64) -> Message {
     let entry = |index| Entry { index, term: 1, ..Entry::default() };
     let mut append = message(MessageType::MsgAppend, 2, term);
@@ -67,67 +67,71 @@
 }
 
 #[test]
-fn a_store_that_has_lost_committed_entries_is_rejected_with_both_indices() {
-    let mut lossy = loaded();
-    lossy.hard_state.commit = 9;
-    let error = start(lossy).err().expect("an error").to_string();
+fn starting_with_a_store_that_lost_committed_entries_fails_and_names_both_indexes() {
+    let mut truncated = initial_store();
+    truncated.hard_state.commit = 9;
+    let error = start(truncated).err().expect("starting must fail").to_string();
     assert!(error.contains("up to 9") && error.contains("up to 1"), "{error}");
 }
 
 #[test]
-fn no_election_begins_while_a_snapshot_is_being_installed() {
-    let mut behind = started();
-    // Entries up to 9 are in the log, and the snapshot that comes replaces it before they are applied.
-    behind.receive(append(1, 9));
-    persist_all(&mut behind);
-    behind.receive(snapshot_message(&behind, 20));
-    assert!(behind.ready().expect("its work").is_some_and(|ready| ready.batch.snapshot.is_some()));
+fn no_election_starts_while_a_snapshot_is_being_installed() {
+    let mut node = start_from_initial_store();
+    // The log contains the entries up to 9, and the snapshot replaces it before they are applied.
+    node.receive(append(1, 9));
+    persist_all(&mut node);
+    node.receive(snapshot_message(&node, 20));
+    assert!(node.ready().expect("ready must succeed").is_some_and(|ready| ready.batch.snapshot.is_some()));
     for _ in 0..200 {
-        behind.tick();
+        node.tick();
     }
-    behind.receive(message(MessageType::MsgTimeoutNow, 2, 1));
-    assert_eq!(behind.status().role, NodeRole::Follower);
-    behind.on_persisted().expect("a write");
-    assert_eq!(behind.state().applied(), Index(20));
+    node.receive(message(MessageType::MsgTimeoutNow, 2, 1));
+    assert_eq!(node.status().role, NodeRole::Follower);
+    node.on_persisted().expect("on_persisted must succeed");
+    assert_eq!(node.state().applied(), Index(20));
     for _ in 0..200 {
-        behind.tick();
+        node.tick();
     }
-    assert_ne!(behind.status().role, NodeRole::Follower, "after it, elections go on");
+    assert_ne!(
+        node.status().role,
+        NodeRole::Follower,
+        "elections must be possible again once the snapshot is installed"
+    );
 }
 
 #[test]
-fn with_a_store_that_is_nearly_full_nothing_new_is_accepted_and_votes_are_still_given() {
-    let mut full = started();
-    full.set_storage_headroom(StorageHeadroom::Low);
-    full.open_session(Ticket(1), 10);
-    assert_eq!(full.take_answers(), [TicketAnswer { ticket: Ticket(1), answer: Answer::StoreFull }]);
-    full.receive(append(1, 2));
-    persist_all(&mut full);
-    assert_eq!(full.status().last_index, Index(1));
+fn a_nearly_full_store_accepts_no_new_entries_but_still_persists_votes() {
+    let mut node = start_from_initial_store();
+    node.set_storage_headroom(StorageHeadroom::Low);
+    node.open_session(Ticket(1), 10);
+    assert_eq!(node.take_answers(), [TicketAnswer { ticket: Ticket(1), answer: Answer::StoreFull }]);
+    node.receive(append(1, 2));
+    persist_all(&mut node);
+    assert_eq!(node.status().last_index, Index(1));
     let mut vote = message(MessageType::MsgRequestVote, 3, 2);
     vote.index = 1;
     vote.log_term = 1;
-    full.receive(vote);
-    let ready = full.ready().expect("its work").expect("a vote to keep");
-    assert_eq!(ready.batch.hard_state.map(|hard| (hard.term, hard.vote)), Some((2, 3)));
-    full.on_persisted().expect("a write");
-    full.set_storage_headroom(StorageHeadroom::Sufficient);
-    full.receive(append(2, 2));
-    persist_all(&mut full);
-    assert_eq!(full.status().last_index, Index(2));
+    node.receive(vote);
+    let ready = node.ready().expect("ready must succeed").expect("a vote to persist is expected");
+    assert_eq!(ready.batch.hard_state.map(|hard_state| (hard_state.term, hard_state.vote)), Some((2, 3)));
+    node.on_persisted().expect("on_persisted must succeed");
+    node.set_storage_headroom(StorageHeadroom::Sufficient);
+    node.receive(append(2, 2));
+    persist_all(&mut node);
+    assert_eq!(node.status().last_index, Index(2));
 }
 
 #[test]
-fn a_message_for_another_instance_or_of_a_local_kind_changes_nothing() {
-    let mut node = started();
+fn messages_for_another_instance_or_of_a_local_type_are_ignored() {
+    let mut node = start_from_initial_store();
     for (to, kind) in
         [(1, MessageType::MsgHup), (1, MessageType::MsgCheckQuorum), (2, MessageType::MsgRequestVote)]
     {
-        let mut unwanted = message(kind, 3, 5);
-        unwanted.to = to;
-        unwanted.index = 9;
-        unwanted.log_term = 9;
-        node.receive(unwanted);
+        let mut ignored = message(kind, 3, 5);
+        ignored.to = to;
+        ignored.index = 9;
+        ignored.log_term = 9;
+        node.receive(ignored);
     }
     assert_eq!((node.status().term, node.status().role), (Term(1), NodeRole::Follower));
 }
--- a/crates/consensus/src/replicated_state/command.rs
+++ b/crates/consensus/src/replicated_state/command.rs
@@ -1,43 +1,45 @@
 //! Commands, the proposals that carry them, and the replies to them.
 //!
-//! All of these are stored and sent as postcard writes them: the order of variants and fields must never change.
+//! All of these are stored and sent in postcard's encoding, which identifies variants and fields by position:
+//! their order must never change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Epoch, InstanceId, Role, Sequence, SessionId, Subject};
 
-/// A change of the replicated state that may be proposed.
+/// A proposed change of the replicated state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Open a session; the reply names it. The nonce only tells two proposers' commands apart.
+    /// Request to open a session; the reply contains its id.
     #[serde(rename = "Open")]
     OpenSession {
-        /// Any number.
+        /// Number that distinguishes the requests of two proposers; it has no other meaning.
         nonce: u64,
     },
-    /// Decide a subject, unless it is decided already.
+    /// Decision of a subject; without effect if the subject is already decided.
     Decide {
-        /// What is decided.
+        /// The subject.
         subject: Subject,
         /// The decision, of at most [`super::MAX_VALUE_BYTES`] bytes.
         value: Vec<u8>,
     },
-    /// Acquire the lease of a role whose epoch is `expected_epoch`, or 0 if it was never held.
+    /// Acquisition of a role's lease, provided that the role's epoch is `expected_epoch`.
     #[serde(rename = "Take")]
     AcquireLease {
         /// The role.
         role: Role,
-        /// Who is to hold it.
+        /// The new holder.
         holder: InstanceId,
-        /// The epoch that the proposer saw: whoever acquired the lease in between wins.
+        /// The epoch that the proposer saw, or 0 if the role was never held. If another instance has acquired
+        /// the lease since, this command has no effect.
         #[serde(rename = "expect")]
         expected_epoch: Epoch,
-        /// How long a holder that can't renew may go on acting, in its own ticks. Advice for speed: nothing is safe
-        /// because of it.
+        /// Time for which a holder that can't renew may continue to act, in its own ticks. It affects only
+        /// how soon the role changes hands; safety does not depend on it.
         #[serde(rename = "life")]
         ttl: u32,
     },
-    /// The holder renews its lease.
+    /// Renewal of a lease by its holder.
     #[serde(rename = "Renew")]
     RenewLease {
         /// The role.
@@ -45,18 +47,18 @@
         /// The epoch under which it is held.
         epoch: Epoch,
     },
-    /// The holder releases a lease, or passes it on to a successor; either way its own epoch is over.
+    /// Release of a lease by its holder, or its transfer to a successor. Either ends the holder's epoch.
     #[serde(rename = "Leave")]
     ReleaseLease {
         /// The role.
         role: Role,
         /// The epoch under which it is held.
         epoch: Epoch,
-        /// Who holds it next; none: whoever acquires it.
+        /// The next holder; `None` leaves the lease free to be acquired.
         #[serde(rename = "to")]
         successor: Option<InstanceId>,
     },
-    /// Dispatch an order, before it is sent.
+    /// Dispatch of an order, recorded before the order is sent.
     #[serde(rename = "Hand")]
     DispatchOrder {
         /// The role that dispatches.
@@ -66,20 +68,22 @@
         /// The order.
         order: Subject,
     },
-    /// What the fencing gate says of a dispatched order, asked after the gate had observed `epoch`.
+    /// The fencing gate's answer about a dispatched order, obtained after the gate had observed `epoch`.
     #[serde(rename = "Settle")]
     ResolveOrder {
         /// The role that dispatches.
         role: Role,
-        /// The epoch that the gate had observed when it was asked.
+        /// The epoch that the gate had observed when it answered.
         epoch: Epoch,
         /// The order.
         order: Subject,
-        /// Whether it was executed. If not, it may be dispatched again: the gate admits no older epoch any more.
+        /// Whether the order was executed. If not, it may be dispatched again: the gate rejects all older
+        /// epochs.
         #[serde(rename = "ran")]
         executed: bool,
     },
-    /// Publish a member's notice on a topic, in place of its last one: its present view, not a decision.
+    /// Publication of a member's notice on a topic, which replaces its previous one. A notice is the member's
+    /// current view, not a decision.
     #[serde(rename = "Post")]
     PublishNotice {
         /// The member.
@@ -87,10 +91,10 @@
         /// The topic.
         #[serde(rename = "board")]
         topic: String,
-        /// The notice, of at most [`super::MAX_VALUE_BYTES`] bytes; none withdraws the last one.
+        /// The notice, of at most [`super::MAX_VALUE_BYTES`] bytes; `None` withdraws the previous one.
         value: Option<Vec<u8>>,
     },
-    /// Forget the subjects of a space below a number; they can't be decided any more.
+    /// Removal of the subjects of a space below a number, after which they can no longer be decided.
     #[serde(rename = "Retire")]
     RetireSubjects {
         /// The space.
@@ -103,61 +107,62 @@
 /// A command and its place in its proposer's session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The session; 0 for [`Command::OpenSession`], which needs none.
+    /// The session; 0 for [`Command::OpenSession`], which needs no session.
     pub session: SessionId,
-    /// Its place there. A proposer that goes on to a later one has abandoned this one for good.
+    /// Position in the session. A proposal is abandoned for good once its proposer sends a later one.
     pub sequence: Sequence,
     /// The command.
     pub command: Command,
 }
 
-/// What became of a command.
+/// The result of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The session is open.
+    /// Session opened, with this id.
     #[serde(rename = "Opened")]
     SessionOpened(SessionId),
-    /// The subject is decided.
+    /// Subject decided, by this proposal or an earlier one.
     Decided {
-        /// The decision, of this proposal or an earlier one.
+        /// The decision.
         value: Vec<u8>,
         /// Whether this proposal decided it.
         first: bool,
     },
-    /// The lease is held under this epoch from here on.
+    /// Lease acquired, under this epoch.
     #[serde(rename = "Granted")]
     LeaseAcquired(Epoch),
-    /// The lease was renewed or released, the order resolved, the notice published, the space retired.
+    /// Lease renewed or released, order resolved, notice published, or subjects retired.
     Done,
-    /// The order is dispatched under this epoch and may be sent once.
+    /// Order dispatched under this epoch; it may be sent once.
     #[serde(rename = "Handed")]
     Dispatched(Epoch),
-    /// The order was dispatched under this epoch before; only the fencing gate knows whether it was executed.
+    /// Order already dispatched, under this epoch; only the fencing gate knows whether it was executed.
     InDoubt(Epoch),
-    /// The order was executed, dispatched under this epoch.
+    /// Order already executed; it was dispatched under this epoch.
     #[serde(rename = "Ran")]
     Executed(Epoch),
-    /// The command's epoch is not the current one.
+    /// Command rejected because its epoch is not the current one.
     #[serde(rename = "Stale")]
     StaleEpoch {
-        /// The current one.
+        /// The current epoch.
         current: Epoch,
     },
-    /// The subject is retired.
+    /// Command rejected because the subject is retired.
     Retired {
         /// The lowest number of the space that is not retired.
         below: u64,
     },
-    /// The session is not known (any more): the proposal was not applied now, and may have been earlier.
+    /// Unknown or expired session: the proposal was not applied now, but an earlier copy may have been.
     #[serde(rename = "SessionLost")]
     SessionExpired,
-    /// A later proposal of the same session came first: this one was not applied and never will be.
+    /// Proposal superseded by a later one of the same session; this one was not applied and never will be.
     #[serde(rename = "Overtaken")]
     Superseded,
-    /// The replicated state holds as much as it may.
+    /// Command rejected because a limit of the replicated state is reached.
     #[serde(rename = "Full")]
     CapacityExceeded,
-    /// The command is invalid, and why.
+    /// Invalid command, with the reason. Sessions store the text as part of the replicated state: all
+    /// versions must use the same wording, or their states diverge.
     #[serde(rename = "Refused")]
     Rejected(String),
 }
--- a/crates/consensus/src/replicated_state/lease.rs
+++ b/crates/consensus/src/replicated_state/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: each gives a role to one instance under an epoch that only grows.
+//! Leases: each assigns a role to one instance under an epoch that never decreases.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,27 +6,27 @@
 use super::command::Reply;
 use crate::ids::{Epoch, Index, InstanceId, Role};
 
-/// Greatest number of roles. A role is kept for good, since its epoch must never fall.
+/// Maximum number of roles. A role is never removed, because its epoch must never decrease.
 pub const MAX_ROLES: usize = 256;
 /// The epoch of a role that was never held.
 const UNASSIGNED_EPOCH: Epoch = Epoch(0);
 
-/// Who holds a role.
+/// The lease of a role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The holder; none after it released the lease or was removed.
+    /// The holder; `None` after it released the lease or was removed from the cluster.
     pub holder: Option<InstanceId>,
-    /// The epoch; it only grows.
+    /// The epoch, which never decreases.
     pub epoch: Epoch,
-    /// How long the holder may go on acting without a renewal, in its own ticks.
+    /// Time for which the holder may act without a renewal, in its own ticks.
     #[serde(rename = "life")]
     pub ttl: u32,
-    /// The index of its latest renewal.
+    /// Log index of the acquisition, renewal or release that came last.
     pub renewed: Index,
 }
 
 impl Lease {
-    /// Ends the current epoch: whoever held the lease under it can do nothing more.
+    /// Ends the current epoch, so that its holder can no longer act.
     pub(super) fn end_epoch(&mut self, successor: Option<InstanceId>) {
         self.epoch.0 += 1;
         self.holder = successor;
@@ -34,20 +34,20 @@
 }
 
 impl ReplicatedState {
-    /// Who holds a role; none if nobody ever did.
+    /// Returns the lease of a role; `None` if the role was never held.
     pub fn lease(&self, role: &Role) -> Option<&Lease> {
         self.leases.get(role)
     }
 
-    /// All roles that were ever held, in order.
+    /// Returns all roles that were ever held, in order, with their leases.
     pub fn leases(&self) -> impl Iterator<Item = (&Role, &Lease)> {
         self.leases.iter()
     }
 
-    /// The lease of a role that is held under just this epoch.
+    /// Returns the lease of a role, provided that it is held under `epoch`.
     ///
     /// # Errors
-    /// The reply to a command that shows another epoch.
+    /// [`Reply::StaleEpoch`] if the lease is free or its epoch differs.
     pub(super) fn current_lease(&mut self, role: &Role, epoch: Epoch) -> Result<&mut Lease, Reply> {
         match self.leases.get_mut(role) {
             Some(lease) if lease.epoch == epoch && lease.holder.is_some() => Ok(lease),
--- a/crates/consensus/src/replicated_state/members.rs
+++ b/crates/consensus/src/replicated_state/members.rs
@@ -1,4 +1,4 @@
-//! Members: the instances that take part, voters and learners.
+//! Members: the voters and learners of the cluster.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,41 +6,42 @@
 use super::command::Reply;
 use crate::ids::{Index, InstanceId};
 
-/// An instance that takes part.
+/// An instance of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its id.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Its name, unique among the members.
+    /// Name, unique among the members.
     pub name: String,
-    /// Where the others reach it.
+    /// Address at which the other members reach it.
     pub address: String,
 }
 
 impl ReplicatedState {
-    /// The state of a cluster that begins with these members.
+    /// Creates the state of a new cluster with these members.
     pub fn with_members(members: impl IntoIterator<Item = Member>) -> Self {
         let members = members.into_iter().map(|member| (member.id, member)).collect();
         Self { members, ..Self::default() }
     }
 
-    /// The members, learners included, in order of their ids.
+    /// Returns the members, learners included, in order of their ids.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// A member.
+    /// Returns the member with this id.
     pub fn member(&self, id: InstanceId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// A member has been added, at this index of the log.
+    /// Applies the addition of a member, committed at `index`.
     pub fn add_member(&mut self, index: Index, member: Member) {
         self.applied = index;
         self.members.insert(member.id, member);
     }
 
-    /// A member has been removed, at this index of the log. Its notices go, and its leases end with their epochs.
+    /// Applies the removal of a member, committed at `index`. This drops the member's notices and ends the
+    /// epochs of its leases.
     pub fn remove_member(&mut self, index: Index, id: InstanceId) {
         self.applied = index;
         self.members.remove(&id);
--- a/crates/consensus/src/replicated_state/mod.rs
+++ b/crates/consensus/src/replicated_state/mod.rs
@@ -1,14 +1,17 @@
-//! The replicated state: what all instances agree on, in the order of the log. A pure state machine: the same
-//! commands give the same state and replies everywhere, so nothing here may look at a clock, a random number or hash
-//! order.
+//! The replicated state, to which all instances apply the same commands in log order.
 //!
-//! - A **subject** is decided once. A subject that is retired is never decided again.
-//! - A **session** makes a proposal that is sent again the same proposal: it is applied once, and later copies get
-//!   the reply of the first.
-//! - A **lease** gives a role to one instance under an epoch. Whoever acts on it shows that epoch to a fencing gate.
-//! - An **order** is dispatched under an epoch before it is sent. Whoever acquires the lease next finds it in doubt
-//!   and may dispatch it again only after the fencing gate has said that it never was and never will be executed.
-//! - A **notice** is a member's present view on a topic, not a decision.
+//! It is a deterministic state machine: the same commands must produce the same state and replies on every
+//! instance, so nothing here may depend on a clock, a random number or the iteration order of a hash map.
+//!
+//! - A **subject** is decided once. A retired subject is never decided again.
+//! - A **session** deduplicates proposals: one that is sent several times is applied once, and later copies
+//!   get the reply of the first.
+//! - A **lease** assigns a role to one instance under an epoch. The holder presents that epoch to a fencing
+//!   gate for each action.
+//! - An **order** is recorded as dispatched under an epoch before it is sent. The next holder of the lease
+//!   can't tell whether it was executed, and may dispatch it again only once the fencing gate has confirmed
+//!   that it was not and never will be.
+//! - A **notice** is a member's current view on a topic, not a decision.
 //!
 //! In reading order: `command`, `sessions`, `subjects`, `lease`, `notices`, `members`.
 
@@ -32,37 +35,38 @@
 pub use sessions::MAX_SESSIONS;
 pub use subjects::{MAX_SPACES, MAX_SUBJECTS, SubjectState};
 
-/// Longest value of a decision or a notice, in bytes.
+/// Maximum size of the value of a decision or a notice, in bytes.
 pub const MAX_VALUE_BYTES: usize = 4096;
 
-/// The replicated state. Snapshots hold it as postcard writes it: the order of fields must never change.
+/// The replicated state. Snapshots contain it in postcard's encoding, which identifies fields by position:
+/// their order must never change.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     applied: Index,
     subjects: BTreeMap<Subject, SubjectState>,
-    /// By space, the lowest number that is not retired.
+    /// The lowest number that is not retired, by space.
     #[serde(rename = "floors")]
     retired_below: BTreeMap<String, u64>,
     #[serde(rename = "roles")]
     leases: BTreeMap<Role, Lease>,
     sessions: BTreeMap<SessionId, sessions::Session>,
     members: BTreeMap<InstanceId, Member>,
-    /// By topic and member.
+    /// Notices by topic and member.
     notices: BTreeMap<String, BTreeMap<InstanceId, Notice>>,
 }
 
 impl ReplicatedState {
-    /// The last index applied.
+    /// Returns the index of the last entry applied.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// An entry without a command, at this index of the log.
+    /// Records that the entry at `index`, which contains no command, is applied.
     pub fn skip(&mut self, index: Index) {
         self.applied = index;
     }
 
-    /// Executes a command that its session has not seen before.
+    /// Executes a command that was not applied before in its session.
     fn execute(&mut self, index: Index, command: &Command) -> Reply {
         let result = match command {
             Command::OpenSession { .. } => Err(Reply::Rejected("a session opens without one".to_owned())),
@@ -83,7 +87,7 @@
             }
             Command::RetireSubjects { space, below } => self.retire_subjects(space, *below),
         };
-        // Errors are replies too: they end a command early, and its session keeps them like any other.
+        // An error is also a reply: the session stores it like any other.
         match result {
             Ok(reply) | Err(reply) => reply,
         }
--- a/crates/consensus/src/replicated_state/notices.rs
+++ b/crates/consensus/src/replicated_state/notices.rs
@@ -1,4 +1,5 @@
-//! Notices: what each member last published on a topic. A member's present view, not a decision.
+//! Notices: the value that each member last published on a topic, which is its current view and not a
+//! decision.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,23 +7,23 @@
 use super::{MAX_VALUE_BYTES, ReplicatedState};
 use crate::ids::{Index, InstanceId};
 
-/// Greatest number of topics with a notice.
+/// Maximum number of topics with at least one notice.
 pub const MAX_TOPICS: usize = 64;
-/// Longest name of a topic, in bytes.
+/// Maximum length of a topic's name, in bytes.
 const MAX_TOPIC_BYTES: usize = 64;
 
-/// What a member has published on a topic.
+/// The value that a member has published on a topic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// What it says.
+    /// The published value.
     pub value: Vec<u8>,
-    /// The index at which it was last published.
+    /// Log index at which it was last published.
     #[serde(rename = "posted")]
     pub published_at: Index,
 }
 
 impl ReplicatedState {
-    /// The members' notices on a topic, in order of the members' ids.
+    /// Returns the members' notices on a topic, in order of the members' ids.
     pub fn notices(&self, topic: &str) -> impl Iterator<Item = (InstanceId, &Notice)> {
         self.notices.get(topic).into_iter().flatten().map(|(id, notice)| (*id, notice))
     }
@@ -35,8 +36,8 @@
         value: Option<&[u8]>,
     ) -> Result<Reply, Reply> {
         self.require_member(from)?;
-        let is_long = value.is_some_and(|value| value.len() > MAX_VALUE_BYTES);
-        if is_long || topic.len() > MAX_TOPIC_BYTES {
+        let value_too_long = value.is_some_and(|value| value.len() > MAX_VALUE_BYTES);
+        if value_too_long || topic.len() > MAX_TOPIC_BYTES {
             return Err(Reply::Rejected(format!(
                 "a notice has {MAX_VALUE_BYTES} bytes at the most, a board's name {MAX_TOPIC_BYTES}"
             )));
--- a/crates/consensus/src/replicated_state/sessions.rs
+++ b/crates/consensus/src/replicated_state/sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions: a proposal that is sent again is applied once, and its later copies get the reply of the first.
+//! Sessions: a proposal that is sent several times is applied once, and later copies get the reply of the
+//! first.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,33 +7,34 @@
 use super::command::{Command, Proposal, Reply};
 use crate::ids::{Index, Sequence, SessionId};
 
-/// Greatest number of sessions; the least recently used one makes room for a new one.
+/// Maximum number of sessions. Opening one more evicts the least recently used session.
 pub const MAX_SESSIONS: usize = 4096;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Session {
-    /// The latest proposal applied.
+    /// Sequence number of the last proposal applied.
     sequence: Sequence,
-    /// The reply to it.
+    /// Reply to that proposal.
     reply: Reply,
-    /// The index at which the session was last used.
+    /// Log index at which the session was last used.
     #[serde(rename = "used")]
     last_used: Index,
 }
 
 impl ReplicatedState {
-    /// How many sessions there are.
+    /// Returns the number of open sessions.
     pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Applies the proposal at this index of the log.
+    /// Applies the proposal committed at `index`.
     pub fn apply(&mut self, index: Index, proposal: &Proposal) -> Reply {
         self.applied = index;
         if let Command::OpenSession { .. } = proposal.command {
             return self.open_session(index);
         }
-        // A copy that comes after its session was evicted could be a second application: it has no effect.
+        // An earlier copy of the proposal may have been applied before the session was evicted; applying this
+        // one could repeat it.
         let Some(session) = self.sessions.get_mut(&proposal.session) else { return Reply::SessionExpired };
         session.last_used = index;
         if proposal.sequence == session.sequence {
--- a/crates/consensus/src/replicated_state/subjects.rs
+++ b/crates/consensus/src/replicated_state/subjects.rs
@@ -1,4 +1,5 @@
-//! Subjects: decided once, or orders that are dispatched under an epoch and executed at most once.
+//! Subjects, which are decided once, and orders, which are dispatched under an epoch and executed at most
+//! once.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,32 +7,32 @@
 use super::{MAX_VALUE_BYTES, ReplicatedState};
 use crate::ids::{Epoch, Role, Subject};
 
-/// Greatest number of subjects. Beyond that new ones are rejected until old ones are retired: a decision is never
-/// dropped by itself.
+/// Maximum number of subjects. At the limit new ones are rejected until old ones are retired; a decision is
+/// never evicted automatically.
 pub const MAX_SUBJECTS: usize = 1_000_000;
-/// Greatest number of spaces of which subjects were retired.
+/// Maximum number of spaces with retired subjects.
 pub const MAX_SPACES: usize = 1024;
 
-/// What is known of a subject.
+/// The state of a subject.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubjectState {
-    /// Decided.
+    /// Decided, with this value.
     Decided(Vec<u8>),
-    /// An order that was dispatched under an epoch.
+    /// Order dispatched under this epoch.
     #[serde(rename = "Handed")]
     Dispatched(Epoch),
-    /// An order that was executed, dispatched under an epoch.
+    /// Executed order that had been dispatched under this epoch.
     #[serde(rename = "Ran")]
     Executed(Epoch),
 }
 
 impl ReplicatedState {
-    /// What is known of a subject; none if it is neither decided nor dispatched, or retired.
+    /// Returns the state of a subject; `None` if it is neither decided nor dispatched, or is retired.
     pub fn subject_state(&self, subject: &Subject) -> Option<&SubjectState> {
         self.subjects.get(subject)
     }
 
-    /// Subjects of a space from the number `from` on, in order.
+    /// Returns the subjects of a space whose number is at least `from`, in order.
     pub fn subjects<'a>(
         &'a self,
         space: &str,
@@ -42,14 +43,14 @@
         self.subjects.range(first..).take_while(move |(subject, _)| subject.space == space)
     }
 
-    /// All subjects in order, those after `after` if one is given.
+    /// Returns all subjects in order, or only those that follow `after`.
     pub fn subjects_after(&self, after: Option<&Subject>) -> impl Iterator<Item = (&Subject, &SubjectState)> {
         use std::ops::Bound::{Excluded, Unbounded};
         let start = after.map_or(Unbounded, Excluded);
         self.subjects.range((start, Unbounded))
     }
 
-    /// How many subjects there are.
+    /// Returns the number of subjects.
     pub fn subject_count(&self) -> usize {
         self.subjects.len()
     }
@@ -80,7 +81,7 @@
         self.current_lease(role, epoch)?;
         match self.subjects.get(order) {
             Some(SubjectState::Decided(_)) => Err(not_an_order(order)),
-            // Also under the same epoch: whoever dispatched it may have sent it and crashed.
+            // In doubt even under the same epoch: the holder may have sent the order before it crashed.
             Some(SubjectState::Dispatched(dispatched_under)) => Ok(Reply::InDoubt(*dispatched_under)),
             Some(SubjectState::Executed(dispatched_under)) => Ok(Reply::Executed(*dispatched_under)),
             None => {
@@ -104,8 +105,8 @@
                 self.subjects.insert(order.clone(), SubjectState::Executed(dispatched_under));
                 Ok(Reply::Done)
             }
-            // That it was not executed is final for older epochs alone: what was dispatched under this one may still
-            // be on its way to the gate.
+            // The gate's answer that the order was not executed is final only for older epochs: a message
+            // sent under the current epoch may still be in transit to the gate.
             Some(SubjectState::Dispatched(dispatched_under)) if dispatched_under < epoch => {
                 self.subjects.remove(order);
                 Ok(Reply::Done)
@@ -122,7 +123,7 @@
         if current.is_none() && self.retired_below.len() >= MAX_SPACES {
             return Err(Reply::CapacityExceeded);
         }
-        // The bound never falls: what was retired could be decided a second time.
+        // The bound never decreases, or a retired subject could be decided a second time.
         if current.is_none_or(|current| current < below) {
             self.retired_below.insert(space.to_owned(), below);
             self.remove_subjects_below(space, below);
@@ -138,7 +139,10 @@
         }
     }
 
-    /// Whether a subject that is not there yet may be added.
+    /// Checks that a subject which does not exist yet may be added.
+    ///
+    /// # Errors
+    /// [`Reply::Retired`] or [`Reply::CapacityExceeded`].
     fn check_new_subject(&self, subject: &Subject) -> Result<(), Reply> {
         let below = self.retired_below.get(&subject.space).copied().unwrap_or(0);
         if subject.number < below {
