--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -1,23 +1,23 @@
-//! Conversion of the settings object to the configuration of the decisions.
+//! Conversion of the settings object to the policy's configuration.
 
 use garnetcrank_policy::api::{
     Class, Config, Idempotency, KeyScope, ReplacementMode, Rollout, Tenant, VoteMode, ZoneId,
 };
 
-use crate::micros;
+use crate::micros_from_ms;
 use crate::raw::{
-    RawClass, RawIdempotency, RawKeyScope, RawRegistryMode, RawReplacementMode, RawRollout, RawSettings,
+    RawClass, RawDiscoveryMode, RawIdempotency, RawKeyScope, RawReplacementMode, RawRollout, RawSettings,
     RawVoteMode,
 };
 
-/// Value of `valueBy` where priority goes by work instead of by request.
+/// Value of `valueBy` that applies priority weights per unit of work instead of per request.
 const VALUE_BY_WORK: &str = "work";
-/// Value of `countedBy` where exposure is counted for each class by itself.
+/// Value of `countedBy` that counts exposure separately for each class.
 const COUNTED_BY_CLASS: &str = "class";
-/// Value of `weights` where ratings of endpoints compare nothing.
+/// Value of `weights` for deployments in which endpoint ratings are not comparable.
 const NO_WEIGHTS: &str = "none";
 
-/// The configuration of an instance in `zone`.
+/// Builds the policy configuration of an instance in `zone`.
 pub(crate) fn from_raw(raw: &RawSettings, zone: ZoneId) -> Config {
     Config {
         instance_count: raw.instance_count.max(1),
@@ -31,20 +31,20 @@
             .collect(),
         priority_by_work: raw.priority_by == VALUE_BY_WORK,
         over_quota_weight: raw.over_quota_weight,
-        poll_endpoints: raw.discovery_mode == RawRegistryMode::OnRequest,
-        poll_timeout: micros(raw.safety.poll_timeout),
+        poll_endpoints: raw.discovery_mode == RawDiscoveryMode::Polled,
+        poll_timeout: micros_from_ms(raw.safety.poll_timeout),
         health_checks: raw.limits.health_checks,
         cancellation: raw.limits.cancellation,
         hedging: raw.limits.hedging,
         gossip: raw.limits.gossip,
-        retry_after: raw.limits.retry_after.then(|| micros(raw.limits.max_retry_after)),
+        retry_after: raw.limits.retry_after.then(|| micros_from_ms(raw.limits.max_retry_after)),
         max_attempts: raw.limits.max_attempts,
-        resolution: micros(raw.resolution),
-        drain_grace: micros(raw.safety.drain_grace),
+        resolution: micros_from_ms(raw.resolution),
+        drain_grace: micros_from_ms(raw.safety.drain_grace),
         slow_start_initial: raw.safety.slow_start_initial,
-        slow_start_duration: micros(raw.safety.slow_start_duration),
+        slow_start_duration: micros_from_ms(raw.safety.slow_start_duration),
         overload_multiple: raw.safety.overload_multiple,
-        overload_window: micros(raw.safety.overload_window),
+        overload_window: micros_from_ms(raw.safety.overload_window),
         cross_zone_price: raw.prices.cross_zone,
         rated: raw.weights != NO_WEIGHTS,
         rollout: rollout(&raw.rollout),
@@ -55,8 +55,8 @@
     Class {
         name: raw.name.clone(),
         idempotency: idempotency(raw),
-        latency_objective: micros(raw.latency_objective),
-        deadline: micros(raw.deadline),
+        latency_objective: micros_from_ms(raw.latency_objective),
+        deadline: micros_from_ms(raw.deadline),
         priority_weight: raw.priority_weight,
         late_priority_weight: raw.late_priority_weight,
         streamed: raw.streamed,
@@ -65,10 +65,10 @@
 
 fn idempotency(raw: &RawClass) -> Idempotency {
     match raw.idempotency {
-        RawIdempotency::Repeatable => Idempotency::Idempotent,
-        RawIdempotency::Once => Idempotency::NonIdempotent,
-        RawIdempotency::ByKey => {
-            Idempotency::Keyed { scope: key_scope(raw.key_scope), window: micros(raw.key_window) }
+        RawIdempotency::Idempotent => Idempotency::Idempotent,
+        RawIdempotency::NonIdempotent => Idempotency::NonIdempotent,
+        RawIdempotency::Keyed => {
+            Idempotency::Keyed { scope: key_scope(raw.key_scope), window: micros_from_ms(raw.key_window) }
         }
     }
 }
@@ -89,21 +89,21 @@
             RawVoteMode::Timer => VoteMode::Timer,
         },
         replacement: match raw.replacement {
-            RawReplacementMode::Beside => ReplacementMode::SideBySide,
+            RawReplacementMode::SideBySide => ReplacementMode::SideBySide,
             RawReplacementMode::InPlace => ReplacementMode::InPlace,
         },
         stages: raw.stages.clone(),
         exposure_caps: raw.exposure_caps.clone(),
-        exposure_window: micros(raw.exposure_window),
+        exposure_window: micros_from_ms(raw.exposure_window),
         exposure_allowance: raw.exposure_allowance,
         exposure_by_class: raw.counted_by == COUNTED_BY_CLASS,
         guarded_stages: raw.guarded_stages,
         forward_only_keys: raw.forward_only_keys,
-        vote_ttl: micros(raw.vote_ttl),
-        vote_timeout: micros(raw.vote_timeout),
+        vote_ttl: micros_from_ms(raw.vote_ttl),
+        vote_timeout: micros_from_ms(raw.vote_timeout),
         rollback_quorum: raw.rollback_quorum,
         votes_per_s: raw.votes_per_s,
-        stage_duration: micros(raw.stage_duration),
+        stage_duration: micros_from_ms(raw.stage_duration),
         delay_price: raw.delay_price,
         harm_price: raw.harm_price,
     }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,43 +1,45 @@
-//! Why a settings object is rejected.
+//! Errors of an invalid settings object.
 
-/// An invalid settings object. Each message names the key, as a path from the top of the object.
+/// Reason why a settings object is invalid. Messages name the key by its path from the top of the object.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The object as a whole is not what was expected, such as a missing top-level key.
+    /// Error at the top level of the object, such as a missing key.
     #[error("{0}")]
     Object(serde_json::Error),
-    /// A key is missing below `path`, or its value has the wrong type or range.
+    /// Key with an invalid value, or an object that lacks a key.
     #[error("{path}: {source}")]
     Key {
-        /// Path of the key, such as `limits.maxAttempts`.
+        /// Path of the key or object, such as `limits.maxAttempts`.
         path: String,
-        /// What is wrong with it.
+        /// Cause.
         source: serde_json::Error,
     },
-    /// No class of requests is given.
-    #[error("grades is empty: at least one class is required")]
+    /// Settings without a class.
+    #[error("grades must list at least one class, got none")]
     NoClasses,
-    /// Two classes share a name.
-    #[error("grades[{index}].name: {name:?} is used by an earlier class")]
+    /// Class with the name of an earlier class.
+    #[error("grades[{index}].name must be unique, got {name:?} a second time")]
     DuplicateClass {
-        /// Position of the second one.
+        /// Position of the later class.
         index: usize,
-        /// The name.
+        /// Class name.
         name: String,
     },
-    /// A class has a time that is not positive.
-    #[error("grades[{index}]: goalTime and deadline must be over 0 ms, got {goal_time} and {deadline}")]
+    /// Class with a time that is not positive.
+    #[error(
+        "grades[{index}]: goalTime and deadline must be greater than 0 ms, got {latency_objective} and {deadline}"
+    )]
     ClassTimes {
         /// Position of the class.
         index: usize,
-        /// Its latency objective, in milliseconds.
-        goal_time: f64,
-        /// Its deadline, in milliseconds.
+        /// Latency objective, in milliseconds.
+        latency_objective: f64,
+        /// Deadline, in milliseconds.
         deadline: f64,
     },
-    /// The rollout's stages and their exposure caps do not fit together.
+    /// Rollout without stages, or with a different number of exposure caps.
     #[error(
-        "specifics.steps and specifics.mostShares must have one common length of at least 1, got {stages} and {caps}"
+        "specifics.steps and specifics.mostShares must have the same length of at least 1, got {stages} and {caps}"
     )]
     StageCount {
         /// Number of stages.
@@ -45,18 +47,18 @@
         /// Number of exposure caps.
         caps: usize,
     },
-    /// No attempt is allowed.
+    /// Attempt limit that allows no attempt.
     #[error("limits.maxAttempts must be at least 1, got 0")]
     NoAttempts,
-    /// A connection timeout is not positive.
+    /// Connection timeout that is not positive.
     #[error(
-        "limits.connectTimeout and limits.connIdle must be over 0 ms, got {connect_timeout} and {conn_idle}"
+        "limits.connectTimeout and limits.connIdle must be greater than 0 ms, got {connect_timeout} and {idle_timeout}"
     )]
     ConnectionTimes {
         /// Connect timeout, in milliseconds.
         connect_timeout: f64,
         /// Idle timeout, in milliseconds.
-        conn_idle: f64,
+        idle_timeout: f64,
     },
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings object of a deployment: parsing, validation and defaults.
 //!
-//! The simulator's protocol hands an instance this object in its first message; a proxy finds the same object in
-//! its configuration file. Times in it are milliseconds; unknown keys are ignored. [`Settings`] holds the result,
+//! The simulator's protocol sends this object when it starts an instance; a proxy reads the same object from its
+//! configuration file. Times in it are in milliseconds, and unknown keys are ignored. [`Settings`] holds the result,
 //! with times in microseconds.
 
 #![warn(
@@ -22,47 +22,47 @@
 pub use error::SettingsError;
 use raw::RawSettings;
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 const MICROS_PER_MS: f64 = 1000.0;
-/// Times beyond this are limited to it, in microseconds: about 31 years, so that sums of times stay in range.
+/// Upper limit of a converted time, in microseconds (about 31 years). It keeps sums of times from overflowing.
 const MAX_MICROS: f64 = 1e15;
 
-/// A settings object that was parsed and checked.
+/// Parsed and validated settings of a deployment.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(try_from = "RawSettings")]
 pub struct Settings {
-    /// Settings of the decisions.
+    /// Configuration of the policy.
     pub config: Config,
     /// Names of the classes, in the order of [`Config::classes`].
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Config::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones; the instance's own is among them.
+    /// Names of the zones, including the instance's own, at the positions that zone ids refer to.
     pub zones: Vec<String>,
     /// Names of the endpoint kinds.
     pub kinds: Vec<String>,
-    /// What a proxy needs beside the decisions.
+    /// Settings that a proxy needs in addition to the policy's.
     pub transport: Transport,
 }
 
-/// Settings of connections and messages.
+/// Settings of connections, in-flight requests and load reports.
 #[derive(Debug, Clone)]
 pub struct Transport {
-    /// An endpoint closes a connection that was idle for this long, at the latest.
+    /// Idle time after which an endpoint has closed a connection at the latest.
     pub idle_timeout: Micros,
-    /// A connection that is not established within this time is given up.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Micros,
-    /// Maximum number of requests in flight; none: the deployment sets no limit.
+    /// Maximum number of requests in flight; `None` if the deployment sets no limit.
     pub max_in_flight: Option<usize>,
-    /// Names of the values in a load report, in the order in which the decisions get them.
+    /// Names of the values in a load report, in the order in which the policy receives them.
     pub report_columns: Vec<String>,
 }
 
 impl Settings {
-    /// Parses and checks a settings object.
+    /// Parses and validates a settings object.
     ///
     /// # Errors
-    /// A key is missing or its value is invalid; the error names the key's path.
+    /// A key is missing or its value is invalid. The error names the key's path.
     pub fn read(json: &serde_json::Value) -> Result<Self, SettingsError> {
         let raw: RawSettings = serde_path_to_error::deserialize(json)?;
         Settings::try_from(raw)
@@ -83,8 +83,8 @@
             zones,
             kinds: raw.kinds,
             transport: Transport {
-                idle_timeout: micros(raw.limits.idle_timeout),
-                connect_timeout: micros(raw.limits.connect_timeout),
+                idle_timeout: micros_from_ms(raw.limits.idle_timeout),
+                connect_timeout: micros_from_ms(raw.limits.connect_timeout),
                 max_in_flight: (raw.limits.max_in_flight > 0).then_some(raw.limits.max_in_flight),
                 report_columns: raw.load_report.columns,
             },
@@ -92,7 +92,7 @@
     }
 }
 
-/// The position of a name, which is appended if it is not there.
+/// Returns the position of `wanted`, which is appended if it is missing.
 fn position_or_insert(names: &mut Vec<String>, wanted: &str) -> usize {
     if let Some(position) = names.iter().position(|name| name == wanted) {
         return position;
@@ -101,7 +101,7 @@
     names.len() - 1
 }
 
-/// Converts milliseconds to whole microseconds, limited to the range of 0 to 10^15 (about 31 years).
-pub fn micros(ms: f64) -> Micros {
+/// Converts milliseconds to microseconds, rounded and clamped to the range from 0 to 10^15 µs (about 31 years).
+pub fn micros_from_ms(ms: f64) -> Micros {
     (ms * MICROS_PER_MS).round().clamp(0.0, MAX_MICROS) as Micros
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,15 +1,15 @@
-//! The settings object as it is written: keys, shapes and defaults, before any check.
+//! The settings object as written in JSON: keys, types and defaults, before validation.
 //!
-//! Times are milliseconds. Unknown keys are ignored.
+//! Times are in milliseconds. Unknown keys are ignored.
 
 use serde::Deserialize;
 
-/// Idle timeout of an endpoint's connections where the deployment names none, in milliseconds.
+/// Default idle timeout of connections to endpoints, in milliseconds.
 const DEFAULT_CONN_IDLE_MS: f64 = 30_000.0;
-/// Connect timeout where the deployment names none, in milliseconds.
+/// Default connect timeout, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// Priority weight of a class where the deployment names none.
-const DEFAULT_CREDIT: f64 = 1.0;
+/// Default priority weight of a class.
+const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
 
 fn default_conn_idle_ms() -> f64 {
     DEFAULT_CONN_IDLE_MS
@@ -20,10 +20,10 @@
 }
 
 fn default_credit() -> f64 {
-    DEFAULT_CREDIT
+    DEFAULT_PRIORITY_WEIGHT
 }
 
-/// The settings object.
+/// Top level of the settings object.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawSettings {
@@ -45,7 +45,7 @@
     #[serde(default)]
     pub(crate) prices: RawPrices,
     #[serde(rename = "registryMode", default)]
-    pub(crate) discovery_mode: RawRegistryMode,
+    pub(crate) discovery_mode: RawDiscoveryMode,
     pub(crate) resolution: f64,
     pub(crate) safety: RawSafety,
     #[serde(rename = "specifics")]
@@ -60,16 +60,17 @@
     pub(crate) zones: Vec<String>,
 }
 
-/// How the endpoint list reaches an instance.
+/// Way in which an instance receives the endpoint list.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RawRegistryMode {
+pub(crate) enum RawDiscoveryMode {
     #[default]
     Pushed,
-    OnRequest,
+    #[serde(rename = "on_request")]
+    Polled,
 }
 
-/// A class of requests.
+/// Request class.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawClass {
@@ -91,16 +92,18 @@
     pub(crate) streamed: bool,
 }
 
-/// What repeating a request would do.
+/// Idempotency of a class.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
 pub(crate) enum RawIdempotency {
-    Repeatable,
-    ByKey,
-    Once,
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    #[serde(rename = "by_key")]
+    Keyed,
+    #[serde(rename = "once")]
+    NonIdempotent,
 }
 
-/// Which endpoints discard a duplicate. Without this key no scope wider than one cell is assumed.
+/// Set of endpoints that recognize a duplicate idempotency key. The default is the narrowest scope, one cell.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RawKeyScope {
@@ -110,7 +113,7 @@
     Cell,
 }
 
-/// Limits and allowed features.
+/// Limits and permitted features.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawLimits {
@@ -135,14 +138,14 @@
     pub(crate) retry_after: bool,
 }
 
-/// The load report of an endpoint.
+/// Format of the endpoints' load reports.
 #[derive(Deserialize, Default)]
 pub(crate) struct RawLoadReport {
     #[serde(default)]
     pub(crate) columns: Vec<String>,
 }
 
-/// Costs that the deployment states.
+/// Costs that the deployment assigns.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawPrices {
@@ -150,7 +153,7 @@
     pub(crate) cross_zone: f64,
 }
 
-/// Slow start and draining.
+/// Slow start, overload, draining and polling of the endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawSafety {
@@ -167,7 +170,7 @@
     pub(crate) slow_start_duration: f64,
 }
 
-/// How builds are rolled out.
+/// Rollout of builds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawRollout {
@@ -203,16 +206,17 @@
     pub(crate) vote_timeout: f64,
 }
 
-/// Whether earlier endpoints stay during a trial.
+/// Way in which endpoints of a new build replace the earlier ones.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum RawReplacementMode {
-    Beside,
+    #[serde(rename = "beside")]
+    SideBySide,
     #[default]
     InPlace,
 }
 
-/// How votes move a build.
+/// Way in which votes decide on a build.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RawVoteMode {
@@ -221,7 +225,7 @@
     Timer,
 }
 
-/// A tenant and its quota.
+/// Tenant and its quota.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RawTenant {
--- a/crates/settings/src/validate.rs
+++ b/crates/settings/src/validate.rs
@@ -1,9 +1,12 @@
-//! Checks that deserialization cannot make: that values fit together and lie in their ranges.
+//! Validation beyond deserialization: ranges of values, and values that must agree with each other.
 
 use crate::error::SettingsError;
 use crate::raw::{RawClass, RawLimits, RawRollout, RawSettings};
 
-/// Checks a settings object; the first fault found is returned.
+/// Validates a settings object.
+///
+/// # Errors
+/// The first invalid value found.
 pub(crate) fn validate(raw: &RawSettings) -> Result<(), SettingsError> {
     if raw.classes.is_empty() {
         return Err(SettingsError::NoClasses);
@@ -32,12 +35,12 @@
     if classes[..index].iter().any(|earlier| earlier.name == class.name) {
         return Err(SettingsError::DuplicateClass { index, name: class.name.clone() });
     }
-    // Written so that a NaN is rejected too.
-    let positive = class.deadline > 0.0 && class.latency_objective > 0.0;
-    if !positive {
+    // Negating the comparison rejects NaN as well.
+    let times_are_positive = class.deadline > 0.0 && class.latency_objective > 0.0;
+    if !times_are_positive {
         return Err(SettingsError::ClassTimes {
             index,
-            goal_time: class.latency_objective,
+            latency_objective: class.latency_objective,
             deadline: class.deadline,
         });
     }
@@ -48,7 +51,7 @@
     if limits.connect_timeout <= 0.0 || limits.idle_timeout <= 0.0 {
         return Err(SettingsError::ConnectionTimes {
             connect_timeout: limits.connect_timeout,
-            conn_idle: limits.idle_timeout,
+            idle_timeout: limits.idle_timeout,
         });
     }
     Ok(())
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Reading a settings object: defaults, units and the errors that name a key.
+//! Parsing of the settings object: values, defaults, units and error messages.
 
 use garnetcrank_policy::api::{Idempotency, KeyScope, ReplacementMode, VoteMode, ZoneId};
 use garnetcrank_settings::Settings;
 use serde_json::{Value, json};
 
-/// The smallest object that is accepted, with a key that is not known.
+/// Required keys only, and one unknown key.
 fn minimal_settings() -> Value {
     json!({
         "balancers": 2, "resolution": 5.0, "myZone": "north", "zones": ["south", "north"],
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn milliseconds_become_microseconds_and_missing_keys_get_their_defaults() {
-    let settings = Settings::read(&minimal_settings()).expect("settings");
+fn times_are_converted_to_microseconds_and_missing_keys_get_defaults() {
+    let settings = Settings::read(&minimal_settings()).expect("valid settings were rejected");
     assert_eq!(settings.config.classes[0].latency_objective, 400_000);
     assert_eq!((settings.config.zone, settings.config.retry_after), (ZoneId(1), Some(900_000)));
     assert_eq!(settings.config.rollout.exposure_caps, [0.2, 1.0]);
@@ -30,7 +30,7 @@
 
 #[test]
 fn an_error_names_the_invalid_key() {
-    for (pointer, value, named) in [
+    for (pointer, value, expected_path) in [
         ("/grades/0/deadline", json!("soon"), "grades[0].deadline"),
         ("/grades/0/effect", json!("odd"), "grades[0].effect"),
         ("/grades/0/goalTime", json!(0.0), "grades[0]"),
@@ -42,22 +42,22 @@
         ("/safety/fall", json!(null), "safety.fall"),
     ] {
         let mut invalid = minimal_settings();
-        *invalid.pointer_mut(pointer).expect("a key of the object") = value;
+        *invalid.pointer_mut(pointer).expect("the settings lack the key") = value;
         let message = Settings::read(&invalid).expect_err(pointer).to_string();
-        assert!(message.contains(named), "{named} is not in {message:?}");
+        assert!(message.contains(expected_path), "message {message:?} does not contain {expected_path:?}");
     }
 }
 
 #[test]
 fn duplicate_class_names_are_rejected() {
-    let mut twice = minimal_settings();
-    let class = twice["grades"][0].clone();
-    twice["grades"].as_array_mut().expect("a list").push(class);
-    let message = Settings::read(&twice).expect_err("accepted").to_string();
+    let mut settings = minimal_settings();
+    let class = settings["grades"][0].clone();
+    settings["grades"].as_array_mut().expect("grades is not a list").push(class);
+    let message = Settings::read(&settings).expect_err("duplicate class names were accepted").to_string();
     assert!(message.contains("grades[1].name"), "{message}");
 }
 
-/// An object with every key, none at its default.
+/// Every key, each with a value other than its default.
 fn full_settings() -> Value {
     json!({
         "balancers": 7, "me": 3, "resolution": 5.0, "kinds": ["box", "rack"],
@@ -84,7 +84,7 @@
 
 #[test]
 fn every_key_of_the_settings_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("settings");
+    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
     let config = &settings.config;
     assert_eq!((config.instance_count, config.instance_index, config.zone), (7, 3, ZoneId(1)));
     assert_eq!(
@@ -111,22 +111,22 @@
 
 #[test]
 fn every_key_of_a_class_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("settings");
-    let [look, book, pay] = &settings.config.classes[..] else { panic!("three classes") };
+    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
+    let [look, book, pay] = &settings.config.classes[..] else { panic!("expected three classes") };
     assert_eq!(
         (look.name.as_str(), look.idempotency, look.streamed),
         ("look", Idempotency::Idempotent, true)
     );
     assert_eq!((look.latency_objective, look.deadline), (400_000, 1_000_000));
     assert_eq!((look.priority_weight, look.late_priority_weight), (2.5, 0.5));
-    let by_key = Idempotency::Keyed { scope: KeyScope::Zone, window: 3_000_000 };
-    assert_eq!((book.idempotency, book.priority_weight, book.streamed), (by_key, 1.0, false));
+    let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: 3_000_000 };
+    assert_eq!((book.idempotency, book.priority_weight, book.streamed), (keyed, 1.0, false));
     assert_eq!((pay.idempotency, pay.late_priority_weight), (Idempotency::NonIdempotent, 0.0));
 }
 
 #[test]
 fn every_key_of_the_rollout_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("settings");
+    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
     let rollout = &settings.config.rollout;
     assert_eq!((rollout.mode, rollout.replacement), (VoteMode::Share, ReplacementMode::SideBySide));
     assert_eq!((&rollout.stages[..], &rollout.exposure_caps[..]), (&[0.1, 1.0][..], &[0.2, 1.0][..]));
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -1,43 +1,43 @@
-//! Batches of lines in, replies out, for all instances of one process.
+//! Processing of batches of input lines into replies, for all instances of one process.
 
 use std::any::Any;
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use garnetcrank_policy::api::{Action, Event, Micros};
-use garnetcrank_settings::micros;
+use garnetcrank_settings::micros_from_ms;
 
 use crate::error::ProtocolError;
 use crate::instance::Instance;
 use crate::protocol::{EndpointRow, Input, Output};
 
-/// The instances of one process and the batch under way.
+/// Instances of one process and the state of the open batch.
 #[derive(Default)]
 pub struct Adapter {
     instances: HashMap<u32, Instance>,
     endpoint_lists: HashMap<u32, Vec<EndpointRow>>,
     now: Micros,
-    /// Serial number of the batch under way.
+    /// Serial number of the open batch; `None` between batches.
     open_batch: Option<u64>,
     actions: Vec<Action>,
     reply: String,
 }
 
 impl Adapter {
-    /// Takes one line. Returns the reply to a batch with the batch's last line.
+    /// Processes one line. Returns the reply to the batch if the line ends it, `None` otherwise.
     ///
     /// # Errors
-    /// The line breaks the protocol; nothing of the batch's reply is to be written then.
-    pub fn handle_line(&mut self, text: &str) -> Result<Option<String>, ProtocolError> {
-        let line: Input = serde_json::from_str(text)?;
-        if let Input::BatchBegin { now, serial } = line {
+    /// The line violates the protocol. The reply to the open batch must then not be written, not even in part.
+    pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, ProtocolError> {
+        let input: Input = serde_json::from_str(line)?;
+        if let Input::BatchBegin { now, serial } = input {
             self.begin_batch(now, serial)?;
             return Ok(None);
         }
         let Some(serial) = self.open_batch else {
             return Err(ProtocolError::OutsideBatch);
         };
-        match line {
+        match input {
             Input::BatchEnd {} => return self.end_batch(serial).map(Some),
             Input::EndpointList { list_id, members } => {
                 self.endpoint_lists.insert(list_id, members);
@@ -57,7 +57,7 @@
         if let Some(open) = self.open_batch {
             return Err(ProtocolError::NestedBatch { serial, open });
         }
-        self.now = micros(now);
+        self.now = micros_from_ms(now);
         self.open_batch = Some(serial);
         Ok(())
     }
@@ -68,54 +68,55 @@
         Ok(std::mem::take(&mut self.reply))
     }
 
-    fn handle_event(&mut self, line: Input) -> Result<(), ProtocolError> {
-        let number = line.instance();
-        let Some(instance) = self.instances.get_mut(&number) else {
-            return Err(ProtocolError::UnknownInstance { instance: number });
+    fn handle_event(&mut self, input: Input) -> Result<(), ProtocolError> {
+        let instance_number = input.instance();
+        let Some(instance) = self.instances.get_mut(&instance_number) else {
+            return Err(ProtocolError::UnknownInstance { instance: instance_number });
         };
-        let Some(event) = instance.translate_event(line, &self.endpoint_lists)? else {
+        let Some(event) = instance.translate_event(input, &self.endpoint_lists)? else {
             return Ok(());
         };
         self.actions.clear();
         match run_policy(instance, self.now, event, &mut self.actions) {
             Ok(()) => {
                 for action in &self.actions {
-                    push_line(&mut self.reply, &instance.to_output(number, action))?;
+                    push_line(&mut self.reply, &instance.to_output(instance_number, action))?;
                 }
                 Ok(())
             }
-            Err(panic) => {
-                push_line(&mut self.reply, &Output::Panicked { instance: number, text: &panic.message })
-            }
+            Err(panic) => push_line(
+                &mut self.reply,
+                &Output::Panicked { instance: instance_number, text: &panic.message },
+            ),
         }
     }
 }
 
-/// A panic of the policy.
+/// Panic raised by the policy while it handled an event.
 struct PolicyPanic {
     message: String,
 }
 
-/// Hands an event to an instance's policy.
+/// Lets an instance's policy handle an event, and catches a panic.
 fn run_policy(
     instance: &mut Instance,
     now: Micros,
     event: Event,
     actions: &mut Vec<Action>,
 ) -> Result<(), PolicyPanic> {
-    let handled = catch_unwind(AssertUnwindSafe(|| instance.policy.handle(now, event, actions)));
-    handled.map_err(|panic| PolicyPanic { message: panic_message(panic.as_ref()).to_owned() })
+    let result = catch_unwind(AssertUnwindSafe(|| instance.policy.handle(now, event, actions)));
+    result.map_err(|payload| PolicyPanic { message: panic_message(payload.as_ref()).to_owned() })
 }
 
-fn panic_message(panic: &(dyn Any + Send)) -> &str {
-    if let Some(text) = panic.downcast_ref::<String>() {
-        return text;
+fn panic_message(payload: &(dyn Any + Send)) -> &str {
+    if let Some(message) = payload.downcast_ref::<String>() {
+        return message;
     }
-    panic.downcast_ref::<&str>().copied().unwrap_or("panic without words")
+    payload.downcast_ref::<&str>().copied().unwrap_or("panic with a payload that is not a string")
 }
 
-fn push_line(reply: &mut String, line: &Output) -> Result<(), ProtocolError> {
-    reply.push_str(&serde_json::to_string(line)?);
+fn push_line(reply: &mut String, output: &Output) -> Result<(), ProtocolError> {
+    reply.push_str(&serde_json::to_string(output)?);
     reply.push('\n');
     Ok(())
 }
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -1,82 +1,84 @@
-//! Why the adapter ends before the simulator does.
+//! Errors that end the adapter.
 
 use std::io;
 
-/// A fault of the input or of the pipes.
+/// Failure to read or write a line, or an invalid line.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A line could not be read.
-    #[error("line {line}: {source}")]
+    /// Failure to read a line.
+    #[error("reading line {line}: {source}")]
     Read {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: u64,
-        /// What failed.
+        /// Cause.
         source: io::Error,
     },
-    /// A line is not text.
-    #[error("line {line}: not UTF-8")]
+    /// Line that is not valid UTF-8.
+    #[error("line {line}: invalid UTF-8")]
     NotUtf8 {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: u64,
     },
-    /// A line breaks the protocol.
+    /// Line that violates the protocol.
     #[error("line {line}: {source}")]
     Protocol {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// Cause.
         source: ProtocolError,
     },
-    /// A reply could not be written.
-    #[error("{0}")]
+    /// Failure to write a reply.
+    #[error("writing a reply: {0}")]
     Write(#[from] io::Error),
 }
 
-/// What is wrong with a line of the simulator's.
+/// Violation of the simulator's protocol.
+///
+/// Messages use the protocol's names: an instance is a `front`, an endpoint list a `directory`.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// It is no line of the protocol, or a reply could not be serialized.
+    /// Line that is not valid JSON or does not match the protocol, or a reply that could not be serialized.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A batch begins inside another.
-    #[error("mark {serial} came before yourTurn of batch {open}")]
+    /// Start of a batch while another is open.
+    #[error("mark {serial}: batch {open} must be ended by yourTurn first")]
     NestedBatch {
-        /// The new batch.
+        /// Serial number of the new batch.
         serial: u64,
-        /// The one that is still open.
+        /// Serial number of the open batch.
         open: u64,
     },
-    /// A line outside a batch.
-    #[error("a line outside a batch: no mark came before it")]
+    /// Line outside a batch.
+    #[error("line outside a batch: a mark must come first")]
     OutsideBatch,
-    /// An event for an instance that does not run.
-    #[error("an event for front {instance}, which has not started")]
+    /// Event for an instance that is not running.
+    #[error("event for front {instance}, which is not running")]
     UnknownInstance {
-        /// The instance's number.
+        /// Instance number.
         instance: u32,
     },
-    /// An update refers to an endpoint list that was not sent.
-    #[error("fleet: directory {list_id} was never sent")]
+    /// Endpoint update that refers to an unknown endpoint list.
+    #[error("fleet: directory {list_id} has not been sent")]
     UnknownList {
-        /// The list's number.
+        /// Number of the endpoint list.
         list_id: u32,
     },
-    /// A class that the settings do not have.
-    #[error("class {name:?} is not among the grades of the settings")]
+    /// Class that the settings do not define.
+    #[error("unknown class {name:?}: not among the grades of the settings")]
     UnknownClass {
-        /// Its name.
+        /// Class name.
         name: String,
     },
-    /// A rollout phase that the protocol does not have.
+    /// Rollout phase outside the protocol's range.
     #[error("stepNews: course must be 0 to 3, got {phase}")]
     UnknownPhase {
-        /// Its number.
+        /// Phase number.
         phase: u8,
     },
-    /// A message that is not written in hex digits.
-    #[error("whisper: octets {text:?} are not hex digits")]
+    /// Gossip message that is not hex-encoded.
+    #[error("whisper: octets must be pairs of hex digits, got {text:?}")]
     NotHex {
-        /// What was given.
+        /// Received text.
         text: String,
     },
 }
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: translation between the simulator's lines and the policy's events and actions.
+//! One instance: translation of the simulator's lines to policy events, and of policy actions to lines.
 
 use std::collections::HashMap;
 
@@ -8,25 +8,25 @@
     EndpointUpdate, Event, KeyId, KindId, Micros, Outcome, PeerId, Request, RequestId, RolloutPhase,
     RolloutStatus, TenantId, Verdict, VoteResult, ZoneId,
 };
-use garnetcrank_settings::{Settings, micros};
+use garnetcrank_settings::{Settings, micros_from_ms};
 
 use crate::error::ProtocolError;
 use crate::name_table::NameTable;
 use crate::protocol::{
-    ALL_PEERS, EndpointAvailability, EndpointRow, FLAG_HINTED, FLAG_RETRY, Input, ListUpdateKind,
-    OutcomeCode, Output, Recipient, TenantRef, VOTE_ANSWER,
+    ALL_PEERS, EndpointAvailability, EndpointRow, FLAG_RETRY, FLAG_WORK_HINT, Input, ListUpdateKind,
+    OutcomeCode, Output, Recipient, TenantRef, VOTE_RESULT,
 };
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 const MICROS_PER_MS: f64 = 1000.0;
 
-fn millis(span: Micros) -> f64 {
-    span as f64 / MICROS_PER_MS
+fn ms_from_micros(duration: Micros) -> f64 {
+    duration as f64 / MICROS_PER_MS
 }
 
-/// An instance of the policy, and the numbers that it knows names by.
+/// An instance of the policy, and the tables that map the protocol's names to the policy's ids.
 pub struct Instance {
-    /// The decisions.
+    /// Policy that decides for this instance.
     pub policy: Policy,
     endpoints: NameTable,
     zones: NameTable,
@@ -37,7 +37,7 @@
 }
 
 impl Instance {
-    /// A new instance with these settings.
+    /// Creates an instance. `seed` seeds the policy's random numbers.
     pub fn new(seed: u64, settings: Settings) -> Self {
         Instance {
             policy: Policy::new(seed, settings.config),
@@ -50,33 +50,33 @@
         }
     }
 
-    /// The event that a line stands for; none if it holds nothing for the policy.
+    /// Translates a line to a policy event; `None` if the line carries none.
     ///
     /// # Errors
-    /// The line names a class, a list or a phase that does not exist, or a message that can't be decoded.
+    /// The line names an unknown class, endpoint list or phase, or holds a gossip message that is not hex-encoded.
     pub fn translate_event(
         &mut self,
-        line: Input,
-        lists: &HashMap<u32, Vec<EndpointRow>>,
+        input: Input,
+        endpoint_lists: &HashMap<u32, Vec<EndpointRow>>,
     ) -> Result<Option<Event>, ProtocolError> {
-        Ok(Some(match line {
+        Ok(Some(match input {
             Input::BatchBegin { .. }
             | Input::BatchEnd {}
             | Input::EndpointList { .. }
             | Input::StartInstance { .. }
             | Input::StopInstance { .. } => return Ok(None),
-            Input::EndpointUpdate { how, list_id, .. } => {
-                Event::EndpointsUpdated(self.endpoint_update(how, list_id, lists)?)
+            Input::EndpointUpdate { kind, list_id, .. } => {
+                Event::EndpointsUpdated(self.endpoint_update(kind, list_id, endpoint_lists)?)
             }
-            Input::RolloutStatus { build, stage, phase, how, outcome, exposure_cap, age, .. } => {
+            Input::RolloutStatus { build, stage, phase, kind, outcome, exposure_cap, age, .. } => {
                 let status = RolloutStatus {
                     build: Build(build),
                     stage,
                     phase: rollout_phase(phase)?,
                     exposure_cap,
-                    age: micros(age),
+                    age: micros_from_ms(age),
                 };
-                return Ok(rollout_event(how, outcome, status));
+                return Ok(rollout_event(kind, outcome, status));
             }
             Input::Timer { token, .. } => Event::Timer(token),
             Input::Gossip { from, bytes_hex, .. } => {
@@ -84,14 +84,14 @@
                 Event::GossipReceived { from: PeerId(from), bytes }
             }
             Input::Request { request, class, tenant, key, deadline, work_hint, flags, .. } => {
-                let hinted = flags & FLAG_HINTED != 0;
+                let has_work_hint = flags & FLAG_WORK_HINT != 0;
                 Event::Request(Request {
                     id: RequestId(request),
                     class: self.class(&class)?,
                     tenant: self.tenant(tenant),
                     key: key.map(|name| KeyId(self.keys.number_of(&name))),
-                    deadline: micros(deadline),
-                    work_hint: work_hint.filter(|work| hinted && *work > 0.0).map(micros),
+                    deadline: micros_from_ms(deadline),
+                    work_hint: work_hint.filter(|work| has_work_hint && *work > 0.0).map(micros_from_ms),
                     is_retry: flags & FLAG_RETRY != 0,
                 })
             }
@@ -110,7 +110,7 @@
                 id: RequestId(request),
                 attempt,
                 outcome: outcome.to_outcome(),
-                latency: micros(latency),
+                latency: micros_from_ms(latency),
                 request_finished,
                 load_report: load_report.unwrap_or_default(),
             }),
@@ -119,7 +119,7 @@
                 Event::HealthCheckCompleted {
                     endpoint: self.endpoint(&endpoint),
                     outcome: outcome.to_outcome(),
-                    latency: micros(latency),
+                    latency: micros_from_ms(latency),
                     load_report: load_report.unwrap_or_default(),
                 }
             }
@@ -128,18 +128,18 @@
                 class: self.class(&class)?,
                 count,
                 errors,
-                mean: micros(latency),
-                age: micros(age),
+                mean: micros_from_ms(latency),
+                age: micros_from_ms(age),
             },
             Input::AnswerFlagged { endpoint, age, class, .. } => Event::AnswerFlagged {
                 endpoint: self.endpoint(&endpoint),
                 class: self.class(&class)?,
-                age: micros(age),
+                age: micros_from_ms(age),
             },
         }))
     }
 
-    /// The line that an action becomes.
+    /// Translates an action of instance number `instance` to an output line.
     pub fn to_output<'a>(&'a self, instance: u32, action: &'a Action) -> Output<'a> {
         let name_of = |endpoint: &EndpointId| self.endpoints.name_of(endpoint.0);
         match action {
@@ -147,25 +147,25 @@
                 instance,
                 request: id.0,
                 endpoint: name_of(endpoint),
-                timeout: timeout.map(millis),
+                timeout: timeout.map(ms_from_micros),
             },
             Action::Cancel { id, attempt } => Output::Cancel { instance, request: id.0, attempt: *attempt },
             Action::Reject { id, retry_after } => {
-                Output::Reject { instance, request: id.0, retry_after: retry_after.map(millis) }
+                Output::Reject { instance, request: id.0, retry_after: retry_after.map(ms_from_micros) }
             }
             Action::Fail(id) => Output::Fail { instance, request: id.0 },
             Action::SetTimer { after, token } => {
-                Output::SetTimer { instance, delay: millis(*after), token: *token }
+                Output::SetTimer { instance, delay: ms_from_micros(*after), token: *token }
             }
             Action::HealthCheck(endpoint) => Output::HealthCheck { instance, endpoint: name_of(endpoint) },
             Action::CloseIdle(endpoint) => Output::CloseIdle { instance, endpoint: name_of(endpoint) },
             Action::SendGossip { to, bytes } => {
                 Output::SendGossip { instance, to: recipient(*to), bytes_hex: encode_hex(bytes) }
             }
-            Action::WatchEndpoints(want) => Output::WatchEndpoints { instance, want: *want },
+            Action::WatchEndpoints(enabled) => Output::WatchEndpoints { instance, enabled: *enabled },
             Action::PollEndpoints => Output::PollEndpoints { instance },
             Action::Vote { build, stage, verdict } => {
-                Output::Vote { instance, build: build.0, stage: *stage, how: verdict_code(*verdict) }
+                Output::Vote { instance, build: build.0, stage: *stage, verdict: verdict_code(*verdict) }
             }
             Action::Log(text) => Output::Log { instance, text },
         }
@@ -178,10 +178,10 @@
         }
     }
 
-    /// A tenant that the settings do not name counts as none.
+    /// Returns the id of a tenant; `None` if the settings do not name it.
     fn tenant(&self, tenant: Option<TenantRef>) -> Option<TenantId> {
         let Some(TenantRef::Name(name)) = tenant else { return None };
-        self.tenants.iter().position(|known| *known == name).map(TenantId)
+        self.tenants.iter().position(|known_name| *known_name == name).map(TenantId)
     }
 
     fn endpoint(&mut self, name: &str) -> EndpointId {
@@ -190,18 +190,18 @@
 
     fn endpoint_update(
         &mut self,
-        how: ListUpdateKind,
+        kind: ListUpdateKind,
         list_id: u32,
-        lists: &HashMap<u32, Vec<EndpointRow>>,
+        endpoint_lists: &HashMap<u32, Vec<EndpointRow>>,
     ) -> Result<EndpointUpdate, ProtocolError> {
-        if how == ListUpdateKind::Failed {
+        if kind == ListUpdateKind::Failed {
             return Ok(EndpointUpdate::Unavailable);
         }
-        let rows = lists.get(&list_id).ok_or(ProtocolError::UnknownList { list_id })?;
+        let rows = endpoint_lists.get(&list_id).ok_or(ProtocolError::UnknownList { list_id })?;
         let endpoints = rows.iter().map(|row| self.endpoint_record(row)).collect();
-        Ok(match how {
+        Ok(match kind {
             ListUpdateKind::Incremental => EndpointUpdate::Delta(endpoints),
-            _ => EndpointUpdate::Snapshot { endpoints, cached: how == ListUpdateKind::Saved },
+            _ => EndpointUpdate::Snapshot { endpoints, cached: kind == ListUpdateKind::Cached },
         })
     }
 
@@ -213,18 +213,18 @@
             cell: CellId(row.cell),
             build: Build(row.build as u32),
             status: match row.status {
-                EndpointAvailability::On => EndpointStatus::Active,
-                EndpointAvailability::Fading => EndpointStatus::Draining,
-                EndpointAvailability::Off => EndpointStatus::Removed,
+                EndpointAvailability::Active => EndpointStatus::Active,
+                EndpointAvailability::Draining => EndpointStatus::Draining,
+                EndpointAvailability::Removed => EndpointStatus::Removed,
             },
-            started: row.started.filter(|at| *at > 0.0).map(micros),
+            started: row.started.filter(|started| *started > 0.0).map(micros_from_ms),
             rating: row.rating,
         }
     }
 }
 
 impl Input {
-    /// The instance that a line belongs to; 0 for lines that belong to the batch.
+    /// Returns the number of the instance that a line belongs to; 0 for lines of the batch itself.
     pub fn instance(&self) -> u32 {
         match *self {
             Input::BatchBegin { .. } | Input::BatchEnd {} | Input::EndpointList { .. } => 0,
@@ -248,35 +248,37 @@
 impl OutcomeCode {
     fn to_outcome(self) -> Outcome {
         match self {
-            OutcomeCode::Pass => Outcome::Success,
-            OutcomeCode::Fault => Outcome::Error,
-            OutcomeCode::NoRoom => Outcome::Overloaded,
-            OutcomeCode::TooSlow => Outcome::TimedOut,
-            OutcomeCode::NoRoute => Outcome::ConnectFailed,
-            OutcomeCode::Cut => Outcome::ConnectionLost,
-            OutcomeCode::Undone => Outcome::Cancelled,
-            OutcomeCode::StaleSend => Outcome::NotSent,
+            OutcomeCode::Success => Outcome::Success,
+            OutcomeCode::Error => Outcome::Error,
+            OutcomeCode::Overloaded => Outcome::Overloaded,
+            OutcomeCode::TimedOut => Outcome::TimedOut,
+            OutcomeCode::ConnectFailed => Outcome::ConnectFailed,
+            OutcomeCode::ConnectionLost => Outcome::ConnectionLost,
+            OutcomeCode::Cancelled => Outcome::Cancelled,
+            OutcomeCode::NotSent => Outcome::NotSent,
         }
     }
 
     fn to_vote_result(self) -> VoteResult {
         match self {
-            OutcomeCode::Pass => VoteResult::Counted,
-            OutcomeCode::StaleSend => VoteResult::Obsolete,
-            OutcomeCode::NoRoom => VoteResult::RateLimited,
-            OutcomeCode::TooSlow => VoteResult::Unknown,
+            OutcomeCode::Success => VoteResult::Counted,
+            OutcomeCode::NotSent => VoteResult::Obsolete,
+            OutcomeCode::Overloaded => VoteResult::RateLimited,
+            OutcomeCode::TimedOut => VoteResult::Unknown,
             _ => VoteResult::Failed,
         }
     }
 }
 
-/// What a rollout line holds: the answer to a vote, or the state of the newest build where that is known.
-fn rollout_event(how: u8, outcome: OutcomeCode, status: RolloutStatus) -> Option<Event> {
-    let known = (outcome == OutcomeCode::Pass).then_some(status);
-    if how == VOTE_ANSWER {
-        return Some(Event::VoteCompleted(outcome.to_vote_result(), known));
+/// Returns the event of a rollout line: the result of a vote, or a changed status of the newest build.
+///
+/// The status is known only if `outcome` is a success; an update without one is no event.
+fn rollout_event(kind: u8, outcome: OutcomeCode, status: RolloutStatus) -> Option<Event> {
+    let known_status = (outcome == OutcomeCode::Success).then_some(status);
+    if kind == VOTE_RESULT {
+        return Some(Event::VoteCompleted(outcome.to_vote_result(), known_status));
     }
-    known.map(Event::RolloutUpdated)
+    known_status.map(Event::RolloutUpdated)
 }
 
 fn rollout_phase(phase: u8) -> Result<RolloutPhase, ProtocolError> {
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Adapter between the simulator's protocol, on standard input and output, and many instances of the policy.
 //!
-//! Malformed input ends the program with a message on standard error that names the line, and a non-zero exit code.
+//! Malformed input ends the program with a non-zero exit code and a message on standard error that names the line.
 
 #![warn(
     clippy::too_many_lines,
@@ -22,19 +22,19 @@
 use error::AdapterError;
 
 fn main() -> ExitCode {
-    // A panic of the policy is reported to the simulator; the default report would only repeat it.
+    // A panic of the policy is reported to the simulator; the default hook would report it a second time.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // If standard error is closed there is nowhere to report the error.
+            // A closed standard error leaves nowhere to report the failed write.
             let _ = writeln!(io::stderr(), "garnetcrank-sim-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Reads lines until the input ends, and writes a reply after each batch.
+/// Reads lines until end of input, and writes a reply after each batch.
 fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
@@ -42,9 +42,9 @@
     let mut bytes = Vec::new();
     for line in 1u64.. {
         bytes.clear();
-        let read =
+        let bytes_read =
             input.read_until(b'\n', &mut bytes).map_err(|source| AdapterError::Read { line, source })?;
-        if read == 0 {
+        if bytes_read == 0 {
             break;
         }
         let text = std::str::from_utf8(&bytes).map_err(|_| AdapterError::NotUtf8 { line })?;
--- a/crates/sim-adapter/src/name_table.rs
+++ b/crates/sim-adapter/src/name_table.rs
@@ -1,8 +1,8 @@
-//! Numbers for names, in the order in which an instance meets them.
+//! Interning of names: each name gets a number, in the order of first use.
 
 use std::collections::HashMap;
 
-/// Names and their numbers, from 0. A name keeps its number.
+/// Table of interned names. Numbers start at 0, and a name keeps its number.
 #[derive(Default)]
 pub struct NameTable {
     numbers: HashMap<String, u32>,
@@ -10,7 +10,7 @@
 }
 
 impl NameTable {
-    /// A table that knows these names already.
+    /// Creates a table that holds `names`, numbered in their order.
     pub fn with_names(names: &[String]) -> Self {
         let mut table = NameTable::default();
         for name in names {
@@ -19,10 +19,10 @@
         table
     }
 
-    /// The number of a name; a new one gets the next.
+    /// Returns the number of a name; a new name is added under the next number.
     pub fn number_of(&mut self, name: &str) -> u32 {
-        if let Some(&known) = self.numbers.get(name) {
-            return known;
+        if let Some(&number) = self.numbers.get(name) {
+            return number;
         }
         let number = self.names.len() as u32;
         self.names.push(name.to_owned());
@@ -30,7 +30,10 @@
         number
     }
 
-    /// The name of a number that [`NameTable::number_of`] gave.
+    /// Returns the name of a number that [`NameTable::number_of`] returned.
+    ///
+    /// # Panics
+    /// `number` was not returned by this table.
     pub fn name_of(&self, number: u32) -> &str {
         &self.names[number as usize]
     }
--- a/crates/sim-adapter/src/protocol.rs
+++ b/crates/sim-adapter/src/protocol.rs
@@ -1,42 +1,42 @@
-//! Lines of the simulator's protocol: their keys and shapes, before any meaning.
+//! Lines of the simulator's protocol: JSON objects with a command (`cmd`) and its keys.
 //!
-//! Commands and keys are named by the protocol; where the Rust name differs, `rename` gives the protocol's. Times are
-//! milliseconds. `front` is the number of the instance that a line belongs to. Unknown keys are ignored.
+//! Where a Rust name differs from the protocol's, `rename` gives the protocol's. Times are in milliseconds. `instance`
+//! (`front` in the protocol) is the number of the instance that a line belongs to. Unknown keys are ignored.
 
 use garnetcrank_settings::Settings;
 use serde::{Deserialize, Serialize};
 
-/// Rating of an endpoint that states none.
+/// Rating of an endpoint without an explicit rating.
 const DEFAULT_RATING: f64 = 1.0;
 
-/// The recipient of a message to every instance.
+/// Recipient of a gossip message to every instance.
 pub const ALL_PEERS: &str = "all";
-/// Bit of [`Input::Request::flags`]: the work hint counts.
-pub const FLAG_HINTED: u32 = 1;
-/// Bit of [`Input::Request::flags`]: the client sends the request again.
+/// Bit of [`Input::Request::flags`] for a request whose work hint is valid.
+pub const FLAG_WORK_HINT: u32 = 1;
+/// Bit of [`Input::Request::flags`] for a retry by the client.
 pub const FLAG_RETRY: u32 = 2;
-/// Value of [`Input::RolloutStatus::how`]: the answer to a vote of this instance.
-pub const VOTE_ANSWER: u8 = 1;
+/// Value of [`Input::RolloutStatus::kind`] for the result of this instance's vote.
+pub const VOTE_RESULT: u8 = 1;
 
 fn default_rating() -> f64 {
     DEFAULT_RATING
 }
 
-/// One line of a batch, as the simulator writes it.
+/// One input line.
 #[derive(Deserialize)]
 #[serde(tag = "cmd", rename_all = "camelCase")]
 pub enum Input {
-    /// A batch begins at this time.
+    /// Start of a batch, with the current time.
     #[serde(rename = "mark")]
     BatchBegin {
         #[serde(rename = "wall")]
         now: f64,
         serial: u64,
     },
-    /// The batch is complete: its reply is due.
+    /// End of the batch; the simulator waits for the reply.
     #[serde(rename = "yourTurn")]
     BatchEnd {},
-    /// An endpoint list, which later lines of the batch refer to by its number.
+    /// Endpoint list that later lines of the batch refer to by `list_id`. It replaces an earlier one of that number.
     #[serde(rename = "directory")]
     EndpointList {
         #[serde(rename = "rosterId")]
@@ -44,7 +44,7 @@
         #[serde(rename = "membersList")]
         members: Vec<EndpointRow>,
     },
-    /// An instance starts.
+    /// Start of an instance.
     #[serde(rename = "newInstance")]
     StartInstance {
         #[serde(rename = "front")]
@@ -53,22 +53,23 @@
         seed: u64,
         config: Box<Settings>,
     },
-    /// An instance stops; nothing of it is kept.
+    /// End of an instance, which discards its state.
     #[serde(rename = "retire")]
     StopInstance {
         #[serde(rename = "front")]
         instance: u32,
     },
-    /// An endpoint update for one instance.
+    /// Endpoint update for one instance.
     #[serde(rename = "fleet")]
     EndpointUpdate {
         #[serde(rename = "front")]
         instance: u32,
-        how: ListUpdateKind,
+        #[serde(rename = "how")]
+        kind: ListUpdateKind,
         #[serde(rename = "rosterId", default)]
         list_id: u32,
     },
-    /// A request arrived.
+    /// Arrival of a client's request.
     #[serde(rename = "ingress")]
     Request {
         #[serde(rename = "front")]
@@ -87,7 +88,7 @@
         #[serde(rename = "bits", default)]
         flags: u32,
     },
-    /// The response to an attempt has started.
+    /// Start of the response to an attempt.
     #[serde(rename = "underWay")]
     ResponseStarted {
         #[serde(rename = "front")]
@@ -97,7 +98,7 @@
         #[serde(rename = "roundNo", default)]
         attempt: usize,
     },
-    /// An attempt ended.
+    /// End of an attempt.
     #[serde(rename = "done")]
     AttemptCompleted {
         #[serde(rename = "front")]
@@ -114,7 +115,7 @@
         #[serde(rename = "usage", default)]
         load_report: Option<Vec<f64>>,
     },
-    /// The client has disconnected.
+    /// Disconnect of the client before its request was finished.
     #[serde(rename = "aborted")]
     ClientDisconnected {
         #[serde(rename = "front")]
@@ -122,7 +123,7 @@
         #[serde(rename = "opId")]
         request: u32,
     },
-    /// A timer is due.
+    /// Expiry of a timer.
     #[serde(rename = "ring")]
     Timer {
         #[serde(rename = "front")]
@@ -130,7 +131,7 @@
         #[serde(rename = "cookie", default)]
         token: u64,
     },
-    /// A health check ended.
+    /// End of a health check.
     #[serde(rename = "healthResult")]
     HealthCheckCompleted {
         #[serde(rename = "front")]
@@ -143,7 +144,7 @@
         #[serde(rename = "usage", default)]
         load_report: Option<Vec<f64>>,
     },
-    /// A message of another instance.
+    /// Gossip message from another instance.
     #[serde(rename = "whisper")]
     Gossip {
         #[serde(rename = "front")]
@@ -153,7 +154,7 @@
         #[serde(rename = "octets", default)]
         bytes_hex: String,
     },
-    /// The state of the newest build, or the answer to a vote.
+    /// Rollout status of the newest build, or the result of a vote.
     #[serde(rename = "stepNews")]
     RolloutStatus {
         #[serde(rename = "front")]
@@ -164,15 +165,15 @@
         stage: usize,
         #[serde(rename = "course", default)]
         phase: u8,
-        #[serde(default)]
-        how: u8,
+        #[serde(rename = "how", default)]
+        kind: u8,
         outcome: OutcomeCode,
         #[serde(rename = "limitShare", default)]
         exposure_cap: f64,
         #[serde(rename = "behind", default)]
         age: f64,
     },
-    /// The counts of one build and class over a past period.
+    /// Outcome counts of one build and class over a past period.
     #[serde(rename = "scorecard")]
     BuildTally {
         #[serde(rename = "front")]
@@ -189,7 +190,7 @@
         #[serde(default)]
         count: u32,
     },
-    /// A client found an answer wrong.
+    /// Report of a client that a response was wrong.
     #[serde(rename = "reportedWrong")]
     AnswerFlagged {
         #[serde(rename = "front")]
@@ -202,7 +203,7 @@
     },
 }
 
-/// A tenant's name; sites without tenants may send a number.
+/// Tenant of a request: a name, or a number from a deployment without tenants.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum TenantRef {
@@ -210,31 +211,43 @@
     Number(#[allow(dead_code)] f64),
 }
 
-/// What an update of the endpoint list holds.
+/// Kind of an endpoint update.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ListUpdateKind {
+    /// Changed endpoints only.
     Incremental,
+    /// Complete endpoint list.
     Full,
-    Saved,
+    /// Complete endpoint list from an earlier run, which may be outdated.
+    #[serde(rename = "SAVED")]
+    Cached,
+    /// Failed poll or broken watch stream.
     Failed,
 }
 
-/// How an attempt, a health check or a vote ended.
+/// Outcome of an attempt, a health check or a vote.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
-#[serde(rename_all = "snake_case")]
 pub enum OutcomeCode {
-    Pass,
-    Fault,
-    NoRoom,
-    TooSlow,
-    NoRoute,
-    Cut,
-    Undone,
-    StaleSend,
+    #[serde(rename = "pass")]
+    Success,
+    #[serde(rename = "fault")]
+    Error,
+    #[serde(rename = "no_room")]
+    Overloaded,
+    #[serde(rename = "too_slow")]
+    TimedOut,
+    #[serde(rename = "no_route")]
+    ConnectFailed,
+    #[serde(rename = "cut")]
+    ConnectionLost,
+    #[serde(rename = "undone")]
+    Cancelled,
+    #[serde(rename = "stale_send")]
+    NotSent,
 }
 
-/// One line of an endpoint list.
+/// Entry of an endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndpointRow {
@@ -256,20 +269,22 @@
     pub rating: f64,
 }
 
-/// Whether an endpoint runs, drains or is gone.
+/// Status of an endpoint in an endpoint list.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "lowercase")]
 pub enum EndpointAvailability {
-    On,
-    Fading,
-    Off,
+    #[serde(rename = "on")]
+    Active,
+    #[serde(rename = "fading")]
+    Draining,
+    #[serde(rename = "off")]
+    Removed,
 }
 
-/// One line of a reply.
+/// One line of a reply: a command to the simulator, or a report.
 #[derive(Serialize)]
 #[serde(tag = "cmd", rename_all = "camelCase")]
 pub enum Output<'a> {
-    /// Start an attempt.
+    /// Command to start an attempt.
     #[serde(rename = "place")]
     Forward {
         #[serde(rename = "front")]
@@ -281,7 +296,7 @@
         #[serde(rename = "tryFor", skip_serializing_if = "Option::is_none")]
         timeout: Option<f64>,
     },
-    /// Stop waiting for an attempt.
+    /// Command to cancel an attempt.
     #[serde(rename = "retract")]
     Cancel {
         #[serde(rename = "front")]
@@ -291,7 +306,7 @@
         #[serde(rename = "roundNo")]
         attempt: usize,
     },
-    /// Final answer: rejected; safe to send again.
+    /// Final answer to a rejected request, which did not run and may be retried.
     #[serde(rename = "turnAway")]
     Reject {
         #[serde(rename = "front")]
@@ -301,14 +316,14 @@
         #[serde(rename = "notBeforeFor", skip_serializing_if = "Option::is_none")]
         retry_after: Option<f64>,
     },
-    /// Final answer: failed; the request may have run.
+    /// Final answer to a failed request, which may have run.
     Fail {
         #[serde(rename = "front")]
         instance: u32,
         #[serde(rename = "opId")]
         request: u32,
     },
-    /// Set a timer.
+    /// Command to set a timer.
     #[serde(rename = "after")]
     SetTimer {
         #[serde(rename = "front")]
@@ -317,7 +332,7 @@
         #[serde(rename = "cookie")]
         token: u64,
     },
-    /// Check the health of an endpoint.
+    /// Command to check the health of an endpoint.
     #[serde(rename = "test")]
     HealthCheck {
         #[serde(rename = "front")]
@@ -325,7 +340,7 @@
         #[serde(rename = "machine")]
         endpoint: &'a str,
     },
-    /// Close idle connections to an endpoint.
+    /// Command to close the idle connections to an endpoint.
     #[serde(rename = "release")]
     CloseIdle {
         #[serde(rename = "front")]
@@ -333,7 +348,7 @@
         #[serde(rename = "machine")]
         endpoint: &'a str,
     },
-    /// Send a message to other instances.
+    /// Gossip message to other instances.
     #[serde(rename = "notify")]
     SendGossip {
         #[serde(rename = "front")]
@@ -343,20 +358,21 @@
         #[serde(rename = "octets")]
         bytes_hex: String,
     },
-    /// Watch changes of the endpoint list, or no longer.
+    /// Command to start or stop watching the endpoint list.
     #[serde(rename = "streamChanges")]
     WatchEndpoints {
         #[serde(rename = "front")]
         instance: u32,
-        want: bool,
+        #[serde(rename = "want")]
+        enabled: bool,
     },
-    /// Ask for the whole endpoint list once.
+    /// Command to poll the endpoint list once.
     #[serde(rename = "queryAll")]
     PollEndpoints {
         #[serde(rename = "front")]
         instance: u32,
     },
-    /// Cast a vote.
+    /// Vote on a build.
     Vote {
         #[serde(rename = "front")]
         instance: u32,
@@ -364,9 +380,10 @@
         build: u32,
         #[serde(rename = "wave")]
         stage: usize,
-        how: u8,
+        #[serde(rename = "how")]
+        verdict: u8,
     },
-    /// A log line.
+    /// Log line of the policy.
     #[serde(rename = "journalLine")]
     Log {
         #[serde(rename = "front")]
@@ -374,7 +391,7 @@
         #[serde(rename = "words")]
         text: &'a str,
     },
-    /// The decisions panicked.
+    /// Panic of the policy.
     #[serde(rename = "broken")]
     Panicked {
         #[serde(rename = "front")]
@@ -382,16 +399,16 @@
         #[serde(rename = "words")]
         text: &'a str,
     },
-    /// The reply to a batch is complete.
+    /// End of the reply to a batch.
     #[serde(rename = "finished")]
     BatchDone { serial: u64 },
 }
 
-/// Who gets a message.
+/// Recipient of a gossip message.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum Recipient {
-    /// One instance, by its number.
+    /// Number of one instance.
     Peer(u32),
     /// Every instance; always [`ALL_PEERS`].
     All(&'static str),
--- a/crates/sim-adapter/tests/transcripts.rs
+++ b/crates/sim-adapter/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the wire through the real binary: replies, recycled lists, malformed input.
+//! Batches sent to the compiled adapter: its replies, reused endpoint list ids and malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,24 +9,28 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("failed to start the adapter");
     // The adapter may stop reading at the first malformed line.
-    let _ = child.stdin.take().expect("a pipe").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    let _ = child.stdin.take().expect("standard input is not piped").write_all(input.as_bytes());
+    child.wait_with_output().expect("failed to wait for the adapter")
 }
 
+/// Runs the adapter, which must succeed; returns the lines of its replies.
 fn replies(input: &str) -> Vec<serde_json::Value> {
     let output = run(input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let text = String::from_utf8(output.stdout).expect("UTF-8");
-    text.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect()
+    let text = String::from_utf8(output.stdout).expect("standard output is not UTF-8");
+    text.lines().map(|line| serde_json::from_str(line).expect("reply line is not JSON")).collect()
 }
 
-/// The message of a run that must fail.
-fn complaint(input: &str) -> (String, String) {
+/// Runs the adapter, which must fail; returns its standard error and standard output.
+fn failing_run(input: &str) -> (String, String) {
     let output = run(input);
-    assert!(!output.status.success(), "accepted: {input}");
-    (String::from_utf8(output.stderr).expect("UTF-8"), String::from_utf8(output.stdout).expect("UTF-8"))
+    assert!(!output.status.success(), "the adapter accepted invalid input: {input}");
+    (
+        String::from_utf8(output.stderr).expect("standard error is not UTF-8"),
+        String::from_utf8(output.stdout).expect("standard output is not UTF-8"),
+    )
 }
 
 const CONFIG: &str = r#"{"balancers":2,"grades":[
@@ -39,11 +43,12 @@
 "specifics":{"voteMode":"timer","ballotTtl":4000.0,"voteWait":800.0,"exposureWindow":3000.0,"spareTries":2.0,
 "steps":[0.1,1.0],"mostShares":[0.2,1.0],"movesAfter":2500.0},"zones":["north","south"]}"#;
 
-fn start(front: u32) -> String {
+/// Lines that start instance `front` with two endpoints of a released build.
+fn start_instance(front: u32) -> String {
     let config = CONFIG.replace('\n', "");
     format!(
         "{{\"cmd\":\"newInstance\",\"front\":{front},\"initSeed\":7,\"config\":{config}}}\n{}\n{}\n{}\n",
-        list(front, &["a:1", "b:1"]),
+        endpoint_list(front, &["a:1", "b:1"]),
         format_args!(
             "{{\"cmd\":\"fleet\",\"front\":{front},\"index\":1,\"how\":\"SAVED\",\"rosterId\":{front}}}"
         ),
@@ -54,109 +59,117 @@
     )
 }
 
-fn list(id: u32, machines: &[&str]) -> String {
-    let rows: Vec<String> = machines
+fn endpoint_list(list_id: u32, endpoints: &[&str]) -> String {
+    let rows: Vec<String> = endpoints
         .iter()
-        .map(|m| {
+        .map(|endpoint| {
             format!(
                 "{{\"flavor\":\"box\",\"unitGroup\":0,\"dc\":\"north\",\"availability\":\"on\",\
-                 \"machine\":\"{m}\",\"build\":4,\"rating\":1}}"
+                 \"machine\":\"{endpoint}\",\"build\":4,\"rating\":1}}"
             )
         })
         .collect();
-    format!("{{\"cmd\":\"directory\",\"rosterId\":{id},\"membersList\":[{}]}}", rows.join(","))
+    format!("{{\"cmd\":\"directory\",\"rosterId\":{list_id},\"membersList\":[{}]}}", rows.join(","))
 }
 
-fn ingress(front: u32, id: u32, class: &str) -> String {
+fn request(front: u32, id: u32, class: &str) -> String {
     format!(
         "{{\"cmd\":\"ingress\",\"front\":{front},\"opId\":{id},\"class\":\"{class}\",\
          \"clientDeadline\":2000.0,\"cost\":12.0,\"bits\":1,\"unheardOf\":true}}\n"
     )
 }
 
-fn batch(wall: f64, serial: u64, body: &str) -> String {
-    format!("{{\"cmd\":\"mark\",\"wall\":{wall},\"serial\":{serial}}}\n{body}{{\"cmd\":\"yourTurn\"}}\n")
+fn batch(now: f64, serial: u64, body: &str) -> String {
+    format!("{{\"cmd\":\"mark\",\"wall\":{now},\"serial\":{serial}}}\n{body}{{\"cmd\":\"yourTurn\"}}\n")
 }
 
-fn named<'a>(all: &'a [serde_json::Value], cmd: &str) -> Vec<&'a serde_json::Value> {
-    all.iter().filter(|v| v["cmd"] == cmd).collect()
+fn with_command<'a>(replies: &'a [serde_json::Value], cmd: &str) -> Vec<&'a serde_json::Value> {
+    replies.iter().filter(|reply| reply["cmd"] == cmd).collect()
 }
 
 #[test]
-fn an_empty_batch_is_answered_with_its_number() {
-    let all = replies(&batch(8412.25, 41, ""));
-    assert_eq!(all, [serde_json::json!({"cmd": "finished", "serial": 41})]);
+fn the_reply_to_an_empty_batch_holds_only_its_serial_number() {
+    let replies = replies(&batch(8412.25, 41, ""));
+    assert_eq!(replies, [serde_json::json!({"cmd": "finished", "serial": 41})]);
 }
 
 #[test]
-fn a_request_is_placed_and_its_outcome_ends_it() {
-    let done = "{\"cmd\":\"done\",\"front\":3,\"opId\":9,\"roundNo\":0,\"machine\":\"a:1\",\
+fn a_request_is_forwarded_once_and_finished_by_a_success() {
+    let completed = "{\"cmd\":\"done\",\"front\":3,\"opId\":9,\"roundNo\":0,\"machine\":\"a:1\",\
                 \"outcome\":\"pass\",\"lag\":18.5,\"ended\":true}\n";
-    let input =
-        batch(1000.0, 1, &start(3)) + &batch(1005.0, 2, &ingress(3, 9, "look")) + &batch(1030.0, 3, done);
-    let all = replies(&input);
-    let places = named(&all, "place");
-    assert_eq!(places.len(), 1);
-    assert_eq!((&places[0]["front"], &places[0]["opId"]), (&3.into(), &9.into()));
-    assert!(["a:1", "b:1"].contains(&places[0]["machine"].as_str().expect("a name")));
-    assert_eq!(places[0]["tryFor"], 400.0);
-    assert_eq!(named(&all, "finished").len(), 3);
-    assert!(named(&all, "fail").is_empty() && named(&all, "turnAway").is_empty());
-}
-
+    let input = batch(1000.0, 1, &start_instance(3))
+        + &batch(1005.0, 2, &request(3, 9, "look"))
+        + &batch(1030.0, 3, completed);
+    let replies = replies(&input);
+    let forwards = with_command(&replies, "place");
+    assert_eq!(forwards.len(), 1);
+    assert_eq!((&forwards[0]["front"], &forwards[0]["opId"]), (&3.into(), &9.into()));
+    assert!(["a:1", "b:1"].contains(&forwards[0]["machine"].as_str().expect("machine is not a string")));
+    assert_eq!(forwards[0]["tryFor"], 400.0);
+    assert_eq!(with_command(&replies, "finished").len(), 3);
+    assert!(with_command(&replies, "fail").is_empty() && with_command(&replies, "turnAway").is_empty());
+}
+
+/// Failure: an update gets a later endpoint list, as a batch may define one list id twice.
 #[test]
-fn a_list_number_is_resolved_where_it_stands_though_used_again_in_the_batch() {
-    let use_list = "{\"cmd\":\"fleet\",\"front\":3,\"index\":2,\"how\":\"FULL\",\"rosterId\":5}\n";
+fn an_endpoint_list_id_refers_to_the_latest_list_before_the_update() {
+    let update = "{\"cmd\":\"fleet\",\"front\":3,\"index\":2,\"how\":\"FULL\",\"rosterId\":5}\n";
     let body = format!(
-        "{}\n{use_list}{}{}\n{use_list}{}",
-        list(5, &["c:1"]),
-        ingress(3, 1, "look"),
-        list(5, &["d:1"]),
-        ingress(3, 2, "look")
+        "{}\n{update}{}{}\n{update}{}",
+        endpoint_list(5, &["c:1"]),
+        request(3, 1, "look"),
+        endpoint_list(5, &["d:1"]),
+        request(3, 2, "look")
     );
-    let all = replies(&(batch(1000.0, 1, &start(3)) + &batch(1005.0, 2, &body)));
-    let machines: Vec<_> = named(&all, "place").iter().map(|p| p["machine"].clone()).collect();
-    assert_eq!(machines, ["c:1", "d:1"]);
+    let replies = replies(&(batch(1000.0, 1, &start_instance(3)) + &batch(1005.0, 2, &body)));
+    let endpoints: Vec<_> =
+        with_command(&replies, "place").iter().map(|forward| forward["machine"].clone()).collect();
+    assert_eq!(endpoints, ["c:1", "d:1"]);
 }
 
 #[test]
-fn an_instance_acts_alike_whatever_stands_beside_it() {
-    let story = |others: bool| {
-        let beside = |text: String| if others { text } else { String::new() };
-        let mut input = batch(1000.0, 1, &(beside(start(1)) + &start(3) + &beside(start(8))));
+fn the_replies_of_an_instance_do_not_depend_on_other_instances() {
+    let replies_of_instance = |with_others: bool| {
+        let other = |lines: String| if with_others { lines } else { String::new() };
+        let mut input =
+            batch(1000.0, 1, &(other(start_instance(1)) + &start_instance(3) + &other(start_instance(8))));
         for i in 0..40u32 {
             let body =
-                beside(ingress(1, 500 + i, "pay")) + &ingress(3, i, "look") + &beside(ingress(8, i, "book"));
+                other(request(1, 500 + i, "pay")) + &request(3, i, "look") + &other(request(8, i, "book"));
             input += &batch(1005.0 + 5.0 * f64::from(i), 2 + u64::from(i), &body);
         }
-        replies(&input).into_iter().filter(|v| v["front"] == 3).collect::<Vec<_>>()
+        replies(&input).into_iter().filter(|reply| reply["front"] == 3).collect::<Vec<_>>()
     };
-    let alone = story(false);
-    assert_eq!(named(&alone, "place").len(), 40);
-    assert_eq!(alone, story(true));
+    let alone = replies_of_instance(false);
+    assert_eq!(with_command(&alone, "place").len(), 40);
+    assert_eq!(alone, replies_of_instance(true));
 }
 
 #[test]
-fn a_stopped_instance_is_forgotten_and_may_start_again() {
-    let again = format!("{{\"cmd\":\"retire\",\"front\":3}}\n{}", start(3));
-    let stray = batch(1010.0, 3, &ingress(3, 2, "look"));
-    let all = replies(
-        &(batch(1000.0, 1, &(start(3) + &ingress(3, 1, "look"))) + &batch(1005.0, 2, &again) + &stray),
+fn a_stopped_instance_rejects_events_until_it_is_restarted() {
+    let restart = format!("{{\"cmd\":\"retire\",\"front\":3}}\n{}", start_instance(3));
+    let next_request = batch(1010.0, 3, &request(3, 2, "look"));
+    let replies = replies(
+        &(batch(1000.0, 1, &(start_instance(3) + &request(3, 1, "look")))
+            + &batch(1005.0, 2, &restart)
+            + &next_request),
     );
-    assert_eq!(named(&all, "place").len(), 2);
-    let (message, _) = complaint(
-        &(batch(1000.0, 1, &start(3)) + &batch(1005.0, 2, "{\"cmd\":\"retire\",\"front\":3}\n") + &stray),
+    assert_eq!(with_command(&replies, "place").len(), 2);
+    let (message, _) = failing_run(
+        &(batch(1000.0, 1, &start_instance(3))
+            + &batch(1005.0, 2, "{\"cmd\":\"retire\",\"front\":3}\n")
+            + &next_request),
     );
     assert!(message.contains("front 3"), "{message}");
 }
 
 #[test]
-fn every_outcome_event_and_status_is_understood() {
+fn every_event_and_outcome_of_the_protocol_is_accepted() {
     let mut body = String::new();
     for (i, outcome) in
         ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"].iter().enumerate()
     {
-        body += &ingress(3, i as u32, "look");
+        body += &request(3, i as u32, "look");
         body += &format!(
             "{{\"cmd\":\"done\",\"front\":3,\"opId\":{i},\"roundNo\":0,\"machine\":\"a:1\",\
              \"outcome\":\"{outcome}\",\"lag\":1.5,\"usage\":[0.5]}}\n"
@@ -172,46 +185,53 @@
              {\"cmd\":\"scorecard\",\"front\":3,\"lag\":21.5,\"class\":\"pay\",\"release\":4,\"errors\":4,\"behind\":9.0,\"count\":180}\n\
              {\"cmd\":\"reportedWrong\",\"front\":3,\"machine\":\"zz:9\",\"behind\":2400.0,\"class\":\"pay\"}\n\
              {\"cmd\":\"fleet\",\"front\":3,\"index\":9,\"how\":\"FAILED\",\"rosterId\":14}\n";
-    let all = replies(&(batch(1000.0, 1, &start(3)) + &batch(1005.0, 2, &body)));
-    assert_eq!(named(&all, "finished").len(), 2);
-    assert!(named(&all, "broken").is_empty());
+    let replies = replies(&(batch(1000.0, 1, &start_instance(3)) + &batch(1005.0, 2, &body)));
+    assert_eq!(with_command(&replies, "finished").len(), 2);
+    assert!(with_command(&replies, "broken").is_empty());
 }
 
 #[test]
-fn malformed_input_is_named_and_ends_the_run_without_half_a_reply() {
-    let good = batch(1000.0, 1, &start(3));
-    let needs = |body: &str, words: &[&str]| {
+fn malformed_input_is_reported_and_leaves_no_partial_reply() {
+    let valid_batch = batch(1000.0, 1, &start_instance(3));
+    let assert_rejected = |body: &str, expected_parts: &[&str]| {
         let (message, output) =
-            complaint(&(good.clone() + &batch(1005.0, 2, &(ingress(3, 1, "look") + body))));
-        for word in words {
-            assert!(message.contains(word), "{word:?} is not in {message:?}");
+            failing_run(&(valid_batch.clone() + &batch(1005.0, 2, &(request(3, 1, "look") + body))));
+        for part in expected_parts {
+            assert!(message.contains(part), "message {message:?} does not contain {part:?}");
         }
-        assert_eq!(output.lines().last(), Some("{\"cmd\":\"finished\",\"serial\":1}"), "half a reply");
+        assert_eq!(
+            output.lines().last(),
+            Some("{\"cmd\":\"finished\",\"serial\":1}"),
+            "the reply to the rejected batch was written in part"
+        );
     };
-    needs("{\"cmd\":\"ring\",\n", &["line"]);
-    needs("{\"cmd\":\"earthquake\",\"front\":3}\n", &["line 9", "earthquake"]);
-    needs("{\"cmd\":\"fleet\",\"front\":3,\"how\":\"FULL\",\"rosterId\":13}\n", &["line 9", "directory 13"]);
-    needs("{\"cmd\":\"ring\",\"front\":44,\"cookie\":1}\n", &["line 9", "front 44"]);
-    needs(&ingress(3, 2, "unheard-of"), &["line 9", "unheard-of"]);
-    needs("{\"cmd\":\"ring\",\"cookie\":1}\n", &["line 9", "front"]);
-    needs("{\"cmd\":\"whisper\",\"front\":3,\"sender\":1,\"octets\":\"6g\"}\n", &["line 9", "6g"]);
-    needs("{\"cmd\":\"mark\",\"wall\":1.0,\"serial\":3}\n", &["line 9", "mark 3"]);
+    assert_rejected("{\"cmd\":\"ring\",\n", &["line"]);
+    assert_rejected("{\"cmd\":\"earthquake\",\"front\":3}\n", &["line 9", "earthquake"]);
+    assert_rejected(
+        "{\"cmd\":\"fleet\",\"front\":3,\"how\":\"FULL\",\"rosterId\":13}\n",
+        &["line 9", "directory 13"],
+    );
+    assert_rejected("{\"cmd\":\"ring\",\"front\":44,\"cookie\":1}\n", &["line 9", "front 44"]);
+    assert_rejected(&request(3, 2, "unheard-of"), &["line 9", "unheard-of"]);
+    assert_rejected("{\"cmd\":\"ring\",\"cookie\":1}\n", &["line 9", "front"]);
+    assert_rejected("{\"cmd\":\"whisper\",\"front\":3,\"sender\":1,\"octets\":\"6g\"}\n", &["line 9", "6g"]);
+    assert_rejected("{\"cmd\":\"mark\",\"wall\":1.0,\"serial\":3}\n", &["line 9", "mark 3"]);
 }
 
 #[test]
-fn a_missing_setting_is_named() {
+fn a_missing_setting_is_reported_by_its_key() {
     for key in
         ["balancers", "grades", "resolution", "limits", "safety", "specifics", "ballotTtl", "warmAfter"]
     {
         let (message, output) =
-            complaint(&batch(1000.0, 1, &start(3)).replace(&format!("\"{key}\""), "\"gone\""));
+            failing_run(&batch(1000.0, 1, &start_instance(3)).replace(&format!("\"{key}\""), "\"gone\""));
         assert!(message.contains(key) && message.contains("line 2"), "{key}: {message}");
         assert!(output.is_empty());
     }
 }
 
 #[test]
-fn a_line_outside_a_batch_is_refused() {
-    let (message, _) = complaint("{\"cmd\":\"yourTurn\"}\n");
+fn a_line_outside_a_batch_is_rejected() {
+    let (message, _) = failing_run("{\"cmd\":\"yourTurn\"}\n");
     assert!(message.contains("line 1") && message.contains("batch"), "{message}");
 }
