--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,20 +1,20 @@
-//! The concurrency limit, and classes that are mostly failing.
+//! Admission of requests: the concurrency limit, and classes that are mostly failing.
 
 mod common;
 
 use common::{
-    BOOK, Harness, MS, OLD, PAY, READ, config, endpoint_record, forwarded_to, large_tier, released_fleet,
-    rollout_status,
+    BOOK, Harness, MS, OLD, PAY, READ, config, endpoint_record, forwarded_to, large_tier_config,
+    released_fleet, rollout_status,
 };
 use garnetcrank_policy::api::{ClassId, Event, Micros, Outcome, Request, RequestId, RolloutPhase};
 
-/// How many of twenty requests at once are admitted after minutes in which every answer was late, for an
-/// instance that had `open` requests in flight while all went well.
-fn admitted_under_overload(open: usize) -> usize {
-    let mut harness = Harness::new(large_tier(300, 15));
-    harness.set_endpoints((1..=30).map(|m| endpoint_record(m, OLD)).collect());
-    let round = |harness: &mut Harness, first: usize, latency: Micros, outcome: Outcome| {
-        let ids: Vec<_> = (0..open).map(|i| harness.request(ClassId((first + i) % 3))).collect();
+/// Returns how many of 20 simultaneous requests are admitted after minutes in which every attempt timed out,
+/// by an instance that had `in_flight` requests in flight before.
+fn admitted_under_overload(in_flight: usize) -> usize {
+    let mut harness = Harness::new(large_tier_config(300, 15));
+    harness.set_endpoints((1..=30).map(|endpoint| endpoint_record(endpoint, OLD)).collect());
+    let run_round = |harness: &mut Harness, first_class: usize, latency: Micros, outcome: Outcome| {
+        let ids: Vec<_> = (0..in_flight).map(|i| harness.request(ClassId((first_class + i) % 3))).collect();
         for _ in 0..latency / (25 * MS) + 1 {
             harness.tick(25);
         }
@@ -25,38 +25,47 @@
         }
     };
     for i in 0..400 {
-        round(&mut harness, i, 60 * MS, Outcome::Success);
+        run_round(&mut harness, i, 60 * MS, Outcome::Success);
     }
     for i in 0..300 {
-        round(&mut harness, i, 400 * MS, Outcome::TimedOut);
+        run_round(&mut harness, i, 400 * MS, Outcome::TimedOut);
     }
     (0..20).filter(|i| forwarded_to(&harness.request(ClassId(i % 3)).1).is_some()).count()
 }
 
-/// Danger: four requests open at each of hundreds of instances fill every queue.
+/// Guards against full queues under overload: four requests in flight at each of hundreds of instances fill
+/// the queues of all endpoints.
 #[test]
-fn the_lowest_limit_follows_what_is_normally_in_flight() {
+fn the_minimum_limit_is_twice_the_normal_number_of_requests_in_flight() {
     assert_eq!(
         admitted_under_overload(1),
         2,
-        "twice what a quiet instance has in flight while all goes well"
+        "the minimum limit is not twice the one request normally in flight"
+    );
+    assert_eq!(
+        admitted_under_overload(5),
+        10,
+        "the minimum limit is not twice the five requests normally in flight"
     );
-    assert_eq!(admitted_under_overload(5), 10, "a busy instance keeps its part");
 }
 
-/// Danger: one class waits at every endpoint, and holds all slots until all classes miss their objective.
+/// Guards against one class starving the others: its requests wait at every endpoint and occupy all slots
+/// until every class misses its latency objective.
 #[test]
 fn a_mostly_failing_class_is_reduced_to_probes_until_it_recovers() {
-    let mut harness = Harness::on_trial(large_tier(2, 1), (1..=6).map(|m| endpoint_record(m, OLD)).collect());
-    let waits = |class: ClassId| if class == BOOK { Outcome::TimedOut } else { Outcome::Success };
-    let sent =
+    let mut harness = Harness::on_trial(
+        large_tier_config(2, 1),
+        (1..=6).map(|endpoint| endpoint_record(endpoint, OLD)).collect(),
+    );
+    let book_times_out = |class: ClassId| if class == BOOK { Outcome::TimedOut } else { Outcome::Success };
+    let count_forwarded =
         |harness: &mut Harness, requests: u32, class: ClassId, outcome_of: &dyn Fn(ClassId) -> Outcome| {
-            let mut sent = 0;
+            let mut forwarded = 0;
             for _ in 0..requests {
                 let (id, mut actions) = harness.request(class);
-                sent += usize::from(forwarded_to(&actions).is_some());
+                forwarded += usize::from(forwarded_to(&actions).is_some());
                 let latency = if outcome_of(class) == Outcome::Success { 40 * MS } else { 400 * MS };
-                // Further attempts end as the first one did: none stays open.
+                // Retries end like the first attempt, so that no request stays open.
                 for attempt in 0.. {
                     if forwarded_to(&actions).is_none() {
                         break;
@@ -65,20 +74,29 @@
                 }
                 harness.tick(25);
             }
-            sent
+            forwarded
         };
     for _ in 0..30 {
-        sent(&mut harness, 1, READ, &waits);
-        sent(&mut harness, 1, BOOK, &waits);
+        count_forwarded(&mut harness, 1, READ, &book_times_out);
+        count_forwarded(&mut harness, 1, BOOK, &book_times_out);
     }
-    let probes = sent(&mut harness, 300, BOOK, &waits);
-    assert!((1..=30).contains(&probes), "a few to see when it ends: {probes}");
-    assert!(sent(&mut harness, 100, READ, &waits) >= 95, "the others are served");
-    sent(&mut harness, 600, BOOK, &|_| Outcome::Success);
-    assert!(sent(&mut harness, 100, BOOK, &|_| Outcome::Success) >= 95, "admitted again once it is served");
+    let probes = count_forwarded(&mut harness, 300, BOOK, &book_times_out);
+    assert!(
+        (1..=30).contains(&probes),
+        "{probes} of 300 requests were forwarded as probes, expected 1 to 30"
+    );
+    assert!(
+        count_forwarded(&mut harness, 100, READ, &book_times_out) >= 95,
+        "requests of another class were rejected"
+    );
+    count_forwarded(&mut harness, 600, BOOK, &|_| Outcome::Success);
+    assert!(
+        count_forwarded(&mut harness, 100, BOOK, &|_| Outcome::Success) >= 95,
+        "requests of the recovered class were rejected"
+    );
 }
 
-/// Danger: lost connections are taken for an overloaded fleet.
+/// Guards against rejections without overload: lost connections are mistaken for an overloaded fleet.
 #[test]
 fn lost_connections_do_not_lower_the_concurrency_limit() {
     let mut harness = released_fleet();
@@ -98,24 +116,25 @@
     }
 }
 
-/// Danger: late answers are waited for, and an overloaded fleet is sent more until they come.
+/// Guards against more load on an overloaded fleet: overdue attempts that count only once they are answered
+/// leave the limit too high until then.
 #[test]
-fn overdue_attempts_lower_the_limit_before_their_answers_come() {
-    let mut waits_long = config();
-    for class in &mut waits_long.classes {
+fn overdue_attempts_lower_the_limit_before_they_are_answered() {
+    let mut long_deadlines = config();
+    for class in &mut long_deadlines.classes {
         class.late_priority_weight = 0.2;
         class.deadline = 60_000 * MS;
     }
-    let mut harness = Harness::new(waits_long);
-    harness.set_endpoints((0..6).map(|m| endpoint_record(m, OLD)).collect());
+    let mut harness = Harness::new(long_deadlines);
+    harness.set_endpoints((0..6).map(|endpoint| endpoint_record(endpoint, OLD)).collect());
     harness.send(Event::RolloutUpdated(rollout_status(OLD, 2, RolloutPhase::Released, 1.0)));
     harness.run_traffic(5_000, |_, _| Outcome::Success);
-    // From here on nothing is answered for a long time: each request stays open until its deadline, a minute on.
-    let open: usize = (0..200)
-        .filter(|turn| {
+    // No request is answered from here on: each stays open until its deadline, one minute later.
+    let forwarded: usize = (0..200)
+        .filter(|index| {
             harness.tick(25);
             let request = Request {
-                id: RequestId(1_000_000 + turn),
+                id: RequestId(1_000_000 + index),
                 class: READ,
                 tenant: None,
                 key: None,
@@ -126,6 +145,7 @@
             forwarded_to(&harness.send(Event::Request(request))).is_some()
         })
         .count();
-    // Sixteen were due when the first one's objective was over; a limit that counts them is there a second later.
-    assert!(open < 60, "{open} of 200 requests are open though not one was answered within its objective");
+    // Sixteen requests are sent before the first exceeds its objective; a limit that counts overdue attempts
+    // takes effect within another second.
+    assert!(forwarded < 60, "{forwarded} of 200 requests were forwarded although none was answered in time");
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness for scenario tests: one instance, three classes, a clock in milliseconds.
+//! Harness for scenario tests: one instance with three classes, and a simulated clock.
 #![allow(dead_code)]
 
 use garnetcrank_policy::Policy;
@@ -74,7 +74,7 @@
     pub policy: Policy,
     pub now: Micros,
     pub next_request: u32,
-    /// The lines logged so far.
+    /// Lines logged so far.
     pub log: Vec<String>,
 }
 
@@ -83,7 +83,7 @@
         Harness { policy: Policy::new(11, config), now: 1_000_000 * MS, next_request: 0, log: Vec::new() }
     }
 
-    /// An instance that knows these endpoints, with `NEW` on trial at its first stage.
+    /// Creates an instance with these endpoints and with `NEW` on trial at its first stage.
     pub fn on_trial(config: Config, records: Vec<EndpointRecord>) -> Self {
         let mut harness = Harness::new(config);
         harness.set_endpoints(records);
@@ -95,11 +95,11 @@
     pub fn send(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
-        self.log.extend(actions.iter().filter_map(|a| match a {
+        self.log.extend(actions.iter().filter_map(|action| match action {
             Action::Log(line) => Some(line.clone()),
             _ => None,
         }));
-        actions.retain(|a| !matches!(a, Action::Log(_) | Action::SetTimer { .. }));
+        actions.retain(|action| !matches!(action, Action::Log(_) | Action::SetTimer { .. }));
         actions
     }
 
@@ -142,7 +142,7 @@
         self.send(Event::Timer(0))
     }
 
-    /// A tick; the votes cast in it, each answered as counted.
+    /// Advances the clock and fires a timer. Returns the votes cast, each of which is answered as counted.
     pub fn tick_and_vote(&mut self, ms: Micros) -> Vec<Verdict> {
         let cast = self.tick(ms).into_iter().filter_map(|action| match action {
             Action::Vote { verdict, .. } => Some(verdict),
@@ -155,7 +155,8 @@
         votes
     }
 
-    /// Sends a request and lets its attempts end as `outcome_of` says of their endpoints; the first endpoint.
+    /// Sends a request and completes each of its attempts with the outcome that `outcome_of` gives for the
+    /// endpoint. Returns the endpoint of the first attempt.
     pub fn serve(
         &mut self,
         class: ClassId,
@@ -174,18 +175,18 @@
         first
     }
 
-    /// Traffic for `ms` milliseconds in ticks, one request of each class a tick; the votes cast meanwhile,
-    /// each answered as counted.
+    /// Runs traffic for `ms` milliseconds, one request of each class per tick. Returns the votes cast, each
+    /// of which is answered as counted.
     pub fn run_traffic(
         &mut self,
         ms: Micros,
         outcome_of: impl Fn(ClassId, EndpointId) -> Outcome,
     ) -> Vec<Verdict> {
         let mut votes = Vec::new();
-        let until = self.now + ms * MS;
-        while self.now < until {
+        let end = self.now + ms * MS;
+        while self.now < end {
             for class in [READ, BOOK, PAY] {
-                self.serve(class, |m| outcome_of(class, m));
+                self.serve(class, |endpoint| outcome_of(class, endpoint));
             }
             votes.extend(self.tick_and_vote(22));
         }
@@ -193,41 +194,41 @@
     }
 }
 
-/// Where a request is forwarded, if it is.
+/// Returns the endpoint of the first forwarded attempt.
 pub fn forwarded_to(actions: &[Action]) -> Option<EndpointId> {
-    actions.iter().find_map(|a| match a {
+    actions.iter().find_map(|action| match action {
         Action::Forward { endpoint, .. } => Some(*endpoint),
         _ => None,
     })
 }
 
-/// How many final answers that are no success were given.
-pub fn final_answers(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
+/// Counts the final answers that reject or fail a request.
+pub fn count_unsuccessful_answers(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::Reject { .. } | Action::Fail(_))).count()
 }
 
-/// An instance that knows these endpoints, with `NEW` on trial at its second stage.
-pub fn stage_one_trial(records: Vec<EndpointRecord>) -> Harness {
+/// Creates an instance with these endpoints and with `NEW` on trial at its second stage.
+pub fn second_stage_trial(records: Vec<EndpointRecord>) -> Harness {
     let mut harness = Harness::on_trial(config(), records);
     harness.send(Event::RolloutUpdated(rollout_status(NEW, 1, RolloutPhase::OnTrial, 0.5)));
     harness
 }
 
-/// Three endpoints of the earlier build, and these of the build on trial.
+/// Returns three endpoints of the earlier build, and the given endpoints of the build on trial.
 pub fn fleet_with_new(new: &[u32]) -> Vec<EndpointRecord> {
-    let old = (1..=3).map(|m| endpoint_record(m, OLD));
-    old.chain(new.iter().map(|m| endpoint_record(*m, NEW))).collect()
+    let old = (1..=3).map(|endpoint| endpoint_record(endpoint, OLD));
+    old.chain(new.iter().map(|endpoint| endpoint_record(*endpoint, NEW))).collect()
 }
 
-/// Six endpoints of a released build, and none on trial.
+/// Creates an instance with six endpoints of a released build and no build on trial.
 pub fn released_fleet() -> Harness {
     let mut harness = Harness::new(config());
-    harness.set_endpoints((1..=6).map(|m| endpoint_record(m, OLD)).collect());
+    harness.set_endpoints((1..=6).map(|endpoint| endpoint_record(endpoint, OLD)).collect());
     harness.send(Event::RolloutUpdated(rollout_status(OLD, 2, RolloutPhase::Released, 1.0)));
     harness
 }
 
-/// Three endpoints of the earlier build and two of the build on trial.
+/// Returns three endpoints of the earlier build and two of the build on trial.
 pub fn mixed_fleet() -> Vec<EndpointRecord> {
     vec![
         endpoint_record(1, OLD),
@@ -246,8 +247,8 @@
     if is_new(endpoint) { Outcome::Error } else { Outcome::Success }
 }
 
-/// An instance with `NEW` on trial at its second stage, where votes count in this mode.
-pub fn in_mode(mode: VoteMode) -> Harness {
+/// Creates an instance with `NEW` on trial at its second stage and with this vote mode.
+pub fn trial_with_vote_mode(mode: VoteMode) -> Harness {
     let mut config = config();
     config.rollout.mode = mode;
     let mut harness = Harness::on_trial(config, mixed_fleet());
@@ -255,8 +256,9 @@
     harness
 }
 
-/// One request every 100 ms, each class in turn, with the latency of each endpoint; the votes cast.
-pub fn light_traffic(
+/// Runs traffic of one request every 100 ms, each class in turn, with the latency that `latency_at` gives for
+/// the endpoint. Returns the votes cast.
+pub fn run_light_traffic(
     harness: &mut Harness,
     requests: usize,
     latency_at: impl Fn(EndpointId) -> Micros,
@@ -272,8 +274,8 @@
     votes
 }
 
-/// Settings of one of so many instances.
-pub fn large_tier(instances: u32, rollback_quorum: u32) -> Config {
+/// Returns the configuration of an instance in a tier of `instances`.
+pub fn large_tier_config(instances: u32, rollback_quorum: u32) -> Config {
     let mut config = config();
     config.instance_count = instances;
     config.rollout.rollback_quorum = rollback_quorum;
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: who gets attempts, and when the list is polled.
+//! The endpoint list: eligibility of its endpoints, and polling.
 
 mod common;
 
@@ -14,10 +14,14 @@
         assert_eq!(forwarded_to(&harness.request(READ).1), Some(EndpointId(2)));
     }
     harness.set_endpoints(vec![endpoint_record(1, OLD)]);
-    assert_eq!(forwarded_to(&harness.request(READ).1), Some(EndpointId(1)), "absent from a snapshot is gone");
+    assert_eq!(
+        forwarded_to(&harness.request(READ).1),
+        Some(EndpointId(1)),
+        "the endpoint missing from the snapshot was used"
+    );
 }
 
-/// Danger: the list is out of reach, and asked for by all instances without restraint.
+/// Guards against overload of discovery: all instances poll an unavailable endpoint list without back-off.
 #[test]
 fn polls_of_an_unavailable_endpoint_list_back_off() {
     let mut polling = config();
@@ -33,10 +37,10 @@
         }
     }
     assert!((4..=16).contains(&polls.len()), "{} polls in 20 s", polls.len());
-    assert!(polls.windows(2).all(|w| w[1] - w[0] >= 500 * MS && w[1] - w[0] <= 8_000 * MS));
+    assert!(polls.windows(2).all(|pair| pair[1] - pair[0] >= 500 * MS && pair[1] - pair[0] <= 8_000 * MS));
     harness.set_endpoints(fleet_with_new(&[]));
     assert!(
         (0..800).all(|_| !harness.tick(25).contains(&Action::WatchEndpoints(true))),
-        "watched: no more polls"
+        "polled although the list is watched"
     );
 }
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -1,9 +1,10 @@
-//! Properties of the whole state machine.
+//! Properties of the policy as a state machine.
 
 mod common;
 
 use common::{
-    Harness, MS, NEW, OLD, READ, config, endpoint_record, fails_at_new, forwarded_to, in_mode, rollout_status,
+    Harness, MS, NEW, OLD, READ, config, endpoint_record, fails_at_new, forwarded_to, rollout_status,
+    trial_with_vote_mode,
 };
 use garnetcrank_policy::api::{
     AttemptResult, Build, ClassId, EndpointId, EndpointRecord, EndpointStatus, EndpointUpdate, Event,
@@ -11,7 +12,7 @@
 };
 
 #[test]
-fn unusual_but_legal_events_are_tolerated() {
+fn unusual_but_valid_events_do_not_panic() {
     let mut single_class = config();
     single_class.classes.truncate(1);
     single_class.tenants.clear();
@@ -50,22 +51,22 @@
 }
 
 #[test]
-fn equal_events_bring_equal_actions() {
+fn equal_events_cause_equal_actions() {
     let run = || {
-        let mut harness = in_mode(VoteMode::Timer);
-        let mut all = Vec::new();
+        let mut harness = trial_with_vote_mode(VoteMode::Timer);
+        let mut all_actions = Vec::new();
         for i in 0..300u32 {
             let class = ClassId(i as usize % 3);
             let (id, actions) = harness.request(class);
             let endpoint = forwarded_to(&actions);
-            all.extend(actions);
+            all_actions.extend(actions);
             harness.now += 3 * MS;
             if let Some(endpoint) = endpoint {
-                all.extend(harness.complete(id, 0, fails_at_new(class, endpoint), 30 * MS));
+                all_actions.extend(harness.complete(id, 0, fails_at_new(class, endpoint), 30 * MS));
             }
-            all.extend(harness.tick(7));
+            all_actions.extend(harness.tick(7));
         }
-        all
+        all_actions
     };
     assert_eq!(run(), run());
 }
--- a/crates/policy/tests/exposure.rs
+++ b/crates/policy/tests/exposure.rs
@@ -1,19 +1,20 @@
-//! Exposure caps of builds on trial: just inside and just outside.
+//! Exposure caps of builds on trial, tested at their boundaries.
 
 mod common;
 
 use common::{BOOK, Harness, MS, NEW, OLD, PAY, READ, config, endpoint_record, forwarded_to, rollout_status};
 use garnetcrank_policy::api::{ClassId, EndpointId, Event, KeyId, Outcome, RolloutPhase};
 
-/// Which of `n` requests of a class are forwarded when only an endpoint of the build on trial is there.
-fn forwarded_to_trial(harness: &mut Harness, class: ClassId, n: usize) -> Vec<usize> {
-    (1..=n).filter(|_| forwarded_to(&harness.request(class).1).is_some()).collect()
+/// Sends `requests` requests of a class while only endpoints of the build on trial exist. Returns the
+/// positions, from 1, of the forwarded ones.
+fn forwarded_to_trial(harness: &mut Harness, class: ClassId, requests: usize) -> Vec<usize> {
+    (1..=requests).filter(|_| forwarded_to(&harness.request(class).1).is_some()).collect()
 }
 
 #[test]
 fn exposure_is_capped_at_the_allowance_plus_the_cap_times_requests() {
     let mut harness = Harness::on_trial(config(), vec![endpoint_record(1, NEW)]);
-    // Two by the allowance; the third attempt needs ten requests at a cap of 0.1, the fourth twenty.
+    // The allowance admits two attempts; at a cap of 0.1 the third needs ten requests, and the fourth twenty.
     assert_eq!(forwarded_to_trial(&mut harness, READ, 20), [1, 2, 10, 20]);
 }
 
@@ -25,7 +26,7 @@
     assert_eq!(
         forwarded_to_trial(&mut harness, READ, 1),
         [0; 0],
-        "attempts still count at the window's edge"
+        "attempts at the edge of the window were not counted"
     );
     harness.now += 10 * MS;
     assert_eq!(forwarded_to_trial(&mut harness, READ, 3), [1, 2]);
@@ -56,12 +57,12 @@
     harness.send(Event::RolloutUpdated(rollout_status(NEW, 1, RolloutPhase::OnTrial, 0.5)));
     assert_eq!(forwarded_to_trial(&mut harness, READ, 4), [1, 2, 3, 4]);
     harness.send(Event::RolloutUpdated(rollout_status(NEW, 0, RolloutPhase::RollingBack, 0.1)));
-    assert_eq!(forwarded_to_trial(&mut harness, READ, 5), [0; 0], "the lower cap binds at once here");
+    assert_eq!(forwarded_to_trial(&mut harness, READ, 5), [0; 0], "the lower cap did not apply at once");
     harness.now += 500 * MS;
     assert_eq!(
         forwarded_to_trial(&mut harness, READ, 9),
         [1, 2],
-        "counted anew: the allowance of two, and requests from now on"
+        "the count did not restart with the allowance of two"
     );
 }
 
@@ -72,7 +73,7 @@
     harness.send(Event::RolloutUpdated(rollout_status(OLD, 2, RolloutPhase::Released, 1.0)));
     assert_eq!(forwarded_to_trial(&mut harness, READ, 10), [1, 2, 10]);
     harness.send(Event::RolloutUpdated(rollout_status(NEW, 2, RolloutPhase::Released, 1.0)));
-    assert_eq!(forwarded_to_trial(&mut harness, READ, 3), [1, 2, 3], "no cap once it is released");
+    assert_eq!(forwarded_to_trial(&mut harness, READ, 3), [1, 2, 3], "a released build was capped");
 }
 
 #[test]
@@ -88,10 +89,10 @@
 }
 
 #[test]
-fn a_key_answered_by_the_build_on_trial_goes_to_no_earlier_build() {
-    let mut one_way = config();
-    one_way.rollout.forward_only_keys = true;
-    let mut harness = Harness::on_trial(one_way, vec![endpoint_record(1, NEW)]);
+fn a_key_answered_by_the_build_on_trial_is_not_sent_to_an_earlier_build() {
+    let mut forward_only = config();
+    forward_only.rollout.forward_only_keys = true;
+    let mut harness = Harness::on_trial(forward_only, vec![endpoint_record(1, NEW)]);
     let forward = |harness: &mut Harness, key: u32| {
         let (id, actions) = harness.request_with_key(READ, Some(KeyId(key)));
         (id, forwarded_to(&actions))
--- a/crates/policy/tests/fleet_health.rs
+++ b/crates/policy/tests/fleet_health.rs
@@ -1,27 +1,27 @@
-//! Builds that are slow, or slow the whole fleet.
+//! Verdicts on builds that are slow, or that slow down all endpoints.
 
 mod common;
 
 use common::{
-    Harness, MS, NEW, OLD, READ, endpoint_record, forwarded_to, large_tier, light_traffic, released_fleet,
-    rollout_status,
+    Harness, MS, NEW, OLD, READ, endpoint_record, forwarded_to, large_tier_config, released_fleet,
+    rollout_status, run_light_traffic,
 };
 use garnetcrank_policy::api::{Config, EndpointId, Event, Micros, Outcome, RolloutPhase, Verdict};
 
-/// Traffic in which the latency at all endpoints is 40 ms times `factor`, which is given the time since a new
-/// endpoint was last sent to; the votes cast.
-fn timed_traffic(harness: &mut Harness, ms: Micros, factor: impl Fn(Micros) -> u64) -> Vec<Verdict> {
+/// Runs traffic for `ms` milliseconds in which the latency at all endpoints is 40 ms times `slowdown`, a
+/// function of the time since the last attempt at a new endpoint. Returns the votes cast.
+fn run_slowed_traffic(harness: &mut Harness, ms: Micros, slowdown: impl Fn(Micros) -> u64) -> Vec<Verdict> {
     let mut votes = Vec::new();
-    let mut sent_new = harness.now;
-    let until = harness.now + ms * MS;
-    while harness.now < until {
+    let mut last_sent_to_new = harness.now;
+    let end = harness.now + ms * MS;
+    while harness.now < end {
         for _ in 0..4 {
             let (id, actions) = harness.request(READ);
             if let Some(endpoint) = forwarded_to(&actions) {
                 if endpoint.0 >= 8 {
-                    sent_new = harness.now;
+                    last_sent_to_new = harness.now;
                 }
-                let latency = 40 * MS * factor(harness.now - sent_new);
+                let latency = 40 * MS * slowdown(harness.now - last_sent_to_new);
                 harness.complete(id, 0, Outcome::Success, latency);
             }
         }
@@ -30,15 +30,15 @@
     votes
 }
 
-/// A released fleet whose latency is known, then a build on trial at its second stage.
+/// Creates a released fleet with a latency baseline, then puts a build on trial at its second stage.
 fn trial_with_baseline() -> Harness {
     let mut harness = released_fleet();
-    timed_traffic(&mut harness, 2_000, |_| 1);
+    run_slowed_traffic(&mut harness, 2_000, |_| 1);
     harness.send(Event::RolloutUpdated(rollout_status(NEW, 1, RolloutPhase::OnTrial, 0.5)));
     harness.now += 100 * MS;
     harness.set_endpoints(
         (1..=6)
-            .map(|m| endpoint_record(m, OLD))
+            .map(|endpoint| endpoint_record(endpoint, OLD))
             .chain([endpoint_record(8, NEW), endpoint_record(9, NEW)])
             .collect(),
     );
@@ -46,56 +46,62 @@
 }
 
 #[test]
-fn a_build_that_slows_the_whole_fleet_is_rolled_back() {
+fn a_build_that_slows_all_endpoints_is_rolled_back() {
     let mut harness = trial_with_baseline();
-    // The effect stays for a second after the last request to the build.
-    let votes = timed_traffic(&mut harness, 16_000, |since_new| if since_new > 1_000 * MS { 1 } else { 3 });
+    // The slowdown lasts for a second after the last attempt at the build.
+    let votes =
+        run_slowed_traffic(&mut harness, 16_000, |since_new| if since_new > 1_000 * MS { 1 } else { 3 });
     assert!(votes.contains(&Verdict::Hold) && votes.contains(&Verdict::RollBack), "{votes:?}");
 }
 
 #[test]
-fn a_stage_change_during_the_fleet_test_ends_in_a_verdict() {
+fn a_stage_change_while_a_build_is_withheld_ends_in_a_verdict() {
     for (slow_after, expected) in [(3, Verdict::RollBack), (1, Verdict::Abstain)] {
         let mut harness = trial_with_baseline();
         let mut votes = Vec::new();
         while !votes.contains(&Verdict::Hold) {
-            votes.extend(timed_traffic(&mut harness, 100, |_| 3));
+            votes.extend(run_slowed_traffic(&mut harness, 100, |_| 3));
         }
         harness.send(Event::RolloutUpdated(rollout_status(NEW, 2, RolloutPhase::OnTrial, 1.0)));
-        // The earlier endpoints go one by one, and the build is withheld from none of the requests.
+        // The earlier endpoints are removed one by one, and the build is not withheld meanwhile.
         let mut to_new = 0;
-        for left in (0..6).rev() {
+        for earlier_endpoints in (0..6).rev() {
             harness.set_endpoints(
-                (1..=left)
-                    .map(|m| endpoint_record(m, OLD))
-                    .chain((8..=13).map(|m| endpoint_record(m, NEW)))
+                (1..=earlier_endpoints)
+                    .map(|endpoint| endpoint_record(endpoint, OLD))
+                    .chain((8..=13).map(|endpoint| endpoint_record(endpoint, NEW)))
                     .collect(),
             );
             to_new +=
                 (0..40).filter(|_| harness.serve(READ, |_| Outcome::Success) > Some(EndpointId(7))).count();
-            // A moment of quick answers says nothing yet, whatever follows.
-            votes.extend(timed_traffic(&mut harness, 600, |_| if left == 4 { 1 } else { slow_after }));
+            // A short period of low latency must not decide the verdict.
+            votes.extend(run_slowed_traffic(&mut harness, 600, |_| {
+                if earlier_endpoints == 4 { 1 } else { slow_after }
+            }));
         }
-        assert!(to_new > 80, "{to_new} of 240 requests went to the endpoints that stay");
+        assert!(to_new > 80, "only {to_new} of 240 requests went to the new endpoints");
         assert_eq!(votes.last(), Some(&expected), "{votes:?}");
     }
 }
 
-/// Danger: a dependency slows every endpoint, and the build is blamed.
+/// Guards against the rollback of a good build: a slow dependency slows down every endpoint during its trial.
 #[test]
-fn a_slow_dependency_does_not_condemn_a_build() {
+fn a_slow_dependency_does_not_roll_a_build_back() {
     let mut harness = trial_with_baseline();
-    let votes = timed_traffic(&mut harness, 12_000, |_| 3);
+    let votes = run_slowed_traffic(&mut harness, 12_000, |_| 3);
     assert!(!votes.contains(&Verdict::RollBack), "{votes:?}");
-    assert!(votes.contains(&Verdict::Abstain), "held for no longer than the test takes: {votes:?}");
+    assert!(
+        votes.contains(&Verdict::Abstain),
+        "the hold outlasted the test that withholds the build: {votes:?}"
+    );
 }
 
 #[test]
 fn a_build_that_is_only_slow_is_rolled_back() {
     let mut harness = trial_with_baseline();
     let mut votes = Vec::new();
-    let until = harness.now + 12_000 * MS;
-    while harness.now < until {
+    let end = harness.now + 12_000 * MS;
+    while harness.now < end {
         for _ in 0..4 {
             let (id, actions) = harness.request(READ);
             if let Some(endpoint) = forwarded_to(&actions) {
@@ -107,14 +113,14 @@
     assert!(votes.contains(&Verdict::RollBack), "{votes:?}");
 }
 
-/// A released fleet whose latency is known at low traffic, then a build on trial at its second stage, with these
-/// settings.
+/// Creates a released fleet under `config` with a latency baseline from light traffic, then puts a build on
+/// trial at its second stage.
 fn large_tier_trial(config: Config) -> Harness {
     let mut harness = Harness::new(config);
-    let old: Vec<_> = (1..=6).map(|m| endpoint_record(m, OLD)).collect();
+    let old: Vec<_> = (1..=6).map(|endpoint| endpoint_record(endpoint, OLD)).collect();
     harness.set_endpoints(old.clone());
     harness.send(Event::RolloutUpdated(rollout_status(OLD, 2, RolloutPhase::Released, 1.0)));
-    light_traffic(&mut harness, 90, |_| 40 * MS);
+    run_light_traffic(&mut harness, 90, |_| 40 * MS);
     harness.send(Event::RolloutUpdated(rollout_status(NEW, 1, RolloutPhase::OnTrial, 0.5)));
     harness
         .set_endpoints(old.into_iter().chain([endpoint_record(8, NEW), endpoint_record(9, NEW)]).collect());
@@ -125,44 +131,48 @@
     if endpoint.0 >= 8 { 150 * MS } else { 40 * MS }
 }
 
-/// Danger: an instance with a handful of outcomes says nothing of a slow build.
+/// Guards against the release of a slow build: each instance of a large tier has too few outcomes to judge it
+/// alone.
 #[test]
-fn few_latencies_suffice_if_many_instances_must_agree() {
-    let mut agreed = large_tier_trial(large_tier(300, 15));
-    assert!(light_traffic(&mut agreed, 100, slow_at_new).contains(&Verdict::RollBack), "fifteen must agree");
-    let mut alone = large_tier_trial(large_tier(300, 1));
+fn few_latencies_suffice_for_a_vote_with_a_large_quorum() {
+    let mut large_quorum = large_tier_trial(large_tier_config(300, 15));
+    assert!(
+        run_light_traffic(&mut large_quorum, 100, slow_at_new).contains(&Verdict::RollBack),
+        "no rollback vote although 15 votes are needed"
+    );
+    let mut single_vote = large_tier_trial(large_tier_config(300, 1));
     assert!(
-        !light_traffic(&mut alone, 100, slow_at_new).contains(&Verdict::RollBack),
-        "alone it must be surer"
+        !run_light_traffic(&mut single_vote, 100, slow_at_new).contains(&Verdict::RollBack),
+        "rollback vote on few latencies although one vote suffices"
     );
 }
 
 #[test]
-fn a_slow_fleet_does_not_condemn_a_build_at_low_traffic() {
-    let mut harness = large_tier_trial(large_tier(300, 15));
-    assert!(!light_traffic(&mut harness, 150, |_| 90 * MS).contains(&Verdict::RollBack));
+fn a_slow_fleet_does_not_roll_a_build_back_at_low_traffic() {
+    let mut harness = large_tier_trial(large_tier_config(300, 15));
+    assert!(!run_light_traffic(&mut harness, 150, |_| 90 * MS).contains(&Verdict::RollBack));
 }
 
-/// Danger: a bad build is released, and its successor is held for it.
+/// Guards against holding a good build: the released build before it already slowed down all endpoints.
 #[test]
-fn a_build_is_not_blamed_for_a_slowdown_before_it_mattered() {
-    let slowed = |before: Micros| {
-        let mut harness = Harness::new(large_tier(2, 1));
-        let old: Vec<_> = (1..=6).map(|m| endpoint_record(m, OLD)).collect();
+fn a_build_is_not_withheld_for_a_slowdown_that_preceded_its_second_stage() {
+    let is_withheld = |first_stage_latency: Micros| {
+        let mut harness = Harness::new(large_tier_config(2, 1));
+        let old: Vec<_> = (1..=6).map(|endpoint| endpoint_record(endpoint, OLD)).collect();
         harness.set_endpoints(old.clone());
         harness.send(Event::RolloutUpdated(rollout_status(OLD, 2, RolloutPhase::Released, 1.0)));
-        light_traffic(&mut harness, 150, |_| 40 * MS);
+        run_light_traffic(&mut harness, 150, |_| 40 * MS);
         harness.send(Event::RolloutUpdated(rollout_status(NEW, 0, RolloutPhase::OnTrial, 0.1)));
         harness.set_endpoints(old.iter().copied().chain([endpoint_record(8, NEW)]).collect());
-        light_traffic(&mut harness, 60, |_| before);
+        run_light_traffic(&mut harness, 60, |_| first_stage_latency);
         harness.send(Event::RolloutUpdated(rollout_status(NEW, 1, RolloutPhase::OnTrial, 0.5)));
         harness.tick(25);
         harness.set_endpoints(
             old.iter().copied().chain([endpoint_record(8, NEW), endpoint_record(9, NEW)]).collect(),
         );
-        light_traffic(&mut harness, 60, |_| 100 * MS);
+        run_light_traffic(&mut harness, 60, |_| 100 * MS);
         harness.log.iter().any(|line| line.contains("withholding"))
     };
-    assert!(!slowed(100 * MS), "all was as slow before the build mattered");
-    assert!(slowed(40 * MS), "all grew slow with it");
+    assert!(!is_withheld(100 * MS), "withheld although all endpoints were as slow in the first stage");
+    assert!(is_withheld(40 * MS), "not withheld although all endpoints became slow in the second stage");
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,9 +1,10 @@
-//! Retries: which are safe, and how many the budget allows.
+//! Retries: which requests may be retried, and the retry budget.
 
 mod common;
 
 use common::{
-    BOOK, Harness, MS, OLD, PAY, READ, config, endpoint_record, final_answers, forwarded_to, released_fleet,
+    BOOK, Harness, MS, OLD, PAY, READ, config, count_unsuccessful_answers, endpoint_record, forwarded_to,
+    released_fleet,
 };
 use garnetcrank_policy::api::{Action, EndpointRecord, Idempotency, KeyScope, Outcome, ZoneId};
 
@@ -36,39 +37,48 @@
     let mut harness = Harness::on_trial(config(), vec![endpoint_record(1, OLD), endpoint_record(2, OLD)]);
     let (id, _) = harness.request(BOOK);
     harness.now += 150 * MS;
-    assert!(forwarded_to(&harness.complete(id, 0, Outcome::Error, 150 * MS)).is_some(), "within the window");
+    assert!(
+        forwarded_to(&harness.complete(id, 0, Outcome::Error, 150 * MS)).is_some(),
+        "not retried within the key window"
+    );
     let (id, _) = harness.request(BOOK);
     harness.now += 300 * MS;
     assert_eq!(
         forwarded_to(&harness.complete(id, 0, Outcome::Error, 300 * MS)),
         None,
-        "the window has lapsed"
+        "retried after the key window"
     );
 }
 
 #[test]
 fn a_keyed_request_is_retried_only_within_its_key_scope() {
-    let mut zoned = config();
-    zoned.classes[BOOK.0].idempotency = Idempotency::Keyed { scope: KeyScope::Zone, window: 900 * MS };
-    let elsewhere = EndpointRecord { zone: ZoneId(1), ..endpoint_record(2, OLD) };
+    let mut keyed_by_zone = config();
+    keyed_by_zone.classes[BOOK.0].idempotency =
+        Idempotency::Keyed { scope: KeyScope::Zone, window: 900 * MS };
+    let in_other_zone = EndpointRecord { zone: ZoneId(1), ..endpoint_record(2, OLD) };
     for (outcome, may_retry) in [(Outcome::Error, false), (Outcome::Overloaded, true)] {
-        let mut harness = Harness::on_trial(zoned.clone(), vec![endpoint_record(1, OLD)]);
+        let mut harness = Harness::on_trial(keyed_by_zone.clone(), vec![endpoint_record(1, OLD)]);
         let (id, _) = harness.request(BOOK);
-        harness.set_endpoints(vec![elsewhere]);
+        harness.set_endpoints(vec![in_other_zone]);
         let actions = harness.complete(id, 0, outcome, MS);
         assert_eq!(forwarded_to(&actions).is_some(), may_retry, "{outcome:?}");
         if !may_retry {
-            assert_eq!(actions, [Action::Fail(id)], "a rejection would promise too much");
+            assert_eq!(
+                actions,
+                [Action::Fail(id)],
+                "answered by a rejection, which promises that the request did not run"
+            );
         }
     }
 }
 
-/// Danger: connections are lost all day, and requests are left without a second attempt.
+/// Guards against an exhausted retry budget: with a steady loss of connections, requests get no second
+/// attempt.
 #[test]
 fn the_retry_budget_covers_a_steady_loss_of_one_attempt_in_seven() {
     let mut harness = released_fleet();
     let mut attempts = 0;
-    let mut rejected = 0;
+    let mut unserved = 0;
     for _ in 0..2_000 {
         let (id, mut actions) = harness.request(READ);
         let mut attempt = 0;
@@ -80,8 +90,11 @@
             actions = harness.complete(id, attempt, outcome, 5 * MS);
             attempt += 1;
         }
-        rejected += final_answers(&actions);
+        unserved += count_unsuccessful_answers(&actions);
         harness.tick(5);
     }
-    assert!(rejected < 20, "{rejected} of 2000 rejected though a second attempt would have served them");
+    assert!(
+        unserved < 20,
+        "{unserved} of 2000 requests were not served although a second attempt would have succeeded"
+    );
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,15 +1,15 @@
-//! Budgets of endpoints that are warming up.
+//! Slow start: work budgets of endpoints that are warming up.
 
 mod common;
 
-use common::{Harness, MS, OLD, READ, config, endpoint_record, forwarded_to, large_tier};
+use common::{Harness, MS, OLD, READ, config, endpoint_record, forwarded_to, large_tier_config};
 use garnetcrank_policy::Policy;
 use garnetcrank_policy::api::{Config, EndpointRecord, Event, Outcome, Request, RequestId};
 
 #[test]
-fn a_warming_endpoint_gets_at_most_what_a_warm_one_serves_of_this_instance() {
+fn the_budget_of_a_warming_endpoint_follows_the_load_of_warm_endpoints() {
     let mut harness = Harness::on_trial(config(), vec![endpoint_record(1, OLD)]);
-    // One of 100 ms every 200: half a core of the warm endpoint is this instance's.
+    // One request of 100 ms every 200 ms: this instance uses half a core of the warm endpoint.
     for _ in 0..100 {
         let (id, _) = harness.request(READ);
         for _ in 0..4 {
@@ -22,67 +22,69 @@
     }
     let started = Some(harness.now);
     harness.set_endpoints(vec![EndpointRecord { started, ..endpoint_record(2, OLD) }]);
-    // 2 x 0.5 x half a core for 1 s, 0.9 of it used: 450 ms of work, hints of 100 ms.
-    let sent = (1..=5).filter(|_| forwarded_to(&harness.request(READ).1).is_some()).count();
-    assert_eq!(sent, 4);
+    // The budget is 2 x 0.5 x half a core x 1 s, of which 0.9 is used: 450 ms of work at 100 ms per request.
+    let forwarded = (1..=5).filter(|_| forwarded_to(&harness.request(READ).1).is_some()).count();
+    assert_eq!(forwarded, 4);
     harness.now += 1_001 * MS;
-    assert!(forwarded_to(&harness.request(READ).1).is_some(), "the window has passed");
+    assert!(forwarded_to(&harness.request(READ).1).is_some(), "rejected after the overload window");
     harness.now += 4_000 * MS;
-    let sent = (1..=20).filter(|_| forwarded_to(&harness.request(READ).1).is_some()).count();
-    assert_eq!(sent, 20, "warm by now");
+    let forwarded = (1..=20).filter(|_| forwarded_to(&harness.request(READ).1).is_some()).count();
+    assert_eq!(forwarded, 20, "rejected after the slow start");
 }
 
 #[test]
-fn an_instance_without_measurements_takes_its_part_of_a_fraction_of_a_core() {
+fn an_instance_without_measurements_uses_its_part_of_a_quarter_core() {
     let mut harness = Harness::on_trial(config(), Vec::new());
     let started = Some(harness.now);
     harness.set_endpoints(vec![EndpointRecord { started, ..endpoint_record(1, OLD) }]);
-    // 2 x 0.5 of a quarter core for 1 s between two instances is 125 ms, less what is kept free for chance: one
-    // of 100 ms.
-    let sent = (1..=5).filter(|_| forwarded_to(&harness.request(READ).1).is_some()).count();
-    assert_eq!(sent, 1);
+    // The budget is 2 x 0.5 x a quarter core x 1 s, split between two instances: 125 ms, less a reserve for
+    // random variation. One request of 100 ms fits.
+    let forwarded = (1..=5).filter(|_| forwarded_to(&harness.request(READ).1).is_some()).count();
+    assert_eq!(forwarded, 1);
 }
 
-/// Danger: hundreds of instances send a warming endpoint one request each.
+/// Guards against an overloaded warming endpoint: hundreds of instances send it one request each.
 #[test]
 fn hundreds_of_instances_together_do_not_overload_a_warming_endpoint() {
     let instances = 300;
-    let mut work = 0;
+    let mut work_ms = 0;
     for seed in 0..u64::from(instances) {
-        let mut harness = Harness::new(large_tier(instances, 15));
-        let own = Config { instance_index: seed as u32, ..large_tier(instances, 15) };
-        harness.policy = Policy::new(seed, own);
+        let mut harness = Harness::new(large_tier_config(instances, 15));
+        let instance_config = Config { instance_index: seed as u32, ..large_tier_config(instances, 15) };
+        harness.policy = Policy::new(seed, instance_config);
         let started = Some(harness.now);
         harness.set_endpoints(vec![EndpointRecord { started, ..endpoint_record(1, OLD) }]);
         for _ in 0..10 {
             let (_, actions) = harness.request(READ);
-            work += forwarded_to(&actions).map_or(0, |_| 100);
+            work_ms += forwarded_to(&actions).map_or(0, |_| 100);
             harness.now += 100 * MS;
         }
     }
-    // Twice what a quarter core does in a second when half warm rising to five eighths; chance adds a little.
-    assert!((100..=400).contains(&work), "{work} ms of work in the first second");
+    // Twice the work of a quarter core in a second, at a slow start factor that rises from 1/2 to 5/8; random
+    // variation adds a little.
+    assert!((100..=400).contains(&work_ms), "{work_ms} ms of work in the first second");
 }
 
-/// Danger: requests without a hint count as no work until a warm endpoint has answered.
+/// Guards against an unlimited slow start: requests without a work hint count as no work until a warm
+/// endpoint has responded.
 #[test]
 fn requests_without_a_hint_use_up_the_slow_start_budget() {
-    let mut harness = Harness::new(large_tier(1, 1));
+    let mut harness = Harness::new(large_tier_config(1, 1));
     let started = Some(harness.now);
     harness.set_endpoints(vec![EndpointRecord { started, ..endpoint_record(1, OLD) }]);
-    let mut sent = 0;
+    let mut forwarded = 0;
     for id in 0..200 {
         let deadline = harness.now + 1_000 * MS;
         let id = RequestId(id);
         let request =
             Request { id, class: READ, tenant: None, key: None, deadline, work_hint: None, is_retry: false };
         if forwarded_to(&harness.send(Event::Request(request))).is_some() {
-            sent += 1;
+            forwarded += 1;
             harness.complete(id, 0, Outcome::Success, MS);
         }
     }
     assert!(
-        (1..=20).contains(&sent),
-        "{sent} at once, at 50 ms each of a second's budget of one half-warm core"
+        (1..=20).contains(&forwarded),
+        "{forwarded} requests of 50 ms forwarded within the one-second budget of one core that is half warm"
     );
 }
