--- a/crates/consensus/tests/chunking.rs
+++ b/crates/consensus/tests/chunking.rs
@@ -1,9 +1,9 @@
-//! Chunks make the message again, and a faulty sequence of them is rejected.
+//! Tests that chunks reassemble to the original message and that an invalid sequence of chunks is rejected.
 
 use garnetcrank_consensus::chunking::{Chunk, ChunkAssembler, ChunkError, MAX_MESSAGE_BYTES, split};
 
 #[test]
-fn chunks_make_the_message_again_and_nothing_else_does() {
+fn only_the_complete_sequence_of_chunks_reassembles_the_message() {
     let message: Vec<u8> = (0..200_000u32).map(|n| n as u8).collect();
     let chunks: Vec<Chunk> = split(7, &message).collect();
     assert_eq!(chunks.len(), 4);
@@ -18,12 +18,16 @@
     assert!(matches!(assembler.push(chunks[2].clone()), Err(ChunkError::Gap { .. })));
     assert_eq!(assembler.push(chunks[0].clone()), Ok(None));
     for chunk in split(8, b"short") {
-        assert_eq!(assembler.push(chunk), Ok(Some(b"short".to_vec())), "a new transfer ends the old one");
+        assert_eq!(
+            assembler.push(chunk),
+            Ok(Some(b"short".to_vec())),
+            "a new transfer discards the incomplete one"
+        );
     }
-    let long = Chunk { transfer: 9, offset: 0, total_len: MAX_MESSAGE_BYTES + 1, bytes: vec![1] };
-    assert!(matches!(assembler.push(long), Err(ChunkError::InvalidSize(_))));
-    let beyond = Chunk { transfer: 9, offset: 0, total_len: 1, bytes: vec![1, 2] };
-    assert!(matches!(assembler.push(beyond), Err(ChunkError::InvalidSize(_))));
-    let wrapped = Chunk { transfer: 9, offset: u64::MAX, total_len: u64::MAX, bytes: vec![1] };
-    assert!(assembler.push(wrapped).is_err());
+    let oversized = Chunk { transfer: 9, offset: 0, total_len: MAX_MESSAGE_BYTES + 1, bytes: vec![1] };
+    assert!(matches!(assembler.push(oversized), Err(ChunkError::InvalidSize(_))));
+    let past_end = Chunk { transfer: 9, offset: 0, total_len: 1, bytes: vec![1, 2] };
+    assert!(matches!(assembler.push(past_end), Err(ChunkError::InvalidSize(_))));
+    let overflowing = Chunk { transfer: 9, offset: u64::MAX, total_len: u64::MAX, bytes: vec![1] };
+    assert!(assembler.push(overflowing).is_err());
 }
--- a/crates/consensus/tests/commands.rs
+++ b/crates/consensus/tests/commands.rs
@@ -1,4 +1,5 @@
-//! What each command promises: subjects are decided once, sessions apply a command once, epochs only grow.
+//! Tests the guarantees of each command: a subject is decided once, a session applies a command once, and epochs only
+//! increase.
 
 use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Role, Sequence, SessionId, Subject};
 use garnetcrank_consensus::replicated_state::{
@@ -9,14 +10,15 @@
     Member { id: InstanceId(id), name: format!("n{id}"), address: String::new() }
 }
 
-struct Run {
+/// A replicated state and one open session that proposes commands to it.
+struct TestSession {
     state: ReplicatedState,
     index: u64,
-    session: SessionId,
+    id: SessionId,
     sequence: u64,
 }
 
-impl Run {
+impl TestSession {
     fn new() -> Self {
         let mut state = ReplicatedState::with_members([member(1), member(2)]);
         let open = Proposal {
@@ -25,14 +27,14 @@
             command: Command::OpenSession { nonce: 1 },
         };
         assert_eq!(state.apply(Index(1), &open), Reply::SessionOpened(SessionId(1)));
-        Self { state, index: 1, session: SessionId(1), sequence: 0 }
+        Self { state, index: 1, id: SessionId(1), sequence: 0 }
     }
 
     fn resend(&mut self, sequence: u64, command: &Command) -> Reply {
         self.index += 1;
         let sequence = Sequence(sequence);
         self.state
-            .apply(Index(self.index), &Proposal { session: self.session, sequence, command: command.clone() })
+            .apply(Index(self.index), &Proposal { session: self.id, sequence, command: command.clone() })
     }
 
     fn propose(&mut self, command: Command) -> Reply {
@@ -69,128 +71,136 @@
 
 #[test]
 fn the_first_decision_is_final() {
-    let mut run = Run::new();
+    let mut session = TestSession::new();
     let decide = |value: u8| Command::Decide { subject: Subject::new("condemned", 42), value: vec![value] };
-    assert_eq!(run.propose(decide(1)), Reply::Decided { value: vec![1], first: true });
-    assert_eq!(run.propose(decide(2)), Reply::Decided { value: vec![1], first: false });
+    assert_eq!(session.propose(decide(1)), Reply::Decided { value: vec![1], first: true });
+    assert_eq!(session.propose(decide(2)), Reply::Decided { value: vec![1], first: false });
 }
 
 #[test]
-fn a_proposal_sent_again_is_the_same_proposal() {
-    let mut run = Run::new();
-    assert_eq!(run.propose(acquire(1, 0)), Reply::LeaseAcquired(Epoch(1)));
+fn a_resent_proposal_is_applied_once() {
+    let mut session = TestSession::new();
+    assert_eq!(session.propose(acquire(1, 0)), Reply::LeaseAcquired(Epoch(1)));
     assert_eq!(
-        run.resend(1, &acquire(1, 0)),
+        session.resend(1, &acquire(1, 0)),
         Reply::LeaseAcquired(Epoch(1)),
-        "a copy gets the first one's reply"
+        "a resent proposal gets the reply to the first attempt"
+    );
+    assert_eq!(session.state.lease(&orders()).unwrap().epoch, Epoch(1));
+    session.propose(Command::RenewLease { role: orders(), epoch: Epoch(1) });
+    assert_eq!(session.resend(1, &acquire(1, 0)), Reply::Superseded);
+    session.id = SessionId(999);
+    assert_eq!(session.resend(9, &acquire(1, 1)), Reply::SessionExpired);
+    assert_eq!(
+        session.state.lease(&orders()).unwrap().epoch,
+        Epoch(1),
+        "a command without a session has no effect"
     );
-    assert_eq!(run.state.lease(&orders()).unwrap().epoch, Epoch(1));
-    run.propose(Command::RenewLease { role: orders(), epoch: Epoch(1) });
-    assert_eq!(run.resend(1, &acquire(1, 0)), Reply::Superseded);
-    run.session = SessionId(999);
-    assert_eq!(run.resend(9, &acquire(1, 1)), Reply::SessionExpired);
-    assert_eq!(run.state.lease(&orders()).unwrap().epoch, Epoch(1), "no effect without a session");
 }
 
 #[test]
-fn an_epoch_deposes_all_lower_ones() {
-    let mut run = Run::new();
-    run.propose(acquire(1, 0));
-    assert_eq!(run.propose(dispatch(1, 5)), Reply::Dispatched(Epoch(1)));
+fn a_new_epoch_invalidates_all_lower_epochs() {
+    let mut session = TestSession::new();
+    session.propose(acquire(1, 0));
+    assert_eq!(session.propose(dispatch(1, 5)), Reply::Dispatched(Epoch(1)));
     assert_eq!(
-        run.propose(acquire(2, 0)),
+        session.propose(acquire(2, 0)),
         Reply::StaleEpoch { current: Epoch(1) },
-        "two that both saw no holder: one wins"
+        "of two instances that saw no holder, only the first acquires the lease"
     );
-    assert_eq!(run.propose(acquire(2, 1)), Reply::LeaseAcquired(Epoch(2)));
-    assert_eq!(run.propose(dispatch(1, 6)), Reply::StaleEpoch { current: Epoch(2) });
+    assert_eq!(session.propose(acquire(2, 1)), Reply::LeaseAcquired(Epoch(2)));
+    assert_eq!(session.propose(dispatch(1, 6)), Reply::StaleEpoch { current: Epoch(2) });
     assert_eq!(
-        run.propose(Command::RenewLease { role: orders(), epoch: Epoch(1) }),
+        session.propose(Command::RenewLease { role: orders(), epoch: Epoch(1) }),
         Reply::StaleEpoch { current: Epoch(2) }
     );
-    assert_eq!(run.propose(resolve(1, 5, false)), Reply::StaleEpoch { current: Epoch(2) });
+    assert_eq!(session.propose(resolve(1, 5, false)), Reply::StaleEpoch { current: Epoch(2) });
 }
 
 #[test]
-fn an_order_in_doubt_is_dispatched_again_only_after_the_gate_says_it_was_not_executed() {
-    let mut run = Run::new();
-    run.propose(acquire(1, 0));
-    run.propose(dispatch(1, 5));
-    run.propose(dispatch(1, 6));
+fn an_order_in_doubt_is_dispatched_again_only_once_the_gate_reports_it_not_executed() {
+    let mut session = TestSession::new();
+    session.propose(acquire(1, 0));
+    session.propose(dispatch(1, 5));
+    session.propose(dispatch(1, 6));
     assert_eq!(
-        run.propose(resolve(1, 5, false)),
+        session.propose(resolve(1, 5, false)),
         Reply::InDoubt(Epoch(1)),
-        "it may be on its way to the gate"
+        "the order may still be in transit to the gate"
     );
-    run.propose(acquire(2, 1));
-    assert_eq!(run.propose(dispatch(2, 5)), Reply::InDoubt(Epoch(1)));
-    assert_eq!(run.propose(resolve(2, 5, false)), Reply::Done);
-    assert_eq!(run.propose(dispatch(2, 5)), Reply::Dispatched(Epoch(2)));
-    assert_eq!(run.propose(resolve(2, 6, true)), Reply::Done);
-    assert_eq!(run.propose(dispatch(2, 6)), Reply::Executed(Epoch(1)));
+    session.propose(acquire(2, 1));
+    assert_eq!(session.propose(dispatch(2, 5)), Reply::InDoubt(Epoch(1)));
+    assert_eq!(session.propose(resolve(2, 5, false)), Reply::Done);
+    assert_eq!(session.propose(dispatch(2, 5)), Reply::Dispatched(Epoch(2)));
+    assert_eq!(session.propose(resolve(2, 6, true)), Reply::Done);
+    assert_eq!(session.propose(dispatch(2, 6)), Reply::Executed(Epoch(1)));
 }
 
 #[test]
-fn a_notice_replaces_its_members_last_one_and_goes_with_the_member() {
-    let mut run = Run::new();
+fn a_notice_replaces_the_members_previous_one_and_is_removed_with_the_member() {
+    let mut session = TestSession::new();
     let publish = |from, value: Option<u8>| Command::PublishNotice {
         from: InstanceId(from),
         topic: "trust".into(),
         value: value.map(|v| vec![v]),
     };
-    assert_eq!(run.propose(publish(1, Some(1))), Reply::Done);
-    run.propose(publish(2, Some(2)));
-    run.propose(publish(1, Some(3)));
+    assert_eq!(session.propose(publish(1, Some(1))), Reply::Done);
+    session.propose(publish(2, Some(2)));
+    session.propose(publish(1, Some(3)));
     let published =
-        |run: &Run| run.state.notices("trust").map(|(id, n)| (id.0, n.value[0])).collect::<Vec<_>>();
-    assert_eq!(published(&run), [(1, 3), (2, 2)]);
-    run.propose(publish(1, None));
-    assert_eq!(published(&run), [(2, 2)]);
-    run.index += 1;
-    run.state.remove_member(Index(run.index), InstanceId(2));
-    assert!(published(&run).is_empty());
-    assert!(matches!(run.propose(publish(2, Some(1))), Reply::Rejected(_)));
+        |s: &TestSession| s.state.notices("trust").map(|(id, n)| (id.0, n.value[0])).collect::<Vec<_>>();
+    assert_eq!(published(&session), [(1, 3), (2, 2)]);
+    session.propose(publish(1, None));
+    assert_eq!(published(&session), [(2, 2)]);
+    session.index += 1;
+    session.state.remove_member(Index(session.index), InstanceId(2));
+    assert!(published(&session).is_empty());
+    assert!(matches!(session.propose(publish(2, Some(1))), Reply::Rejected(_)));
 }
 
 #[test]
-fn what_is_retired_is_not_decided_again() {
-    let mut run = Run::new();
+fn a_retired_subject_is_not_decided_again() {
+    let mut session = TestSession::new();
     let decide = |n| Command::Decide { subject: Subject::new("condemned", n), value: vec![] };
-    run.propose(decide(3));
-    run.propose(decide(9));
-    assert_eq!(run.propose(Command::RetireSubjects { space: "condemned".into(), below: 5 }), Reply::Done);
-    assert_eq!(run.propose(decide(3)), Reply::Retired { below: 5 });
-    assert_eq!(run.state.subjects("condemned", 0).count(), 1);
-    run.propose(Command::RetireSubjects { space: "condemned".into(), below: 2 });
-    assert_eq!(run.propose(decide(3)), Reply::Retired { below: 5 }, "the bound never falls");
+    session.propose(decide(3));
+    session.propose(decide(9));
+    assert_eq!(session.propose(Command::RetireSubjects { space: "condemned".into(), below: 5 }), Reply::Done);
+    assert_eq!(session.propose(decide(3)), Reply::Retired { below: 5 });
+    assert_eq!(session.state.subjects("condemned", 0).count(), 1);
+    session.propose(Command::RetireSubjects { space: "condemned".into(), below: 2 });
+    assert_eq!(
+        session.propose(decide(3)),
+        Reply::Retired { below: 5 },
+        "the retirement bound never decreases"
+    );
 }
 
 #[test]
-fn a_member_that_is_removed_loses_its_roles_for_good() {
-    let mut run = Run::new();
-    run.propose(acquire(2, 0));
-    run.index += 1;
-    run.state.remove_member(Index(run.index), InstanceId(2));
-    assert_eq!(run.propose(dispatch(1, 5)), Reply::StaleEpoch { current: Epoch(2) });
-    assert!(matches!(run.propose(acquire(2, 2)), Reply::Rejected(_)));
-    assert_eq!(run.propose(acquire(1, 2)), Reply::LeaseAcquired(Epoch(3)));
+fn a_removed_member_loses_its_leases_permanently() {
+    let mut session = TestSession::new();
+    session.propose(acquire(2, 0));
+    session.index += 1;
+    session.state.remove_member(Index(session.index), InstanceId(2));
+    assert_eq!(session.propose(dispatch(1, 5)), Reply::StaleEpoch { current: Epoch(2) });
+    assert!(matches!(session.propose(acquire(2, 2)), Reply::Rejected(_)));
+    assert_eq!(session.propose(acquire(1, 2)), Reply::LeaseAcquired(Epoch(3)));
 }
 
 #[test]
 fn the_least_recently_used_sessions_are_evicted() {
-    let mut run = Run::new();
-    run.propose(acquire(1, 0));
+    let mut session = TestSession::new();
+    session.propose(acquire(1, 0));
     for n in 0..MAX_SESSIONS as u64 + 10 {
-        run.index += 1;
+        session.index += 1;
         let open = Proposal {
             session: SessionId(0),
             sequence: Sequence(0),
             command: Command::OpenSession { nonce: n },
         };
-        run.state.apply(Index(run.index), &open);
+        session.state.apply(Index(session.index), &open);
         if n % 100 == 0 {
-            assert_eq!(run.propose(Command::RenewLease { role: orders(), epoch: Epoch(1) }), Reply::Done);
+            assert_eq!(session.propose(Command::RenewLease { role: orders(), epoch: Epoch(1) }), Reply::Done);
         }
     }
-    assert_eq!(run.state.session_count(), MAX_SESSIONS);
+    assert_eq!(session.state.session_count(), MAX_SESSIONS);
 }
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -1,10 +1,10 @@
-//! The fencing gate admits no older epoch and each order once, and its memory is bounded.
+//! Tests that the fencing gate rejects older epochs, admits each order once and remembers a bounded number of orders.
 
 use garnetcrank_consensus::fencing::{FencingDecision, FencingGate, MAX_ORDERS, NewerEpoch};
 use garnetcrank_consensus::ids::{Epoch, Role, Subject};
 
 #[test]
-fn an_older_epoch_never_passes_again() {
+fn an_older_epoch_is_rejected_once_a_newer_one_is_observed() {
     let (mut gate, role) = (FencingGate::default(), Role("orders".into()));
     let order = |n| Subject::new("order", n);
     assert_eq!(gate.admit(&role, Epoch(1), &order(1)), FencingDecision::Admit);
@@ -12,7 +12,7 @@
     assert_eq!(
         gate.was_executed(&role, Epoch(2), &order(1)),
         Err(NewerEpoch { newest: Epoch(1) }),
-        "no answer before the epoch is observed"
+        "a query is rejected until its epoch has been observed"
     );
     gate.observe_epoch(&role, Epoch(2)).unwrap();
     assert_eq!(gate.was_executed(&role, Epoch(2), &order(2)), Ok(false));
@@ -24,12 +24,12 @@
     assert_eq!(
         gate.admit(&other, Epoch(1), &order(2)),
         FencingDecision::Admit,
-        "roles don't depose one another"
+        "the epochs of one role do not fence another role"
     );
 }
 
 #[test]
-fn what_it_remembers_is_bounded_and_capacity_comes_back() {
+fn remembered_orders_are_bounded_and_a_new_epoch_frees_resolved_ones() {
     let (mut gate, role) = (FencingGate::default(), Role("orders".into()));
     for n in 0..MAX_ORDERS as u64 {
         assert_eq!(gate.admit(&role, Epoch(1), &Subject::new("order", n)), FencingDecision::Admit);
@@ -40,7 +40,7 @@
     assert_eq!(
         gate.admit(&role, Epoch(1), &next),
         FencingDecision::Full,
-        "a late copy of order 0 may still come"
+        "order 0 stays remembered: a delayed duplicate of it may still arrive"
     );
     assert_eq!(
         gate.admit(&role, Epoch(1), &Subject::new("order", 0)),
--- a/crates/consensus/tests/golden_bytes.rs
+++ b/crates/consensus/tests/golden_bytes.rs
@@ -1,8 +1,10 @@
-//! Golden tests: the exact bytes of everything that instances send to one another or keep in a snapshot. The encoding
-//! holds the order of fields and variants and no names, so a rename passes here and a reordering fails. Instances of
-//! two versions run side by side during an upgrade: a line of `golden/values.txt`, `messages.txt` or `founding.txt` may
-//! be added, never changed. `transcript.txt` holds a whole run in addition; it also changes with what is said when, and
-//! then only for a change of behaviour that is meant.
+//! Golden tests of the exact bytes of everything that instances send to one another or store in a snapshot.
+//!
+//! The encoding depends on the order of fields and variants but not on their names: these tests pass after a rename and
+//! fail after a reordering. Instances of two versions run side by side during an upgrade, so lines of
+//! `golden/values.txt`, `messages.txt` and `founding.txt` may be added but never changed. `transcript.txt` holds all
+//! messages of one run; it also depends on which messages are sent and when, and changes only with an intended change
+//! of behaviour.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -28,28 +30,30 @@
     (0..text.len()).step_by(2).map(digit).collect()
 }
 
-/// Compares lines of `name hex` with those committed. What was found is kept beside the build for a look.
-fn check(file: &str, golden: &str, found: &[(String, Vec<u8>)]) {
-    let found: Vec<String> = found.iter().map(|(name, bytes)| format!("{name} {}", to_hex(bytes))).collect();
-    let kept = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
-    std::fs::write(&kept, found.join("\n") + "\n").expect("what was found is kept");
+/// Compares lines of the form `name hex` with the committed ones. The actual lines are also written to the target
+/// folder for inspection.
+fn assert_golden(file: &str, golden: &str, actual: &[(String, Vec<u8>)]) {
+    let actual: Vec<String> =
+        actual.iter().map(|(name, bytes)| format!("{name} {}", to_hex(bytes))).collect();
+    let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
+    std::fs::write(&actual_path, actual.join("\n") + "\n").expect("the actual lines are written");
     let golden: Vec<&str> = golden.lines().collect();
-    for (golden, found) in golden.iter().zip(&found) {
-        assert_eq!(golden, found, "{file}: all that was found is in {}", kept.display());
+    for (golden, actual) in golden.iter().zip(&actual) {
+        assert_eq!(golden, actual, "{file}: the actual lines are in {}", actual_path.display());
     }
-    assert_eq!(golden.len(), found.len(), "{file}: all that was found is in {}", kept.display());
+    assert_eq!(golden.len(), actual.len(), "{file}: the actual lines are in {}", actual_path.display());
 }
 
-/// The bytes that a file has under a name.
+/// Returns the bytes on the line `name` of a golden file.
 fn golden_bytes(golden: &str, name: &str) -> Vec<u8> {
     let line = golden.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    from_hex(line.unwrap_or_else(|| panic!("no line {name}")))
+    from_hex(line.unwrap_or_else(|| panic!("no line for {name} in the golden file")))
 }
 
-/// Values and their encoding, each decoded from the golden bytes again.
+/// Checker of encoded values; each is also decoded from its golden bytes.
 struct Values {
     golden: &'static str,
-    found: Vec<(String, Vec<u8>)>,
+    actual: Vec<(String, Vec<u8>)>,
 }
 
 impl Values {
@@ -57,14 +61,18 @@
     where
         T: Serialize + for<'a> Deserialize<'a> + PartialEq + std::fmt::Debug,
     {
-        self.found.push((name.to_owned(), postcard::to_stdvec(value).expect("it is encoded")));
+        self.actual.push((name.to_owned(), postcard::to_stdvec(value).expect("the value is encoded")));
         if self.golden.is_empty() {
             return;
         }
         let bytes = golden_bytes(self.golden, name);
         let decoded: T = postcard::from_bytes(&bytes).expect("golden bytes are decoded");
         assert_eq!(&decoded, value, "{name}: decoded from the golden bytes");
-        assert_eq!(postcard::to_stdvec(&decoded).expect("it is encoded"), bytes, "{name}: encoded again");
+        assert_eq!(
+            postcard::to_stdvec(&decoded).expect("the value is encoded"),
+            bytes,
+            "{name}: encoded again"
+        );
     }
 }
 
@@ -80,7 +88,7 @@
     Subject::new("orders", 9)
 }
 
-/// Each variant, no two fields of one type alike.
+/// Returns commands of every variant. Fields of the same type differ in value, so that swapped fields are detected.
 fn commands() -> Vec<(&'static str, Command)> {
     let (from, to) = (InstanceId(11), InstanceId(300));
     let (low, high) = (Epoch(4), Epoch(200));
@@ -126,47 +134,47 @@
     ]
 }
 
-/// A ledger that holds something in each of its parts, made by commands alone.
-fn ledger() -> ReplicatedState {
-    let mut ledger = ReplicatedState::with_members([member(1), member(2)]);
-    ledger.add_member(Index(2), member(3));
+/// Builds a replicated state with an entry in each of its collections, by commands and membership changes alone.
+fn populated_state() -> ReplicatedState {
+    let mut state = ReplicatedState::with_members([member(1), member(2)]);
+    state.add_member(Index(2), member(3));
     let mut index = 2;
     let mut apply = |session: u64, sequence: u64, command: Command| {
         index += 1;
         let proposal = Proposal { session: SessionId(session), sequence: Sequence(sequence), command };
-        ledger.apply(Index(index), &proposal)
+        state.apply(Index(index), &proposal)
     };
     let decide =
         |number, value: &[u8]| Command::Decide { subject: Subject::new("s", number), value: value.to_vec() };
     assert_eq!(apply(0, 0, Command::OpenSession { nonce: 1 }), Reply::SessionOpened(SessionId(3)));
     assert_eq!(apply(0, 0, Command::OpenSession { nonce: 2 }), Reply::SessionOpened(SessionId(4)));
     assert_eq!(apply(0, 0, Command::OpenSession { nonce: 3 }), Reply::SessionOpened(SessionId(5)));
-    let take =
+    let acquire =
         Command::AcquireLease { role: role(), holder: InstanceId(2), expected_epoch: Epoch(0), ttl: 150 };
-    assert_eq!(apply(3, 1, take), Reply::LeaseAcquired(Epoch(1)));
+    assert_eq!(apply(3, 1, acquire), Reply::LeaseAcquired(Epoch(1)));
     assert_eq!(apply(3, 2, Command::RenewLease { role: role(), epoch: Epoch(1) }), Reply::Done);
-    let hand = |number| Command::DispatchOrder {
+    let dispatch = |number| Command::DispatchOrder {
         role: role(),
         epoch: Epoch(1),
         order: Subject::new("orders", number),
     };
-    assert_eq!(apply(3, 3, hand(8)), Reply::Dispatched(Epoch(1)));
-    assert_eq!(apply(3, 4, hand(9)), Reply::Dispatched(Epoch(1)));
-    let settle = Command::ResolveOrder { role: role(), epoch: Epoch(1), order: order(), executed: true };
-    assert_eq!(apply(3, 5, settle), Reply::Done);
-    let post =
+    assert_eq!(apply(3, 3, dispatch(8)), Reply::Dispatched(Epoch(1)));
+    assert_eq!(apply(3, 4, dispatch(9)), Reply::Dispatched(Epoch(1)));
+    let resolve = Command::ResolveOrder { role: role(), epoch: Epoch(1), order: order(), executed: true };
+    assert_eq!(apply(3, 5, resolve), Reply::Done);
+    let publish =
         Command::PublishNotice { from: InstanceId(1), topic: "trust".into(), value: Some(vec![42, 1, 2]) };
-    assert_eq!(apply(4, 1, post), Reply::Done);
+    assert_eq!(apply(4, 1, publish), Reply::Done);
     assert_eq!(apply(4, 2, Command::RetireSubjects { space: "s".into(), below: 20 }), Reply::Done);
     assert_eq!(apply(4, 3, decide(30, b"yes")), Reply::Decided { value: b"yes".to_vec(), first: true });
     assert_eq!(apply(5, 9, decide(10, b"no")), Reply::Retired { below: 20 });
-    ledger
+    state
 }
 
 #[test]
-fn values_have_the_same_bytes_in_both_directions() {
+fn values_encode_to_and_decode_from_the_golden_bytes() {
     let golden = include_str!("golden/values.txt");
-    let mut values = Values { golden, found: Vec::new() };
+    let mut values = Values { golden, actual: Vec::new() };
     for (name, command) in commands() {
         values.add(&format!("proposal-{name}"), &proposal(command));
     }
@@ -176,28 +184,28 @@
     values.add("standing-decided", &SubjectState::Decided(vec![9, 8]));
     values.add("standing-handed", &SubjectState::Dispatched(Epoch(300)));
     values.add("standing-ran", &SubjectState::Executed(Epoch(301)));
-    let grant = |holder| Lease { holder, epoch: Epoch(5), ttl: 150, renewed: Index(777) };
-    values.add("grant-held", &grant(Some(InstanceId(11))));
-    values.add("grant-left", &grant(None));
+    let lease = |holder| Lease { holder, epoch: Epoch(5), ttl: 150, renewed: Index(777) };
+    values.add("grant-held", &lease(Some(InstanceId(11))));
+    values.add("grant-left", &lease(None));
     values.add("notice", &Notice { value: vec![1, 2, 3], published_at: Index(99) });
     values.add("member", &member(11));
     values.add("change-add", &MembershipChange::Add(member(11)));
     values.add("change-remove", &MembershipChange::Remove(InstanceId(0xdead_beef_0bad_f00d)));
-    for (name, word) in [
+    for (name, verdict_kind) in [
         ("none", VerdictKind::Abstain),
         ("on", VerdictKind::Advance),
         ("hold", VerdictKind::Hold),
         ("back", VerdictKind::RollBack),
     ] {
-        values.add(&format!("opinion-{name}"), &BuildVerdict { build: 42, stage: 3, kind: word });
+        values.add(&format!("opinion-{name}"), &BuildVerdict { build: 42, stage: 3, kind: verdict_kind });
     }
     values.add("piece", &Chunk { transfer: 1, offset: 200, total_len: 3000, bytes: vec![4, 5] });
     values.add("ledger-empty", &ReplicatedState::default());
-    values.add("ledger", &ledger());
-    check("values.txt", golden, &values.found);
+    values.add("ledger", &populated_state());
+    assert_golden("values.txt", golden, &values.actual);
 }
 
-const KINDS: [(&str, MessageType); 19] = [
+const MESSAGE_TYPES: [(&str, MessageType); 19] = [
     ("hup", MessageType::MsgHup),
     ("beat", MessageType::MsgBeat),
     ("propose", MessageType::MsgPropose),
@@ -241,13 +249,13 @@
 }
 
 #[test]
-fn messages_have_the_same_bytes_in_both_directions() {
+fn messages_encode_to_and_decode_from_the_golden_bytes() {
     let golden = include_str!("golden/messages.txt");
     let mut messages: Vec<(String, Message)> =
-        KINDS.iter().map(|(name, kind)| ((*name).to_owned(), message(*kind))).collect();
+        MESSAGE_TYPES.iter().map(|(name, kind)| ((*name).to_owned(), message(*kind))).collect();
     for (name, command) in commands() {
         let mut append = message(MessageType::MsgAppend);
-        let data = postcard::to_stdvec(&proposal(command)).expect("it is encoded");
+        let data = postcard::to_stdvec(&proposal(command)).expect("the value is encoded");
         append.mut_entries().push(entry(EntryType::EntryNormal, data, Vec::new()));
         messages.push((format!("append-{name}"), append));
     }
@@ -267,9 +275,9 @@
     with_snapshot.set_snapshot(snapshot);
     messages.push(("snapshot-whole".to_owned(), with_snapshot));
 
-    let found: Vec<(String, Vec<u8>)> =
+    let actual: Vec<(String, Vec<u8>)> =
         messages.iter().map(|(name, message)| (name.clone(), raft_node::encode_message(message))).collect();
-    check("messages.txt", golden, &found);
+    assert_golden("messages.txt", golden, &actual);
     for (name, message) in messages {
         let bytes = golden_bytes(golden, &name);
         let decoded = raft_node::decode_message(&bytes).expect("golden bytes are decoded");
@@ -279,52 +287,53 @@
 }
 
 #[test]
-fn a_founded_cluster_has_the_same_first_snapshot() {
+fn the_initial_state_has_the_golden_snapshot() {
     let batch = raft_node::initial_state(&[member(1), member(2)]);
-    let hard = batch.hard_state.expect("a hard state");
-    assert_eq!((hard.term, hard.vote, hard.commit), (1, 0, 1));
-    let snapshot = batch.snapshot.expect("a snapshot");
+    let hard_state = batch.hard_state.expect("the initial state has a hard state");
+    assert_eq!((hard_state.term, hard_state.vote, hard_state.commit), (1, 0, 1));
+    let snapshot = batch.snapshot.expect("the initial state has a snapshot");
     assert_eq!((snapshot.index, snapshot.term), (1, 1));
-    let found = [("members".to_owned(), snapshot.members), ("data".to_owned(), snapshot.data)];
-    check("founding.txt", include_str!("golden/founding.txt"), &found);
+    let actual = [("members".to_owned(), snapshot.members), ("data".to_owned(), snapshot.data)];
+    assert_golden("founding.txt", include_str!("golden/founding.txt"), &actual);
 }
 
-/// Instances that pass messages to one another in the order they were sent, with nothing lost.
+/// A cluster whose messages are delivered in the order in which they were sent, without loss.
 struct Cluster {
     nodes: BTreeMap<u64, RaftNode>,
     sent: Vec<(String, Vec<u8>)>,
 }
 
 impl Cluster {
-    /// Instances 1 to 3 are founded together, 4 waits to be added.
+    /// Starts instances 1 to 3 as the initial members, and instance 4 empty, to be added later.
     fn new() -> Self {
-        let founding = raft_node::initial_state(&[member(1), member(2), member(3)]);
-        let founded = || store::Loaded {
-            hard_state: founding.hard_state.unwrap_or_default(),
-            snapshot: founding.snapshot.clone(),
+        let initial_state = raft_node::initial_state(&[member(1), member(2), member(3)]);
+        let initial_load = || store::Loaded {
+            hard_state: initial_state.hard_state.unwrap_or_default(),
+            snapshot: initial_state.snapshot.clone(),
             ..store::Loaded::default()
         };
         let start = |id: u64| {
-            // The same seed with another time-out each, so that 1 stands for election first.
+            // All have the same seed and different election time-outs, so that instance 1 starts the first election.
             let settings = RaftSettings {
                 election_ticks: 10 * id as usize,
                 retained_entries: 0,
                 seed: 7,
                 ..RaftSettings::default()
             };
-            let loaded = if id == 4 { store::Loaded::default() } else { founded() };
-            (id, RaftNode::start(settings, InstanceId(id), 20 + id, loaded).expect("it starts"))
+            let loaded = if id == 4 { store::Loaded::default() } else { initial_load() };
+            (id, RaftNode::start(settings, InstanceId(id), 20 + id, loaded).expect("the instance starts"))
         };
         Self { nodes: (1..=4).map(start).collect(), sent: Vec::new() }
     }
 
-    fn settle(&mut self) {
+    /// Delivers messages until none is in transit.
+    fn deliver_all(&mut self) {
         loop {
             let mut messages = Vec::new();
             for node in self.nodes.values_mut() {
-                while let Some(work) = node.ready().expect("it works") {
-                    messages.extend(work.messages);
-                    node.on_persisted().expect("it goes on");
+                while let Some(ready) = node.ready().expect("the node prepares its output") {
+                    messages.extend(ready.messages);
+                    node.on_persisted().expect("the node continues after the write");
                 }
             }
             if messages.is_empty() {
@@ -333,7 +342,7 @@
             for message in messages {
                 let bytes = raft_node::encode_message(&message);
                 self.sent.push((format!("{}-to-{}", message.from, message.to), bytes.clone()));
-                let message = raft_node::decode_message(&bytes).expect("a message");
+                let message = raft_node::decode_message(&bytes).expect("the message is decoded");
                 if let Some(node) = self.nodes.get_mut(&message.to) {
                     node.receive(message);
                 }
@@ -341,45 +350,49 @@
         }
     }
 
-    fn ticks(&mut self, count: u32) {
+    fn tick_all(&mut self, count: u32) {
         for _ in 0..count {
             self.nodes.values_mut().for_each(RaftNode::tick);
-            self.settle();
+            self.deliver_all();
         }
     }
 
     fn node(&mut self, id: u64) -> &mut RaftNode {
-        self.nodes.get_mut(&id).expect("a node")
+        self.nodes.get_mut(&id).expect("the node exists")
     }
 }
 
 #[test]
-fn a_cluster_says_the_same_bytes_from_the_election_to_the_transfer() {
+fn a_run_from_election_to_leadership_transfer_sends_the_golden_bytes() {
     let mut cluster = Cluster::new();
     while !cluster.node(1).is_leader() {
-        cluster.ticks(1);
+        cluster.tick_all(1);
     }
     cluster.node(2).open_session(Ticket(1), 100);
-    cluster.settle();
+    cluster.deliver_all();
     cluster.node(2).read(Ticket(2), 100);
-    cluster.settle();
+    cluster.deliver_all();
     cluster.node(1).compact_now();
-    cluster.settle();
+    cluster.deliver_all();
     cluster.node(1).change_membership(Ticket(3), MembershipChange::Add(member(4)), 100);
-    cluster.ticks(5);
-    assert!(cluster.node(1).is_voter(InstanceId(4)), "the newcomer votes");
+    cluster.tick_all(5);
+    assert!(cluster.node(1).is_voter(InstanceId(4)), "the added instance is a voter");
     cluster.node(1).change_membership(Ticket(4), MembershipChange::Remove(InstanceId(3)), 100);
-    cluster.ticks(1);
+    cluster.tick_all(1);
     cluster.node(1).transfer(Ticket(5), InstanceId(2));
-    cluster.settle();
-    assert!(cluster.node(2).is_leader(), "the lead has moved");
-    check("transcript.txt", include_str!("golden/transcript.txt"), &cluster.sent);
+    cluster.deliver_all();
+    assert!(cluster.node(2).is_leader(), "leadership has been transferred");
+    assert_golden("transcript.txt", include_str!("golden/transcript.txt"), &cluster.sent);
 }
 
 #[test]
-fn a_long_message_is_cut_into_the_same_pieces() {
+fn a_long_message_is_split_into_the_same_chunks() {
     let message: Vec<u8> = (0..150_000u32).map(|n| n as u8).collect();
-    let cut: Vec<(u64, u64, u64, usize)> =
-        chunking::split(7, &message).map(|p| (p.transfer, p.offset, p.total_len, p.bytes.len())).collect();
-    assert_eq!(cut, [(7, 0, 150_000, 65_536), (7, 65_536, 150_000, 65_536), (7, 131_072, 150_000, 18_928)]);
+    let chunks: Vec<(u64, u64, u64, usize)> = chunking::split(7, &message)
+        .map(|chunk| (chunk.transfer, chunk.offset, chunk.total_len, chunk.bytes.len()))
+        .collect();
+    assert_eq!(
+        chunks,
+        [(7, 0, 150_000, 65_536), (7, 65_536, 150_000, 65_536), (7, 131_072, 150_000, 18_928)]
+    );
 }
--- a/crates/consensus/tests/linearizability.rs
+++ b/crates/consensus/tests/linearizability.rs
@@ -1,15 +1,16 @@
-//! The quick check of histories against a general one that tries every order.
+//! Compares the fast linearizability check of the test support with stateright's exhaustive check, which tries every
+//! order of operations.
 
 use garnetcrank_test_support::linearizability::History;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
-/// A subject that is decided once.
+/// Sequential specification of a subject that is decided once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-struct Once(Option<u8>);
+struct WriteOnceSubject(Option<u8>);
 
-impl SequentialSpec for Once {
+impl SequentialSpec for WriteOnceSubject {
     type Op = Option<u8>;
     type Ret = Option<u8>;
 
@@ -21,34 +22,36 @@
     }
 }
 
-/// How an operation ended: with a value or with none, after so many steps.
+/// The end of an operation: the value that it returned, if any, and its duration in steps.
 #[derive(Debug, Clone, Copy)]
 struct Returned {
     value: Option<u8>,
-    after: u64,
+    duration: u64,
 }
 
-/// A proposal of a value, or a read.
+/// A proposal of a value, or a read where `proposed_value` is none.
 #[derive(Debug, Clone, Copy)]
 struct Operation {
-    proposes: Option<u8>,
-    begun: u64,
+    proposed_value: Option<u8>,
+    started_at: u64,
     returned: Option<Returned>,
 }
 
 fn operation() -> impl Strategy<Value = Operation> {
     let returned = prop::option::weighted(0.8, (prop::option::of(0u8..2), 0u64..5));
-    (prop::option::of(0u8..2), 0u64..10, returned).prop_map(|(proposes, begun, returned)| {
-        // A proposal is never answered with nothing, and the quick check need not know better.
-        let returned = returned.map(|(value, after)| Returned { value: value.or(proposes), after });
-        Operation { proposes, begun, returned }
+    (prop::option::of(0u8..2), 0u64..10, returned).prop_map(|(proposed_value, started_at, returned)| {
+        // A proposal always returns a value, so the fast check does not handle one without.
+        let returned =
+            returned.map(|(value, duration)| Returned { value: value.or(proposed_value), duration });
+        Operation { proposed_value, started_at, returned }
     })
 }
 
-/// The order of kinds is that of events in one step: what begins in the step in which another ends runs beside it.
+/// The start or end of an operation. Starts sort before ends of the same step, so that an operation that starts in the
+/// step in which another ends is concurrent with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EventKind {
-    Begin,
+    Start,
     End,
 }
 
@@ -59,23 +62,23 @@
     value: Option<u8>,
 }
 
-fn general(operations: &[Operation]) -> bool {
-    let mut tester = LinearizabilityTester::new(Once::default());
+fn is_linearizable_exhaustive(operations: &[Operation]) -> bool {
+    let mut tester = LinearizabilityTester::new(WriteOnceSubject::default());
     let mut events = Vec::new();
     for (thread, operation) in operations.iter().enumerate() {
-        let Operation { proposes, begun, returned } = *operation;
-        events.push(Event { at: begun, kind: EventKind::Begin, thread, value: proposes });
-        if let Some(Returned { value, after }) = returned {
-            events.push(Event { at: begun + after, kind: EventKind::End, thread, value });
+        let Operation { proposed_value, started_at, returned } = *operation;
+        events.push(Event { at: started_at, kind: EventKind::Start, thread, value: proposed_value });
+        if let Some(Returned { value, duration }) = returned {
+            events.push(Event { at: started_at + duration, kind: EventKind::End, thread, value });
         }
     }
     events.sort_by_key(|event| (event.at, event.kind, event.thread));
     for Event { kind, thread, value, .. } in events {
         let recorded = match kind {
-            EventKind::Begin => tester.on_invoke(thread, value),
+            EventKind::Start => tester.on_invoke(thread, value),
             EventKind::End => tester.on_return(thread, value),
         };
-        recorded.expect("each operation begins and ends once");
+        recorded.expect("each operation starts and ends once");
     }
     tester.is_consistent()
 }
@@ -83,22 +86,22 @@
 fn history(operations: &[Operation]) -> History {
     let mut history = History::default();
     for operation in operations {
-        let begun = operation.begun;
-        let id = match operation.proposes {
-            Some(value) => history.begin_decide(1, vec![value], begun),
-            None => history.begin_read(1, begun),
+        let started_at = operation.started_at;
+        let id = match operation.proposed_value {
+            Some(value) => history.begin_decide(1, vec![value], started_at),
+            None => history.begin_read(1, started_at),
         };
-        let Some(Returned { value, after }) = operation.returned else { continue };
-        match (operation.proposes, value) {
-            (Some(_), Some(value)) => history.end_decide(id, vec![value], begun + after),
+        let Some(Returned { value, duration }) = operation.returned else { continue };
+        match (operation.proposed_value, value) {
+            (Some(_), Some(value)) => history.end_decide(id, vec![value], started_at + duration),
             (Some(_), None) => {}
-            (None, value) => history.end_read(id, value.map(|value| vec![value]), begun + after),
+            (None, value) => history.end_read(id, value.map(|value| vec![value]), started_at + duration),
         }
     }
     history
 }
 
-fn quick(operations: &[Operation]) -> bool {
+fn is_linearizable_fast(operations: &[Operation]) -> bool {
     history(operations).not_linearizable().is_empty()
 }
 
@@ -111,25 +114,29 @@
     })]
 
     #[test]
-    fn both_checks_agree(operations in prop::collection::vec(operation(), 1..6)) {
-        prop_assert_eq!(quick(&operations), general(&operations), "{:?}", operations);
+    fn fast_and_exhaustive_checks_agree(operations in prop::collection::vec(operation(), 1..6)) {
+        prop_assert_eq!(is_linearizable_fast(&operations), is_linearizable_exhaustive(&operations), "{:?}", operations);
     }
 }
 
-fn proposal(value: u8, begun: u64, returned: u8, after: u64) -> Operation {
-    Operation { proposes: Some(value), begun, returned: Some(Returned { value: Some(returned), after }) }
+fn proposal(value: u8, started_at: u64, returned: u8, duration: u64) -> Operation {
+    Operation {
+        proposed_value: Some(value),
+        started_at,
+        returned: Some(Returned { value: Some(returned), duration }),
+    }
 }
 
-fn read(begun: u64, returned: Option<u8>) -> Operation {
-    Operation { proposes: None, begun, returned: Some(Returned { value: returned, after: 1 }) }
+fn read(started_at: u64, returned: Option<u8>) -> Operation {
+    Operation { proposed_value: None, started_at, returned: Some(Returned { value: returned, duration: 1 }) }
 }
 
 #[test]
-fn a_read_that_goes_back_in_time_is_found() {
+fn a_read_of_an_older_state_after_a_newer_one_is_detected() {
     let decided = proposal(1, 0, 1, 2);
     assert_eq!(history(&[decided]).acknowledged(), [(1, vec![1])]);
-    assert!(quick(&[decided, read(2, Some(1))]));
-    assert!(!quick(&[decided, read(3, None)]));
-    assert!(!quick(&[decided, proposal(0, 9, 0, 1)]));
-    assert!(!quick(&[read(3, Some(1))]), "nobody proposed it");
+    assert!(is_linearizable_fast(&[decided, read(2, Some(1))]));
+    assert!(!is_linearizable_fast(&[decided, read(3, None)]));
+    assert!(!is_linearizable_fast(&[decided, proposal(0, 9, 0, 1)]));
+    assert!(!is_linearizable_fast(&[read(3, Some(1))]), "a value that was never proposed cannot be read");
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,6 +1,6 @@
-//! Fencing and changes of the holder, checked exhaustively: every interleaving of three holders, the replicated state,
-//! the fencing gate and messages that are delayed, duplicated or lost. The gate is the real one; the replicated state
-//! is cut down to one role and one order.
+//! Model checks fencing across changes of the lease holder: every interleaving of three holders, the replicated state,
+//! the fencing gate and messages that are delayed, duplicated or lost. The gate is the production code; the replicated
+//! state is reduced to one role and one order.
 
 use std::collections::BTreeSet;
 
@@ -11,36 +11,39 @@
 const HOLDERS: usize = 3;
 const EPOCHS: u64 = 3;
 
-/// One order, dispatched by whoever holds the lease.
+/// Model of one order that the current lease holder dispatches.
 struct OrderModel {
     /// Whether the gate rejects older epochs.
-    fenced: bool,
+    fencing_enabled: bool,
 }
 
-/// What one holder believes.
+/// Local view of one holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct Holder {
-    /// The epoch under which it acquired the lease; 0 if it never did.
-    acquired: u64,
+    /// Epoch under which the holder acquired the lease; 0 if it never did.
+    acquired_epoch: u64,
     /// Whether the gate has observed that epoch.
-    observed: bool,
-    /// The epoch under which it may send the order.
+    gate_observed: bool,
+    /// Epoch under which the holder may send the order.
     may_send_under: Option<u64>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     epoch: u64,
-    /// The epoch under which the order is dispatched.
+    /// Epoch under which the order is dispatched.
     dispatched: Option<u64>,
     resolved: bool,
     gate: FencingGate,
-    /// What each holder believes. Nobody ever learns of being deposed here: all are frozen whenever that hurts.
+    /// Local views of the holders. No holder ever learns that it was deposed, which models the worst case: a holder
+    /// that is paused at every moment at which it would learn of it.
     holders: [Holder; HOLDERS],
-    /// Sent and never taken away: each may arrive at any later time, and again.
+    /// Epochs of the order messages that were sent. None is removed: each may arrive at any later time, and again.
     in_transit: BTreeSet<u64>,
-    effects: u8,
-    stale: bool,
+    /// How many times the order was executed.
+    executions: u8,
+    /// Whether the order was executed under an older epoch than the gate had observed.
+    stale_execution: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -62,12 +65,12 @@
     Subject::new("order", 1)
 }
 
-/// What each action leads to; none where it is not possible.
+/// State transitions of the actions; none where an action is not possible.
 impl State {
-    /// Whether the replicated state takes this instance for the holder.
+    /// Returns whether the replicated state records this instance as the current holder.
     fn holds(&self, holder: usize) -> bool {
-        let acquired = self.holders[holder].acquired;
-        acquired > 0 && acquired == self.epoch
+        let acquired_epoch = self.holders[holder].acquired_epoch;
+        acquired_epoch > 0 && acquired_epoch == self.epoch
     }
 
     fn acquire(&self, holder: usize) -> Option<State> {
@@ -76,13 +79,13 @@
         }
         let mut next = self.clone();
         next.epoch += 1;
-        next.holders[holder].acquired = next.epoch;
-        next.holders[holder].observed = false;
+        next.holders[holder].acquired_epoch = next.epoch;
+        next.holders[holder].gate_observed = false;
         Some(next)
     }
 
     fn dispatch(&self, holder: usize) -> Option<State> {
-        let may_dispatch = self.holds(holder) && self.holders[holder].observed;
+        let may_dispatch = self.holds(holder) && self.holders[holder].gate_observed;
         if !may_dispatch || self.dispatched.is_some() || self.resolved {
             return None;
         }
@@ -99,10 +102,10 @@
         Some(next)
     }
 
-    /// The holder asks the gate for an order in doubt.
+    /// Asks the gate, as the holder, whether an order in doubt was executed.
     fn query_gate(&self, holder: usize) -> Option<State> {
         let in_doubt = self.dispatched.is_some_and(|epoch| epoch < self.epoch);
-        if !self.holds(holder) || !self.holders[holder].observed || !in_doubt {
+        if !self.holds(holder) || !self.holders[holder].gate_observed || !in_doubt {
             return None;
         }
         let mut next = self.clone();
@@ -115,7 +118,7 @@
     }
 
     fn resolve(&self, holder: usize) -> Option<State> {
-        if !self.holds(holder) || self.effects == 0 || self.dispatched != Some(self.epoch) {
+        if !self.holds(holder) || self.executions == 0 || self.dispatched != Some(self.epoch) {
             return None;
         }
         let mut next = self.clone();
@@ -127,27 +130,27 @@
 
 impl OrderModel {
     fn observe_epoch(&self, last: &State, holder: usize) -> Option<State> {
-        let Holder { acquired, observed, .. } = last.holders[holder];
-        if acquired == 0 || observed {
+        let Holder { acquired_epoch, gate_observed, .. } = last.holders[holder];
+        if acquired_epoch == 0 || gate_observed {
             return None;
         }
         let mut next = last.clone();
-        let accepted = next.gate.observe_epoch(&role(), Epoch(acquired)).is_ok();
-        next.holders[holder].observed = accepted || !self.fenced;
+        let accepted = next.gate.observe_epoch(&role(), Epoch(acquired_epoch)).is_ok();
+        next.holders[holder].gate_observed = accepted || !self.fencing_enabled;
         Some(next)
     }
 
-    /// The order comes to the gate under an epoch.
+    /// Delivers the order to the gate under an epoch.
     fn arrive(&self, last: &State, epoch: u64) -> State {
         let mut next = last.clone();
         let admitted = match next.gate.admit(&role(), Epoch(epoch), &order()) {
             FencingDecision::Admit => true,
-            FencingDecision::StaleEpoch { .. } => !self.fenced && last.effects == 0,
+            FencingDecision::StaleEpoch { .. } => !self.fencing_enabled && last.executions == 0,
             FencingDecision::Duplicate { .. } | FencingDecision::Full => false,
         };
         if admitted {
-            next.effects += 1;
-            next.stale = epoch < last.gate.current_epoch(&role()).0;
+            next.executions += 1;
+            next.stale_execution = epoch < last.gate.current_epoch(&role()).0;
         }
         next
     }
@@ -165,8 +168,8 @@
             gate: FencingGate::default(),
             holders: [Holder::default(); HOLDERS],
             in_transit: BTreeSet::new(),
-            effects: 0,
-            stale: false,
+            executions: 0,
+            stale_execution: false,
         }]
     }
 
@@ -202,10 +205,10 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the order is executed once at the most", |_, s: &State| s.effects <= 1),
-            Property::always("no act of a deposed holder", |_, s: &State| !s.stale),
+            Property::always("the order is executed at most once", |_, s: &State| s.executions <= 1),
+            Property::always("a deposed holder executes no order", |_, s: &State| !s.stale_execution),
             Property::sometimes("an order in doubt is executed under a later epoch", |_, s: &State| {
-                s.effects == 1
+                s.executions == 1
                     && s.holders.iter().filter(|holder| holder.may_send_under.is_some()).count() > 1
             }),
         ]
@@ -213,14 +216,14 @@
 }
 
 #[test]
-fn in_every_interleaving_the_order_is_executed_once_and_deposed_holders_are_rejected() {
-    let checker = OrderModel { fenced: true }.checker().spawn_bfs().join();
+fn the_order_is_executed_at_most_once_and_deposed_holders_are_rejected_in_every_interleaving() {
+    let checker = OrderModel { fencing_enabled: true }.checker().spawn_bfs().join();
     assert!(checker.unique_state_count() > 1_000, "{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn without_the_fence_the_checker_finds_the_deposed_holders_act() {
-    let checker = OrderModel { fenced: false }.checker().spawn_bfs().join();
-    assert!(checker.discovery("no act of a deposed holder").is_some());
+fn without_fencing_the_checker_finds_an_execution_by_a_deposed_holder() {
+    let checker = OrderModel { fencing_enabled: false }.checker().spawn_bfs().join();
+    assert!(checker.discovery("a deposed holder executes no order").is_some());
 }
--- a/crates/consensus/tests/proposal_queue.rs
+++ b/crates/consensus/tests/proposal_queue.rs
@@ -1,4 +1,4 @@
-//! A command keeps its sequence number over every attempt, and the queue tells what became of it.
+//! Tests that a command keeps its sequence number across attempts and that the queue reports each command's outcome.
 
 use garnetcrank_consensus::ids::SessionId;
 use garnetcrank_consensus::pending_requests::Answer;
@@ -22,27 +22,31 @@
 }
 
 #[test]
-fn a_command_keeps_its_number_until_it_is_answered() {
+fn a_command_keeps_its_sequence_number_until_it_is_answered() {
     let mut queue = ProposalQueue::new(2, 9);
-    assert_eq!(queue.next_proposal(), None, "no session without a command");
+    assert_eq!(queue.next_proposal(), None, "no session is opened without a command");
     queue.submit(1, retire(1)).unwrap();
     queue.submit(2, retire(2)).unwrap();
     assert_eq!(queue.submit(3, retire(3)), Err(3));
     open_session(&mut queue);
     assert_eq!(next_sequence(&mut queue), 1);
-    assert_eq!(queue.next_proposal(), None, "one at a time");
+    assert_eq!(queue.next_proposal(), None, "only one proposal is in flight");
     assert_eq!(queue.on_answer(Answer::Indeterminate), None);
     assert_eq!(next_sequence(&mut queue), 1);
     assert_eq!(
         queue.on_answer(Answer::Applied(Reply::Done)),
         Some((1, ProposalOutcome::Applied(Reply::Done)))
     );
-    assert_eq!(queue.on_answer(Answer::Applied(Reply::Done)), None, "an answer to nothing");
+    assert_eq!(
+        queue.on_answer(Answer::Applied(Reply::Done)),
+        None,
+        "an answer without a proposal in flight is ignored"
+    );
     assert_eq!(next_sequence(&mut queue), 2);
 }
 
 #[test]
-fn with_the_session_lost_a_command_is_unknown_and_the_next_opens_another() {
+fn an_expired_session_leaves_the_outcome_unknown_and_the_next_command_opens_a_new_session() {
     let mut queue = ProposalQueue::new(2, 9);
     queue.submit(1, retire(1)).unwrap();
     queue.submit(2, retire(2)).unwrap();
@@ -54,7 +58,7 @@
 }
 
 #[test]
-fn an_abandoned_command_is_superseded_by_the_next() {
+fn an_abandoned_command_is_superseded_by_the_next_one() {
     let mut queue = ProposalQueue::new(2, 2);
     queue.submit(1, retire(1)).unwrap();
     queue.submit(2, retire(2)).unwrap();
--- a/crates/consensus/tests/replicated_state.rs
+++ b/crates/consensus/tests/replicated_state.rs
@@ -1,4 +1,5 @@
-//! Random commands, copies and late copies of them, against the state's promises.
+//! Property test: the replicated state keeps its guarantees under random commands, with immediate and delayed
+//! duplicates.
 
 use std::collections::BTreeMap;
 
@@ -52,18 +53,23 @@
     ]
 }
 
-/// What one of three sessions sends next.
+/// The next proposal of one of three sessions.
 #[derive(Debug, Clone)]
 struct Step {
     session: usize,
     command: Command,
-    /// Instead of the command, a copy of the proposal so many before the last one.
-    copy_of: Option<usize>,
+    /// If set, a duplicate is sent in place of the command: of the session's last proposal for 0, of the one before it
+    /// for 1, and so on.
+    duplicate_of: Option<usize>,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let copy_of = prop::option::weighted(0.3, 0usize..4);
-    (0usize..3, command(), copy_of).prop_map(|(session, command, copy_of)| Step { session, command, copy_of })
+    let duplicate_of = prop::option::weighted(0.3, 0usize..4);
+    (0usize..3, command(), duplicate_of).prop_map(|(session, command, duplicate_of)| Step {
+        session,
+        command,
+        duplicate_of,
+    })
 }
 
 fn initial_state() -> ReplicatedState {
@@ -76,8 +82,8 @@
     state
 }
 
-/// A replicated state, a replica of it, and what must hold of them.
-struct Run {
+/// A replicated state and a second replica of it, with the expected values that are checked after each step.
+struct ReplicaChecker {
     state: ReplicatedState,
     replica: ReplicatedState,
     index: u64,
@@ -87,7 +93,7 @@
     dispatched_under: BTreeMap<u64, Epoch>,
 }
 
-impl Run {
+impl ReplicaChecker {
     fn new() -> Self {
         Self {
             state: initial_state(),
@@ -100,10 +106,10 @@
         }
     }
 
-    fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply_step(&mut self, step: Step) -> Result<(), TestCaseError> {
         self.index += 1;
-        match step.copy_of {
-            Some(back) => self.send_copy(step.session, back),
+        match step.duplicate_of {
+            Some(distance) => self.send_duplicate(step.session, distance),
             None => self.send_new(step.session, step.command),
         }
     }
@@ -112,14 +118,14 @@
         self.state.lease(&role()).map_or(Epoch(0), |lease| lease.epoch)
     }
 
-    fn send_copy(&mut self, session: usize, back: usize) -> Result<(), TestCaseError> {
-        let Some(position) = self.sent[session].len().checked_sub(back + 1) else { return Ok(()) };
+    fn send_duplicate(&mut self, session: usize, distance: usize) -> Result<(), TestCaseError> {
+        let Some(position) = self.sent[session].len().checked_sub(distance + 1) else { return Ok(()) };
         let (proposal, first) = self.sent[session][position].clone();
         let before = self.state.clone();
         let reply = self.state.apply(Index(self.index), &proposal);
         self.replica.apply(Index(self.index), &proposal);
-        // The last one's copy gets its reply, those of older ones are superseded.
-        prop_assert_eq!(&reply, if back == 0 { &first } else { &Reply::Superseded });
+        // A duplicate of the last proposal gets that proposal's reply; duplicates of earlier ones are superseded.
+        prop_assert_eq!(&reply, if distance == 0 { &first } else { &Reply::Superseded });
         prop_assert_eq!(self.state.lease(&role()), before.lease(&role()));
         prop_assert!(self.state.subjects_after(None).eq(before.subjects_after(None)));
         prop_assert!(self.state.notices("topic").eq(before.notices("topic")));
@@ -134,7 +140,7 @@
         let proposal = Proposal { session: session_id, sequence, command: command.clone() };
         let reply = self.state.apply(Index(self.index), &proposal);
         let replica_reply = self.replica.apply(Index(self.index), &proposal);
-        prop_assert_eq!(&reply, &replica_reply, "the same on every instance");
+        prop_assert_eq!(&reply, &replica_reply, "every replica gives the same reply");
         self.sent[session].push((proposal, reply.clone()));
         let epoch = self.epoch();
         prop_assert!(epoch == epoch_before || epoch.0 == epoch_before.0 + 1);
@@ -151,24 +157,31 @@
         let epoch = self.epoch();
         match (command, reply) {
             (Command::Decide { subject, value }, Reply::Decided { value: held, first }) => {
-                let known = self.decided.entry(subject.number).or_insert_with(|| value.clone());
-                prop_assert_eq!(&*known, held);
+                let recorded = self.decided.entry(subject.number).or_insert_with(|| value.clone());
+                prop_assert_eq!(&*recorded, held);
                 prop_assert!(!first || value == held);
                 let below = self.retired_below.get("subject").copied().unwrap_or(0);
                 prop_assert!(subject.number >= below);
             }
-            (Command::DispatchOrder { epoch: shown, order, .. }, Reply::Dispatched(under)) => {
-                prop_assert_eq!((*shown, *under), (epoch, epoch), "only the current holder dispatches");
-                // Again only under a later epoch than before: the gate admits the older one no more.
-                let older = self.dispatched_under.insert(order.number, *under);
-                prop_assert!(older.is_none_or(|older| older < *under));
+            (
+                Command::DispatchOrder { epoch: proposed_epoch, order, .. },
+                Reply::Dispatched(dispatched_epoch),
+            ) => {
+                prop_assert_eq!(
+                    (*proposed_epoch, *dispatched_epoch),
+                    (epoch, epoch),
+                    "only the current holder dispatches"
+                );
+                // An order is dispatched again only under a later epoch: by then the gate rejects the earlier one.
+                let previous = self.dispatched_under.insert(order.number, *dispatched_epoch);
+                prop_assert!(previous.is_none_or(|previous| previous < *dispatched_epoch));
             }
-            (Command::AcquireLease { expected_epoch, .. }, Reply::LeaseAcquired(under)) => {
-                prop_assert_eq!((*expected_epoch, *under), (epoch_before, epoch));
+            (Command::AcquireLease { expected_epoch, .. }, Reply::LeaseAcquired(acquired_epoch)) => {
+                prop_assert_eq!((*expected_epoch, *acquired_epoch), (epoch_before, epoch));
             }
             (Command::RetireSubjects { space, below }, Reply::Done) => {
-                let known = self.retired_below.entry(space.clone()).or_default();
-                *known = (*known).max(*below);
+                let recorded = self.retired_below.entry(space.clone()).or_default();
+                *recorded = (*recorded).max(*below);
             }
             _ => {}
         }
@@ -190,10 +203,10 @@
         Ok(())
     }
 
-    /// What a snapshot carries is all there is.
+    /// Checks that a snapshot holds the entire state and that both replicas are equal.
     fn check_snapshot(&self) -> Result<(), TestCaseError> {
-        let bytes = postcard::to_stdvec(&self.state).expect("bytes");
-        let decoded: ReplicatedState = postcard::from_bytes(&bytes).expect("a state");
+        let bytes = postcard::to_stdvec(&self.state).expect("the state is encoded");
+        let decoded: ReplicatedState = postcard::from_bytes(&bytes).expect("the state is decoded");
         prop_assert_eq!(&decoded, &self.state);
         prop_assert_eq!(&self.replica, &self.state);
         Ok(())
@@ -209,11 +222,11 @@
     })]
 
     #[test]
-    fn decisions_are_final_epochs_grow_and_copies_change_nothing(steps in prop::collection::vec(step(), 1..80)) {
-        let mut run = Run::new();
+    fn decisions_are_final_epochs_increase_and_duplicates_do_nothing(steps in prop::collection::vec(step(), 1..80)) {
+        let mut checker = ReplicaChecker::new();
         for step in steps {
-            run.play(step)?;
+            checker.apply_step(step)?;
         }
-        run.check_snapshot()?;
+        checker.check_snapshot()?;
     }
 }
--- a/crates/consensus/tests/stored_data/main.rs
+++ b/crates/consensus/tests/stored_data/main.rs
@@ -1,10 +1,11 @@
-//! Decodes what an earlier version stored, down to each field, and goes on from it.
+//! Tests that a store written by an earlier version is decoded field by field and that an instance restarts from it.
 //!
-//! The fixture `crates/agent/tests/fixtures/store-8a93f45/alma.redb` was written once by the code of commit 8a93f45, by
-//! an instance `alma` driven through the Raft node and the store as the agent drives them, with a second voter `birs`.
-//! It is never to be written anew. Its snapshot holds every kind of subject and every reply that a session keeps; the
-//! entries behind it every command, with a decided removal of a member and, not decided, one more member and one more
-//! decision. `state.txt` beside it names all of this in words of its own, so that renamed types don't touch it.
+//! The fixture `crates/agent/tests/fixtures/store-8a93f45/alma.redb` was written by the code of commit 8a93f45: the
+//! instance `alma`, driven through the Raft node and the store as the agent drives them, with `birs` as second voter.
+//! It must never be regenerated. Its snapshot holds every kind of subject and every reply that a session keeps. The
+//! entries after the snapshot hold every command, a committed removal of a member and, uncommitted, the addition of a
+//! member and a decision. `state.txt` in the same folder describes the contents in a vocabulary of its own, so that
+//! it stays unchanged when types are renamed.
 
 mod probe;
 mod text;
@@ -32,82 +33,87 @@
 }
 
 fn loaded() -> Loaded {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let path = folder.path().join("alma.redb");
     std::fs::copy(fixture("alma.redb"), &path).expect("the fixture is copied");
-    Store::inspect(&path).expect("the store opens").load().expect("it loads")
+    Store::inspect(&path).expect("the store opens").load().expect("the store loads")
 }
 
-/// The replicated state that the snapshot holds.
+/// Decodes the replicated state in the snapshot.
 fn snapshot_state() -> ReplicatedState {
-    let snapshot = loaded().snapshot.expect("a snapshot");
-    let state: ReplicatedState = postcard::from_bytes(&snapshot.data).expect("the replicated state");
-    assert_eq!(postcard::to_stdvec(&state).expect("bytes"), snapshot.data, "it is written as it was");
+    let snapshot = loaded().snapshot.expect("the store holds a snapshot");
+    let state: ReplicatedState =
+        postcard::from_bytes(&snapshot.data).expect("the replicated state is decoded");
+    assert_eq!(
+        postcard::to_stdvec(&state).expect("the state is encoded"),
+        snapshot.data,
+        "the encoding has changed"
+    );
     state
 }
 
-/// An instance that goes on from the fixture and has applied all that was decided.
+/// Restarts an instance from the fixture and applies all committed entries.
 fn restarted() -> RaftNode {
     let mut node = RaftNode::start(RaftSettings::default(), ALMA, 4, loaded()).expect("the instance starts");
-    while node.ready().expect("its work").is_some() {
-        node.on_persisted().expect("a write");
+    while node.ready().expect("the node prepares its output").is_some() {
+        node.on_persisted().expect("the node continues after the write");
     }
     node
 }
 
 #[test]
-fn every_field_is_decoded_as_it_was_stored() {
+fn every_stored_field_is_decoded_unchanged() {
     let (loaded, node) = (loaded(), restarted());
-    let snapshot = loaded.snapshot.as_ref().expect("a snapshot");
+    let snapshot = loaded.snapshot.as_ref().expect("the store holds a snapshot");
     let mut voters = ConfState::default();
-    voters.merge_from_bytes(&snapshot.members).expect("a configuration");
+    voters.merge_from_bytes(&snapshot.members).expect("the configuration is decoded");
     let ids = |ids: &[u64]| ids.iter().map(|id| format!("{id:016x}")).collect::<Vec<_>>().join(" ");
-    let mut found = format!(
+    let mut actual = format!(
         "snapshot index {} term {}\nvoters {}\nlearners {}\n",
         snapshot.index,
         snapshot.term,
         ids(&voters.voters),
         ids(&voters.learners)
     );
-    found.push_str(&state_text("snapshot", &snapshot_state()));
-    found.push_str(&log_text(&loaded));
-    found.push_str(&state_text("restarted", node.state()));
-    let expected = std::fs::read_to_string(fixture("state.txt")).expect("the expected text");
-    for (number, (found, expected)) in found.lines().zip(expected.lines()).enumerate() {
-        assert_eq!(found, expected, "state.txt, line {}", number + 1);
+    actual.push_str(&state_text("snapshot", &snapshot_state()));
+    actual.push_str(&log_text(&loaded));
+    actual.push_str(&state_text("restarted", node.state()));
+    let expected = std::fs::read_to_string(fixture("state.txt")).expect("state.txt is read");
+    for (number, (actual, expected)) in actual.lines().zip(expected.lines()).enumerate() {
+        assert_eq!(actual, expected, "state.txt, line {}", number + 1);
     }
-    assert_eq!(found.lines().count(), expected.lines().count(), "lines of state.txt");
+    assert_eq!(actual.lines().count(), expected.lines().count(), "number of lines in state.txt");
 }
 
 #[test]
-fn all_130_decisions_are_kept_and_the_retired_ones_are_not() {
+fn all_130_current_decisions_are_present_and_retired_ones_are_not() {
     let node = restarted();
-    let held: Vec<(u64, Vec<u8>)> = (node.state().subjects("condemned", 0))
+    let decisions: Vec<(u64, Vec<u8>)> = (node.state().subjects("condemned", 0))
         .map(|(subject, state)| match state {
             SubjectState::Decided(value) => (subject.number, value.clone()),
             other => panic!("{subject}: {}", subject_text(other)),
         })
         .collect();
-    // As they were written: some bytes of the number of who decided, then the decision's own number.
+    // A value in the fixture: the first `number % 9` bytes of the id of the deciding instance, then `number % 251`.
     let expected: Vec<(u64, Vec<u8>)> = (1001..=1130)
         .map(|number: u64| {
-            let by = if number.is_multiple_of(2) { ALMA } else { BIRS };
-            let mut value = by.0.to_le_bytes()[..(number % 9).min(8) as usize].to_vec();
+            let decided_by = if number.is_multiple_of(2) { ALMA } else { BIRS };
+            let mut value = decided_by.0.to_le_bytes()[..(number % 9).min(8) as usize].to_vec();
             value.push((number % 251) as u8);
             (number, value)
         })
         .collect();
-    assert_eq!(held.len(), 130);
-    assert_eq!(held, expected);
+    assert_eq!(decisions.len(), 130);
+    assert_eq!(decisions, expected);
     assert_eq!(retired_below(node.state(), "condemned"), Some(1001));
 }
 
 #[test]
-fn leases_members_and_sessions_have_these_values() {
+fn leases_members_and_session_replies_have_the_stored_values() {
     let node = restarted();
     let state = node.state();
     let lease = |role: &str| {
-        let lease = state.lease(&Role(role.to_owned())).expect("a lease");
+        let lease = state.lease(&Role(role.to_owned())).expect("the lease exists");
         (lease.holder, lease.epoch.0, lease.ttl)
     };
     assert_eq!(build_verdicts::vote_role(), Role("votes".to_owned()));
@@ -117,13 +123,13 @@
     assert_eq!(lease("left"), (None, 2, 33));
     assert_eq!(lease("of-citrom"), (None, 2, 17), "its holder was removed");
     let before = snapshot_state();
-    let lease = before.lease(&Role("of-citrom".to_owned())).expect("a lease");
+    let lease = before.lease(&Role("of-citrom".to_owned())).expect("the lease exists");
     assert_eq!((lease.holder, lease.epoch.0), (Some(CITROM), 1));
     let members: Vec<(InstanceId, &str, &str)> =
-        state.members().map(|m| (m.id, m.name.as_str(), m.address.as_str())).collect();
+        state.members().map(|member| (member.id, member.name.as_str(), member.address.as_str())).collect();
     assert_eq!(members, [(ALMA, "alma", "127.0.0.1:7101"), (BIRS, "birs", "127.0.0.1:7102")]);
     assert!(node.is_voter(ALMA) && node.is_voter(BIRS) && !node.is_voter(CITROM));
-    // Every kind of reply that a session can keep.
+    // The kinds of reply that a session can keep.
     let kinds: BTreeSet<String> = sessions(&before)
         .into_iter()
         .filter_map(|id| last_reply(&before, id))
@@ -146,33 +152,34 @@
 }
 
 #[test]
-fn a_restarted_instance_has_its_term_and_vote_and_goes_on_from_what_was_decided() {
+fn a_restarted_instance_restores_its_term_and_vote_and_the_committed_entries() {
     let mut node = restarted();
     let status = node.status();
     assert_eq!(
         (status.term.0, status.committed.0, status.applied.0, status.last_index.0),
         (4, 329, 329, 331)
     );
-    assert_eq!(node.state().member(InstanceId(0x0da1_5e00_0000_0004)), None, "not decided");
-    // In term 4 it has voted for itself: whoever else asks in that term gets no vote, in a later one it does.
-    for (term, refused) in [(4, true), (5, false)] {
-        let mut ask =
+    assert_eq!(node.state().member(InstanceId(0x0da1_5e00_0000_0004)), None, "the addition is not committed");
+    // In term 4 the instance has voted for itself: it rejects another candidate in that term, but not in a later one.
+    for (term, rejected) in [(4, true), (5, false)] {
+        let mut request =
             Message { from: BIRS.0, to: ALMA.0, term, index: 331, log_term: 4, ..Message::default() };
-        ask.set_msg_type(MessageType::MsgRequestVote);
-        node.receive(ask);
-        let mut answers = Vec::new();
-        while let Some(work) = node.ready().expect("its work") {
-            answers.extend(work.messages);
-            node.on_persisted().expect("a write");
+        request.set_msg_type(MessageType::MsgRequestVote);
+        node.receive(request);
+        let mut responses = Vec::new();
+        while let Some(ready) = node.ready().expect("the node prepares its output") {
+            responses.extend(ready.messages);
+            node.on_persisted().expect("the node continues after the write");
         }
-        let answer = answers.iter().find(|m| m.get_msg_type() == MessageType::MsgRequestVoteResponse);
-        assert_eq!(answer.map(|m| (m.term, m.reject)), Some((term, refused)));
+        let response =
+            responses.iter().find(|message| message.get_msg_type() == MessageType::MsgRequestVoteResponse);
+        assert_eq!(response.map(|message| (message.term, message.reject)), Some((term, rejected)));
     }
 }
 
 #[test]
-fn replies_that_no_session_keeps_have_their_places_among_the_others() {
-    let bytes = |reply: &Reply| postcard::to_stdvec(reply).expect("bytes");
+fn replies_that_no_session_keeps_have_the_expected_variant_indices() {
+    let bytes = |reply: &Reply| postcard::to_stdvec(reply).expect("the reply is encoded");
     assert_eq!(bytes(&Reply::Retired { below: 3 }), [8, 3]);
     assert_eq!(bytes(&Reply::SessionExpired), [9]);
     assert_eq!(bytes(&Reply::Superseded), [10]);
--- a/crates/consensus/tests/stored_data/text.rs
+++ b/crates/consensus/tests/stored_data/text.rs
@@ -1,4 +1,4 @@
-//! What is stored, in words that renamed types don't touch.
+//! Describes stored data in the fixed vocabulary of `state.txt`, which does not depend on the names of types.
 
 use std::fmt::Write as _;
 
@@ -68,7 +68,7 @@
         Reply::SessionExpired => "session lost".to_owned(),
         Reply::Superseded => "overtaken".to_owned(),
         Reply::CapacityExceeded => "full".to_owned(),
-        Reply::Rejected(why) => format!("refused: {why}"),
+        Reply::Rejected(reason) => format!("refused: {reason}"),
     }
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// Everything that a replicated state holds, in words.
+/// Describes everything that a replicated state holds, one item a line.
 pub(crate) fn state_text(name: &str, state: &ReplicatedState) -> String {
     let mut text = format!("{name} applied {}\n", state.applied());
     for member in state.members() {
@@ -140,47 +140,53 @@
     let open_sessions = sessions(state);
     assert_eq!(open_sessions.len(), state.session_count());
     for id in open_sessions {
-        let (sequence, reply) = last_reply(state, id).expect("a last reply");
+        let (sequence, reply) = last_reply(state, id).expect("an open session has a last reply");
         let _ = writeln!(text, "{name} session {id}: sequence {sequence}, {}", reply_text(&reply));
     }
     let _ = writeln!(text, "{name} sessions by last use: {:?}", sessions_by_use(state));
     text
 }
 
-/// The instance, run and ticket that asked for a change, and the change, as the log holds them.
+/// Context of a membership change in the log: the instance, its incarnation and the ticket of the request, and the
+/// change.
 type ChangeContext = ((u64, u64, u64), MembershipChange);
 
-/// Every entry behind the snapshot, in words.
+/// Describes every entry after the snapshot, one a line.
 pub(crate) fn log_text(loaded: &Loaded) -> String {
     let mut text = String::new();
     for entry in &loaded.entries {
-        let what = match entry.kind {
+        let description = match entry.kind {
             0 if entry.data.is_empty() => "empty".to_owned(),
             0 => {
-                let proposal: Proposal = postcard::from_bytes(&entry.data).expect("a proposal");
-                assert_eq!(postcard::to_stdvec(&proposal).expect("bytes"), entry.data, "{}", entry.index);
+                let proposal: Proposal = postcard::from_bytes(&entry.data).expect("the proposal is decoded");
+                assert_eq!(
+                    postcard::to_stdvec(&proposal).expect("the proposal is encoded"),
+                    entry.data,
+                    "entry {}",
+                    entry.index
+                );
                 let Proposal { session, sequence, command } = proposal;
                 format!("session {session} sequence {sequence}: {}", command_text(&command))
             }
             1 => {
                 let mut change = ConfChange::default();
-                change.merge_from_bytes(&entry.data).expect("a configuration change");
+                change.merge_from_bytes(&entry.data).expect("the configuration change is decoded");
                 let kind = match change.get_change_type() {
                     ConfChangeType::AddNode => "voter",
                     ConfChangeType::RemoveNode => "out",
                     ConfChangeType::AddLearnerNode => "learner",
                 };
-                let ((id, run, ticket), requested): ChangeContext =
-                    postcard::from_bytes(&change.context).expect("what was asked for");
+                let ((id, incarnation, ticket), requested): ChangeContext =
+                    postcard::from_bytes(&change.context).expect("the context of the change is decoded");
                 format!(
-                    "membership: {:016x} {kind}; asked by {id:016x} run {run} ticket {ticket}: {}",
+                    "membership: {:016x} {kind}; asked by {id:016x} run {incarnation} ticket {ticket}: {}",
                     change.node_id,
                     change_text(&requested)
                 )
             }
             kind => format!("unknown kind {kind}"),
         };
-        let _ = writeln!(text, "log {} term {} {what}", entry.index, entry.term);
+        let _ = writeln!(text, "log {} term {} {description}", entry.index, entry.term);
     }
     text
 }
