--- a/crates/consensus/examples/handover/disk.rs
+++ b/crates/consensus/examples/handover/disk.rs
@@ -1,19 +1,19 @@
-//! Disks of simulated instances: a fast model of the store, or the store itself on a disk whose power can be cut.
+//! Disks of simulated instances: a fast model of the store, or the real store on a disk that simulates power loss.
 
 use garnetcrank_consensus::ids::InstanceId;
 use garnetcrank_store::{Batch, Identity, Loaded, Store, StoreError};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
-/// Which disk.
+/// Kind of a simulated disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskKind {
-    /// A model that keeps whole batches, synced or not.
+    /// In-memory model that holds synced state and a list of unsynced batches; a batch is never torn.
     Model,
-    /// The store itself.
+    /// Real store on a disk that simulates power loss.
     Store,
 }
 
-/// An instance's disk.
+/// Disk of a simulated instance.
 pub enum SimDisk {
     /// See [`DiskKind::Model`].
     Model { durable: Loaded, unsynced: Vec<Batch>, ignore_syncs: bool },
@@ -21,26 +21,26 @@
     Real { disk: FaultyDisk, store: Option<Store>, identity: Identity },
 }
 
-/// What the store would hold after this batch.
-fn apply(held: &mut Loaded, batch: &Batch) {
-    if let Some(hard) = batch.hard_state {
-        held.hard_state = hard;
+/// Applies a batch to the model as the store would.
+fn apply(stored: &mut Loaded, batch: &Batch) {
+    if let Some(hard_state) = batch.hard_state {
+        stored.hard_state = hard_state;
     }
     if let Some(snapshot) = &batch.snapshot {
-        // Entries behind the snapshot stay only if the log has the entry that it ends with.
+        // Entries after the snapshot are kept only if the log contains the snapshot's last entry.
         let last = (snapshot.index, snapshot.term);
-        let continues_log = held.entries.iter().any(|entry| (entry.index, entry.term) == last);
-        held.entries.retain(|entry| continues_log && entry.index > snapshot.index);
-        held.snapshot = Some(snapshot.clone());
+        let continues_log = stored.entries.iter().any(|entry| (entry.index, entry.term) == last);
+        stored.entries.retain(|entry| continues_log && entry.index > snapshot.index);
+        stored.snapshot = Some(snapshot.clone());
     }
     if let Some(first) = batch.entries.first() {
-        held.entries.retain(|entry| entry.index < first.index);
-        held.entries.extend(batch.entries.iter().cloned());
+        stored.entries.retain(|entry| entry.index < first.index);
+        stored.entries.extend(batch.entries.iter().cloned());
     }
 }
 
 impl SimDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new(kind: DiskKind, id: InstanceId) -> Self {
         match kind {
             DiskKind::Model => {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Which it is.
+    /// Returns the kind of the disk.
     pub fn kind(&self) -> DiskKind {
         match self {
             Self::Model { .. } => DiskKind::Model,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether syncs are ignored from now on: the disk says that it has synced and has not.
+    /// Sets whether the disk ignores syncs from now on: it reports success without making the data durable.
     pub fn set_ignore_syncs(&mut self, ignore: bool) {
         match self {
             Self::Model { ignore_syncs, .. } => *ignore_syncs = ignore,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Writes and syncs.
+    /// Writes and syncs a batch.
     pub fn write(&mut self, batch: &Batch) {
         match self {
             Self::Model { durable, unsynced, ignore_syncs } => {
@@ -83,33 +83,33 @@
             }
             Self::Real { store, .. } => {
                 if let Some(store) = store {
-                    store.commit(batch).expect("the simulated disk takes what the node writes");
+                    store.commit(batch).expect("the simulated disk accepts the write");
                 }
             }
         }
     }
 
-    /// The power goes: of what was not synced, some first part stays.
+    /// Cuts the power. `seed` determines which unsynced writes survive; in the model they are always a prefix.
     pub fn crash(&mut self, seed: u64) {
         match self {
             Self::Model { durable, unsynced, .. } => {
-                let kept = seed as usize % (unsynced.len() + 1);
-                for batch in unsynced.drain(..).take(kept) {
+                let surviving = seed as usize % (unsynced.len() + 1);
+                for batch in unsynced.drain(..).take(surviving) {
                     apply(durable, &batch);
                 }
             }
             Self::Real { disk, store, .. } => {
-                let after = disk.after_power_cut(seed);
+                let disk_after_cut = disk.after_power_cut(seed);
                 *store = None;
-                *disk = after;
+                *disk = disk_after_cut;
             }
         }
     }
 
-    /// What is held at a start.
+    /// Loads the stored state when an instance starts.
     ///
     /// # Errors
-    /// The store can't be opened or read.
+    /// Returns an error if the store can't be opened or read.
     pub fn load(&mut self) -> Result<Loaded, StoreError> {
         match self {
             Self::Model { durable, .. } => Ok(durable.clone()),
--- a/crates/consensus/examples/handover/main.rs
+++ b/crates/consensus/examples/handover/main.rs
@@ -1,7 +1,8 @@
-//! Rounds of pause, wake, partition, crash and heal over 3 and 5 simulated instances in virtual time.
+//! Simulates clusters of 3 and 5 instances in virtual time under random schedules of faults and checks that no decision
+//! is lost or made twice and that orders of deposed lease holders are rejected.
 //!
-//! `--seed S --rounds N [--without gate|sync] [--store]`: ends with one line of figures and exit 0; at the first
-//! violation it prints the seed and the shortest schedule found, and ends with 1.
+//! Options: `--seed S --rounds N [--without gate|sync] [--store]`. Prints one line of totals and exits with 0. At the
+//! first violation it prints the seed and the shortest failing schedule that it finds, and exits with 1.
 
 mod disk;
 mod world;
@@ -23,13 +24,13 @@
 
 #[derive(Debug, thiserror::Error)]
 enum OptionsError {
-    #[error("{0} needs a value")]
+    #[error("option {0} requires a value")]
     MissingValue(String),
-    #[error("{option}: {source}")]
+    #[error("option {option} requires a non-negative integer: {source}")]
     InvalidNumber { option: String, source: ParseIntError },
-    #[error("--without {0}: gate or sync")]
+    #[error("unknown value \"{0}\" of --without: gate or sync is allowed")]
     UnknownProtection(String),
-    #[error("{0}: --seed, --rounds, --without and --store are known")]
+    #[error("unknown option \"{0}\": --seed, --rounds, --without and --store are allowed")]
     UnknownOption(String),
 }
 
@@ -67,7 +68,7 @@
     }
 }
 
-/// One round: a seed, a number of instances and what is switched off.
+/// Parameters of one simulated run.
 struct Round {
     seed: u64,
     instances: usize,
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Plays a schedule. A panic of the library's own checks is a violation like any other.
-    fn play(&self, plan: &[PlannedFault]) -> RunReport {
+    /// Runs a schedule of faults. A panic, such as of an assertion in the library, is reported as a violation.
+    fn run(&self, plan: &[PlannedFault]) -> RunReport {
         let run = || World::new(self.seed, self.instances, self.disabled, self.disk_kind).run(plan);
         match std::panic::catch_unwind(run) {
             Ok(report) => report,
@@ -97,13 +98,13 @@
         }
     }
 
-    /// Leaves faults out as long as the run still goes wrong.
-    fn shortest_failing(&self, mut plan: Vec<PlannedFault>) -> Vec<PlannedFault> {
+    /// Removes faults from a failing schedule as long as the run still reports a violation.
+    fn shrink_failing_plan(&self, mut plan: Vec<PlannedFault>) -> Vec<PlannedFault> {
         let mut position = 0;
         while position < plan.len() {
             let mut shorter = plan.clone();
             shorter.remove(position);
-            if self.play(&shorter).is_sound() {
+            if self.run(&shorter).has_no_violations() {
                 position += 1;
             } else {
                 plan = shorter;
@@ -125,8 +126,8 @@
 }
 
 fn print_violation(number: u64, round: &Round, plan: Vec<PlannedFault>) {
-    let plan = round.shortest_failing(plan);
-    let report = round.play(&plan);
+    let plan = round.shrink_failing_plan(plan);
+    let report = round.run(&plan);
     println!(
         "violation in round {number}, {} instances, seed {}; shortest schedule found:",
         round.instances, round.seed
@@ -134,7 +135,7 @@
     for PlannedFault { at, fault } in plan {
         println!("  step {at}: {fault:?}");
     }
-    for violation in report.duplicates.iter().chain(&report.lost).chain(&report.other) {
+    for violation in report.conflicts.iter().chain(&report.lost).chain(&report.other) {
         println!("  {violation}");
     }
 }
@@ -149,20 +150,20 @@
     };
     std::panic::set_hook(Box::new(|_| {}));
     let mut decisions = 0;
-    let mut stale_rejected = 0;
+    let mut stale_orders_rejected = 0;
     for number in 0..options.rounds {
         let round = Round::new(&options, number);
         let plan = schedule(round.seed, round.instances);
-        let report = round.play(&plan);
-        if !report.is_sound() {
+        let report = round.run(&plan);
+        if !report.has_no_violations() {
             print_violation(number, &round, plan);
             return ExitCode::FAILURE;
         }
         decisions += report.decisions;
-        stale_rejected += report.stale_rejected;
+        stale_orders_rejected += report.stale_orders_rejected;
     }
     println!(
-        "rounds {} decisions {decisions} double 0 lost 0 stale-acts-refused {stale_rejected}",
+        "rounds {} decisions {decisions} double 0 lost 0 stale-acts-refused {stale_orders_rejected}",
         options.rounds
     );
     ExitCode::SUCCESS
--- a/crates/consensus/examples/handover/world/checks.rs
+++ b/crates/consensus/examples/handover/world/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold in a run and after it.
+//! Invariants that are checked during a run and at its end.
 
 use std::collections::BTreeMap;
 
@@ -8,29 +8,30 @@
 use super::instance::Process;
 use super::{ORDERS, RECOVERY_STEPS, World, order, subject};
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RunReport {
-    /// Subjects and orders decided.
+    /// Number of subjects and orders that were decided.
     pub decisions: u64,
-    /// Two decisions where one may be, in words.
-    pub duplicates: Vec<String>,
-    /// Acknowledged decisions that are gone, in words.
+    /// Descriptions of conflicting outcomes, such as two leaders in a term, an order executed twice or under a stale
+    /// epoch, or a history that is not linearizable.
+    pub conflicts: Vec<String>,
+    /// Descriptions of acknowledged decisions that are missing, of instances that failed to start, and of panics.
     pub lost: Vec<String>,
-    /// Acts of deposed holders that the gate rejected.
-    pub stale_rejected: u64,
-    /// Anything else that must not be, in words.
+    /// Number of orders under a stale epoch that the gate rejected.
+    pub stale_orders_rejected: u64,
+    /// Descriptions of all other violations.
     pub other: Vec<String>,
 }
 
 impl RunReport {
-    /// Whether all went as it must.
-    pub fn is_sound(&self) -> bool {
-        self.duplicates.is_empty() && self.lost.is_empty() && self.other.is_empty()
+    /// Returns whether the run is free of violations.
+    pub fn has_no_violations(&self) -> bool {
+        self.conflicts.is_empty() && self.lost.is_empty() && self.other.is_empty()
     }
 }
 
-/// Raft's own promises: one entry at an index, one leader in a term.
+/// Observations for Raft's invariants: one entry at each index and one leader in each term.
 #[derive(Default)]
 pub(super) struct RaftInvariants {
     terms: BTreeMap<Index, Term>,
@@ -38,27 +39,27 @@
 }
 
 impl RaftInvariants {
-    /// An instance has applied this entry; the violation, if another was applied there.
+    /// Records that an instance has applied an entry. Returns a violation if another entry was applied at this index.
     pub(super) fn on_applied(&mut self, index: Index, term: Term) -> Option<String> {
-        let known = *self.terms.entry(index).or_insert(term);
-        if known == term {
+        let recorded = *self.terms.entry(index).or_insert(term);
+        if recorded == term {
             return None;
         }
-        Some(format!("entry {index} of terms {known} and {term}"))
+        Some(format!("entries of terms {recorded} and {term} were both applied at index {index}"))
     }
 
-    /// An instance leads; the violation, if another has led in this term.
+    /// Records that an instance leads in a term. Returns a violation if another instance has led in this term.
     pub(super) fn on_leader(&mut self, term: Term, id: InstanceId) -> Option<String> {
-        let known = *self.leaders.entry(term).or_insert(id);
-        if known == id {
+        let recorded = *self.leaders.entry(term).or_insert(id);
+        if recorded == id {
             return None;
         }
-        Some(format!("{known} and {id} lead in term {term}"))
+        Some(format!("instances {recorded} and {id} both lead in term {term}"))
     }
 }
 
 impl World {
-    /// Whether everyone has had an answer and all instances hold the same.
+    /// Returns whether all requests are answered, all orders executed and all instances voters with the same state.
     pub(super) fn is_settled(&self) -> bool {
         let processes: Option<Vec<&Process>> =
             self.instances.iter().map(|instance| instance.process.as_ref()).collect();
@@ -79,38 +80,38 @@
         processes.map(|process| process.node.state()).collect()
     }
 
-    /// Checks what only the end of a run shows.
+    /// Checks the invariants that can be verified only at the end of a run.
     pub(super) fn check(&mut self) {
         let settled = self.is_settled();
         let lost = self.lost_decisions(settled);
         self.report.lost.extend(lost);
-        self.report.duplicates.extend(self.history.not_linearizable());
+        self.report.conflicts.extend(self.history.not_linearizable());
         self.report.decisions = self.decision_count();
-        if self.report.duplicates.is_empty() {
-            let mismatched = self.mismatched_effects();
-            self.report.other.extend(mismatched);
+        if self.report.conflicts.is_empty() {
+            let mismatches = self.mismatched_executions();
+            self.report.other.extend(mismatches);
         }
-        if self.report.is_sound() && !settled {
-            let what = self.describe_unsettled();
-            self.report.other.push(what);
+        if self.report.has_no_violations() && !settled {
+            let violation = self.describe_unsettled();
+            self.report.other.push(violation);
         }
     }
 
-    /// Decisions that were acknowledged to a client and that an instance does not hold: any instance once all have
-    /// settled, else one that has applied the most.
+    /// Returns the decisions that were acknowledged to a client and are missing from an instance. In a cluster that has
+    /// not settled, only the instances that have applied the most entries are checked.
     fn lost_decisions(&self, settled: bool) -> Vec<String> {
         let states = self.states();
-        let furthest = states.iter().map(|state| state.applied()).max();
+        let highest_applied = states.iter().map(|state| state.applied()).max();
         let mut lost = Vec::new();
         for (number, value) in self.history.acknowledged() {
             for (position, state) in states.iter().enumerate() {
-                if !settled && Some(state.applied()) != furthest {
+                if !settled && Some(state.applied()) != highest_applied {
                     continue;
                 }
                 match state.subject_state(&subject(number)) {
-                    Some(SubjectState::Decided(held)) if *held == value => {}
-                    held => lost.push(format!(
-                        "subject {number}: {value:?} acknowledged, n{position} holds {held:?}"
+                    Some(SubjectState::Decided(stored)) if *stored == value => {}
+                    stored => lost.push(format!(
+                        "subject {number}: {value:?} was acknowledged, but instance n{position} holds {stored:?}"
                     )),
                 }
             }
@@ -118,29 +119,31 @@
         lost
     }
 
-    fn furthest_state(&self) -> Option<&ReplicatedState> {
+    fn latest_state(&self) -> Option<&ReplicatedState> {
         self.states().into_iter().max_by_key(|state| state.applied())
     }
 
     fn decision_count(&self) -> u64 {
-        let Some(state) = self.furthest_state() else { return 0 };
+        let Some(state) = self.latest_state() else { return 0 };
         let subjects = state.subjects("subject", 0).count();
         let orders = state.subjects("order", 0).count();
         (subjects + orders) as u64
     }
 
-    /// Orders that the gate executed and the replicated state does not hold as executed under such an epoch.
-    fn mismatched_effects(&self) -> Vec<String> {
-        let Some(state) = self.furthest_state() else { return Vec::new() };
-        let mut mismatched = Vec::new();
-        for (number, epochs) in &self.gate.effects {
+    /// Returns the orders that the gate executed but that the replicated state does not record as executed under one of
+    /// the same epochs.
+    fn mismatched_executions(&self) -> Vec<String> {
+        let Some(state) = self.latest_state() else { return Vec::new() };
+        let mut mismatches = Vec::new();
+        for (number, epochs) in &self.gate.executions {
             match state.subject_state(&order(*number)) {
                 Some(SubjectState::Executed(epoch)) if epochs.contains(epoch) => {}
-                held => mismatched
-                    .push(format!("order {number} was executed under {epochs:?}, the state holds {held:?}")),
+                stored => mismatches.push(format!(
+                    "order {number} was executed under epochs {epochs:?}, but the state holds {stored:?}"
+                )),
             }
         }
-        mismatched
+        mismatches
     }
 
     fn describe_unsettled(&self) -> String {
@@ -149,7 +152,7 @@
         let processes = self.instances.iter().filter_map(|instance| instance.process.as_ref());
         let nodes: Vec<_> = processes.map(|process| process.node.status()).collect();
         let replacements = &self.replacements;
-        format!("not settled {RECOVERY_STEPS} steps after healing: {clients:?} {replacements:?} {nodes:?}")
+        format!("not settled {RECOVERY_STEPS} steps after the faults: {clients:?} {replacements:?} {nodes:?}")
     }
 }
 
--- a/crates/consensus/examples/handover/world/clients.rs
+++ b/crates/consensus/examples/handover/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that decide and read subjects, and record what they see for the check of linearizability.
+//! Simulated clients that decide and read subjects and record their operations for the linearizability check.
 
 use garnetcrank_consensus::ids::{Sequence, SessionId, Subject, Ticket};
 use garnetcrank_consensus::pending_requests::Answer;
@@ -8,13 +8,13 @@
 use super::network::Packet;
 use super::{World, subject};
 
-/// Subjects that clients decide.
+/// Number of subjects that clients decide and read.
 const SUBJECTS: u64 = 6;
-/// Operations of each client.
+/// Number of operations of each client.
 const OPERATIONS: u32 = 10;
-/// Steps that a client waits before it sends its request again, to another instance.
+/// Steps after which a client sends an unanswered request again, to a random instance.
 const TIMEOUT_STEPS: u64 = 40;
-/// Ticks that an instance may take for the answer: fewer, so that the client gets it in time.
+/// Ticks within which an instance must answer; fewer than the client's time-out, so that the answer arrives in time.
 const REQUEST_TICKS: u64 = TIMEOUT_STEPS - 10;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,9 +25,9 @@
     Reading { number: u64 },
 }
 
-/// A request that was sent.
+/// Request that a client has sent.
 struct SentRequest {
-    /// None if it went to an instance that does not run.
+    /// Ticket of the request; none if the instance was not running.
     ticket: Option<Ticket>,
     retry_at: u64,
 }
@@ -38,7 +38,7 @@
     pub(super) activity: Activity,
     request: Option<SentRequest>,
     pub(super) operations_remaining: u32,
-    /// The present operation's number in the history.
+    /// Index of the current operation in the history.
     operation: usize,
 }
 
@@ -58,7 +58,7 @@
         self.activity == Activity::Idle && self.operations_remaining == 0
     }
 
-    /// The subject that it reads at the moment.
+    /// Returns the subject that the client is reading.
     pub(super) fn subject_read(&self) -> Option<Subject> {
         match self.activity {
             Activity::Reading { number } => Some(subject(number)),
@@ -70,7 +70,7 @@
         self.request.as_ref().is_some_and(|request| request.ticket == Some(ticket))
     }
 
-    /// Makes the request that the present activity needs.
+    /// Submits the request of the current activity to an instance.
     fn request(&self, process: &mut Process, ticket: Ticket) {
         match &self.activity {
             Activity::OpeningSession => process.node.open_session(ticket, REQUEST_TICKS),
@@ -87,7 +87,7 @@
 }
 
 impl World {
-    pub(super) fn client_turn(&mut self, position: usize) {
+    pub(super) fn step_client(&mut self, position: usize) {
         let client = &self.clients[position];
         if client.request.as_ref().is_some_and(|request| self.now < request.retry_at) {
             return;
@@ -96,12 +96,12 @@
             if client.operations_remaining == 0 || self.rng.u8(..4) != 0 {
                 return;
             }
-            self.begin_operation(position);
+            self.start_operation(position);
         }
         self.send_request(position);
     }
 
-    fn begin_operation(&mut self, position: usize) {
+    fn start_operation(&mut self, position: usize) {
         let now = self.now;
         let client = &mut self.clients[position];
         client.operations_remaining -= 1;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Sends the request to any instance. One that is frozen or cut off answers late or never.
+    /// Sends the request to a random instance. A frozen or partitioned instance answers late or never.
     fn send_request(&mut self, position: usize) {
         let receiver = self.rng.usize(..self.instances.len());
         let instance = &mut self.instances[receiver];
@@ -135,7 +135,7 @@
         }
     }
 
-    pub(super) fn at_client(&mut self, packet: Packet) {
+    pub(super) fn deliver_to_client(&mut self, packet: Packet) {
         let Packet::ClientAnswer { client: position, ticket, answer, read_value } = packet else { return };
         if !self.clients[position].waits_for(ticket) {
             return;
@@ -143,11 +143,11 @@
         if self.complete_operation(position, answer, read_value) {
             self.clients[position].activity = Activity::Idle;
         }
-        // An operation that is not complete is sent again, to another instance, at the next turn.
+        // An incomplete operation is sent again, to a random instance, in the client's next step.
         self.clients[position].request = None;
     }
 
-    /// Whether the answer completes the present activity.
+    /// Records the answer; returns whether it completes the current activity.
     fn complete_operation(&mut self, position: usize, answer: Answer, read_value: Option<Vec<u8>>) -> bool {
         let now = self.now;
         let client = &mut self.clients[position];
@@ -161,8 +161,8 @@
                 true
             }
             (Activity::Deciding { .. }, Answer::Applied(reply)) => {
-                let what = format!("step {now}: a decision was answered with {reply:?}");
-                self.report.other.push(what);
+                let violation = format!("step {now}: unexpected reply to a decide command: {reply:?}");
+                self.report.other.push(violation);
                 true
             }
             (Activity::Reading { .. }, Answer::ReadReady) => {
@@ -174,8 +174,8 @@
     }
 }
 
-/// A ticket for a client's request. Tickets of different instances and incarnations differ, or a late answer would
-/// pass for this one's.
+/// Issues a ticket for a client's request. Tickets of different instances and incarnations differ; otherwise a late
+/// answer to an earlier request could be taken for the answer to this one.
 fn new_client_ticket(instance: &mut Instance, receiver: usize, client: usize) -> Option<Ticket> {
     let process = instance.process.as_mut()?;
     process.next_ticket += 1;
--- a/crates/consensus/examples/handover/world/faults.rs
+++ b/crates/consensus/examples/handover/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, and when.
+//! Faults of a run and the random schedules of them.
 
 use fastrand::Rng;
 use garnetcrank_consensus::ids::InstanceId;
@@ -10,48 +10,47 @@
 use super::{DisabledProtection, World, member};
 use crate::disk::SimDisk;
 
-/// Steps with faults; then all is healed.
+/// Steps in which faults may occur; afterwards all faults end.
 pub const FAULT_STEPS: u64 = 240;
 
-/// Something that goes wrong at an instance or between two. Instances are given by their position; `steps` is how
-/// long the fault lasts.
+/// Fault at an instance or between two. Instances are given by their position; `steps` is the duration of the fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The process stops and goes on later, with its clock and its messages waiting.
+    /// Pause of the process: its clock stops and incoming messages are queued until it resumes.
     Freeze { instance: usize, steps: u64 },
-    /// Power off; on again later.
+    /// Power loss; the instance restarts after `steps`.
     Crash { instance: usize, steps: u64 },
-    /// Instances are split by their bits in `side`; messages pass only between instances with the same bit. Two of
-    /// these at once split them into three or four parts.
+    /// Partition of the instances by their bits in `side`: messages pass only between instances with the same bit. Two
+    /// partitions at once split the instances into three or four groups.
     Partition { side: u32, steps: u64 },
-    /// Messages from one to the other are lost, not those the other way.
+    /// Loss of all messages from one instance to another, but not of those in the opposite direction.
     OneWayLoss { from: usize, to: usize, steps: u64 },
-    /// The clock runs so many ticks a step.
+    /// Clock that runs at `ticks` ticks a step.
     ClockRate { instance: usize, ticks: u8, steps: u64 },
-    /// The clock jumps by so many ticks.
+    /// Forward jump of the clock by `ticks` ticks.
     ClockJump { instance: usize, ticks: u64 },
-    /// Writes take so many steps.
+    /// Disk whose writes take `write_steps` steps each.
     SlowDisk { instance: usize, write_steps: u64, steps: u64 },
-    /// The disk takes only what must be kept to stay safe.
+    /// Nearly full disk: the instance writes only what safety requires.
     FullDisk { instance: usize, steps: u64 },
-    /// Of a hundred messages so many are lost, duplicated or much delayed.
+    /// Random loss, duplication and long delay of messages.
     Noise { noise: Noise, steps: u64 },
-    /// Leadership is transferred.
+    /// Transfer of the leadership to an instance.
     Transfer { to: usize },
-    /// The disk is lost; the machine comes back empty under its old name and is replaced as an operator would.
+    /// Loss of the disk: the machine restarts empty under its old name, and the operator replaces the member.
     Wipe { instance: usize, steps: u64 },
 }
 
-/// A fault and the step at which it begins.
+/// Fault and the step at which it starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// The step.
+    /// Step at which the fault starts.
     pub at: u64,
-    /// The fault.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// A random schedule of faults; the same for the same seed.
+/// Draws a random schedule of faults; the same seed gives the same schedule.
 pub fn schedule(seed: u64, instances: usize) -> Vec<PlannedFault> {
     let mut rng = Rng::with_seed(seed);
     let count = rng.u32(5..11);
@@ -60,12 +59,13 @@
     plan
 }
 
-/// The order of draws is part of what a seed means: every fault draws all of these, whether it needs them or not.
+/// Draws one fault. Every fault draws all of the leading values, whether it uses them or not, because the order of
+/// draws determines the schedule of a seed.
 fn random_fault(rng: &mut Rng, instances: usize) -> PlannedFault {
     let at = rng.u64(20..FAULT_STEPS - 30);
     let instance = rng.usize(..instances);
     let other = rng.usize(..instances);
-    // Some shorter than an election, some that overlap, some longer than a lease's ttl.
+    // The range spans faults shorter than an election and faults longer than a lease's ttl, and lets faults overlap.
     let steps = rng.u64(3..90);
     let side = rng.u32(1..(1 << instances) - 1);
     let fault = match rng.u8(0..15) {
@@ -139,7 +139,8 @@
         let seed = self.rng.u64(..);
         let instance = &mut self.instances[instance];
         if let Some(process) = instance.process.take() {
-            // The write in progress when the power goes is there or not; half of it is the store's own test.
+            // A write in progress is either complete or missing after the power loss; the store's own tests cover torn
+            // writes.
             if let Some(write) = process.write
                 && seed & 1 == 0
             {
@@ -153,8 +154,8 @@
     }
 
     fn wipe(&mut self, position: usize, steps: u64) {
-        // One lost disk at a time: losing a quorum's disks loses decisions whatever is done. A protection that is
-        // disabled must show without it.
+        // Only one disk is lost in a run, since losing the disks of a quorum always loses decisions. No disk is lost
+        // when a protection is disabled, so that any violation is due to the missing protection.
         let any_wiped = self.instances.iter().any(|instance| instance.wiped);
         if any_wiped || self.disabled != DisabledProtection::None {
             return;
@@ -174,7 +175,7 @@
         ]);
     }
 
-    /// Ends all faults.
+    /// Ends all faults. Instances that are down restart in the next step.
     pub(super) fn heal(&mut self) {
         self.network.heal();
         for instance in &mut self.instances {
--- a/crates/consensus/examples/handover/world/gate.rs
+++ b/crates/consensus/examples/handover/world/gate.rs
@@ -1,4 +1,4 @@
-//! The fencing gate with the effects behind it.
+//! Simulated fencing gate and the execution of orders behind it.
 
 use std::collections::BTreeMap;
 
@@ -10,26 +10,26 @@
 
 #[derive(Default)]
 pub(super) struct GateProcess {
-    fence: FencingGate,
-    /// By order, the epochs under which it was executed.
-    pub(super) effects: BTreeMap<u64, Vec<Epoch>>,
-    newest_shown: Epoch,
+    fencing_gate: FencingGate,
+    /// Epochs under which each order was executed.
+    pub(super) executions: BTreeMap<u64, Vec<Epoch>>,
+    newest_presented_epoch: Epoch,
 }
 
 impl GateProcess {
-    /// Its state survives its own crashes: it is read back from its bytes.
+    /// Simulates a crash and restart of the gate: its state is durable and is decoded from its encoding.
     fn restart(&mut self) {
-        let bytes = postcard::to_stdvec(&self.fence).unwrap_or_default();
-        self.fence = postcard::from_bytes(&bytes).unwrap_or_default();
+        let bytes = postcard::to_stdvec(&self.fencing_gate).unwrap_or_default();
+        self.fencing_gate = postcard::from_bytes(&bytes).unwrap_or_default();
     }
 
-    /// What the gate decides, with the fence or without it.
-    fn decide(&mut self, epoch: Epoch, number: u64, fenced: bool) -> FencingDecision {
-        let decision = self.fence.admit(&role(), epoch, &order(number));
+    /// Returns the gate's decision on an order, with fencing enabled or disabled.
+    fn decide(&mut self, epoch: Epoch, number: u64, fencing_enabled: bool) -> FencingDecision {
+        let decision = self.fencing_gate.admit(&role(), epoch, &order(number));
         match decision {
-            FencingDecision::StaleEpoch { .. } if !fenced => {
-                // Without the fence the gate still knows what it has admitted.
-                if self.effects.contains_key(&number) {
+            FencingDecision::StaleEpoch { .. } if !fencing_enabled => {
+                // With fencing disabled the gate still rejects orders that it has admitted before.
+                if self.executions.contains_key(&number) {
                     FencingDecision::Duplicate { epoch }
                 } else {
                     FencingDecision::Admit
@@ -41,7 +41,7 @@
 }
 
 impl World {
-    pub(super) fn at_gate(&mut self, from: Address, packet: Packet) {
+    pub(super) fn deliver_to_gate(&mut self, from: Address, packet: Packet) {
         if self.rng.u8(..20) == 0 {
             self.gate.restart();
         }
@@ -56,29 +56,29 @@
         }
     }
 
-    fn is_fenced(&self) -> bool {
+    fn is_fencing_enabled(&self) -> bool {
         self.disabled != DisabledProtection::FencingGate
     }
 
     fn observe_epoch(&mut self, epoch: Epoch) -> Packet {
-        let fenced = self.is_fenced();
-        self.gate.newest_shown = self.gate.newest_shown.max(epoch);
-        match self.gate.fence.observe_epoch(&role(), epoch) {
-            Err(error) if fenced => Packet::NewerEpoch(error.newest),
+        let fencing_enabled = self.is_fencing_enabled();
+        self.gate.newest_presented_epoch = self.gate.newest_presented_epoch.max(epoch);
+        match self.gate.fencing_gate.observe_epoch(&role(), epoch) {
+            Err(error) if fencing_enabled => Packet::NewerEpoch(error.newest),
             _ => Packet::EpochObserved(epoch),
         }
     }
 
     fn submit_order(&mut self, epoch: Epoch, number: u64) -> Option<Packet> {
-        let fenced = self.is_fenced();
-        match self.gate.decide(epoch, number, fenced) {
+        let fencing_enabled = self.is_fencing_enabled();
+        match self.gate.decide(epoch, number, fencing_enabled) {
             FencingDecision::Admit => {
                 self.execute_order(epoch, number);
                 Some(Packet::OrderAdmitted { epoch, order: number })
             }
             FencingDecision::Duplicate { .. } => Some(Packet::OrderAdmitted { epoch, order: number }),
             FencingDecision::StaleEpoch { newest } => {
-                self.report.stale_rejected += 1;
+                self.report.stale_orders_rejected += 1;
                 Some(Packet::NewerEpoch(newest))
             }
             FencingDecision::Full => None,
@@ -87,21 +87,22 @@
 
     fn execute_order(&mut self, epoch: Epoch, number: u64) {
         let now = self.now;
-        let newest = self.gate.newest_shown;
+        let newest = self.gate.newest_presented_epoch;
         if epoch < newest {
-            let what = format!("step {now}: order {number} under {epoch} after {newest}");
-            self.report.duplicates.push(what);
+            let violation =
+                format!("step {now}: order {number} was executed under epoch {epoch} after epoch {newest}");
+            self.report.conflicts.push(violation);
         }
-        let epochs = self.gate.effects.entry(number).or_default();
+        let epochs = self.gate.executions.entry(number).or_default();
         epochs.push(epoch);
         if epochs.len() > 1 {
-            let what = format!("step {now}: order {number} was executed under {epochs:?}");
-            self.report.duplicates.push(what);
+            let violation = format!("step {now}: order {number} was executed under epochs {epochs:?}");
+            self.report.conflicts.push(violation);
         }
     }
 
     fn query_order(&mut self, epoch: Epoch, number: u64) -> Packet {
-        match self.gate.fence.was_executed(&role(), epoch, &order(number)) {
+        match self.gate.fencing_gate.was_executed(&role(), epoch, &order(number)) {
             Ok(executed) => Packet::OrderStatus { epoch, order: number, executed },
             Err(error) => Packet::NewerEpoch(error.newest),
         }
--- a/crates/consensus/examples/handover/world/instance.rs
+++ b/crates/consensus/examples/handover/world/instance.rs
@@ -1,4 +1,4 @@
-//! A simulated instance: its disk, its clock and, while it runs, its process.
+//! Simulated instance: its disk, its clock and, while it runs, its process.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +17,10 @@
 use super::{World, role};
 use crate::disk::SimDisk;
 
-/// Ticks that a holder may go on without renewing its lease.
+/// Ticks for which a lease stays valid without a renewal.
 const LEASE_TTL_TICKS: u64 = 30;
 
-/// A value that holds until a step.
+/// Value that applies before the step `until`.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Temporary<T> {
     pub(super) value: T,
@@ -36,35 +36,35 @@
 pub(super) struct Instance {
     pub(super) id: InstanceId,
     pub(super) disk: SimDisk,
-    /// How many times the process was started with this disk.
+    /// Number of times that the process was started with this disk.
     pub(super) starts: u64,
-    /// None while the power is off.
+    /// Running process; none while the power is off.
     pub(super) process: Option<Process>,
     pub(super) down_until: u64,
     pub(super) frozen_until: u64,
     pub(super) inbox: Vec<Packet>,
-    /// 1 unless a fault says otherwise.
+    /// Rate of the instance's clock under a fault; 1 tick a step otherwise.
     pub(super) ticks_per_step: Temporary<u8>,
-    /// 0 unless a fault says otherwise.
+    /// Duration of a write under a fault, in steps; 0 otherwise.
     pub(super) write_steps: Temporary<u64>,
     pub(super) full_until: u64,
     pub(super) wiped: bool,
 }
 
-/// A write that the disk is busy with.
+/// Disk write in progress.
 pub(super) struct PendingWrite {
     done_at: u64,
     pub(super) ready: Ready,
 }
 
-/// Whose request a ticket is.
+/// Sender of the request that a ticket identifies.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum TicketOwner {
-    /// The instance's own proposer.
-    Proposer,
+    /// The instance's own proposal queue.
+    ProposalQueue,
     Client(usize),
     Operator,
-    /// Nobody waits for the answer.
+    /// The answer is discarded.
     Ignored,
 }
 
@@ -75,18 +75,18 @@
     pub(super) tickets: BTreeMap<Ticket, TicketOwner>,
     pub(super) next_ticket: u64,
     pub(super) write: Option<PendingWrite>,
-    /// Orders that this process is busy with as the holder.
+    /// Orders that this process works on as the lease holder.
     pub(super) orders: BTreeMap<u64, OrderProgress>,
 }
 
-/// What a process sends in a step.
+/// Packets that a process sends in a step.
 #[derive(Default)]
 struct StepOutput {
     to_gate: Vec<Packet>,
     to_peers: Vec<Message>,
 }
 
-/// Why an instance does not start.
+/// Error at the start of an instance.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error(transparent)]
@@ -129,7 +129,7 @@
         }
     }
 
-    /// What is decided of a subject, as this instance has it.
+    /// Returns the value of a subject that is decided in this instance's state.
     fn decided_value(&self, subject: &Subject) -> Option<Vec<u8>> {
         match self.node.state().subject_state(subject) {
             Some(SubjectState::Decided(value)) => Some(value.clone()),
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Starts the process from what the disk holds. `stagger`: see [`LeaseClient::new`].
+    /// Starts the process from the state on disk. `stagger` is passed to [`LeaseClient::new`].
     fn start(&mut self, seed: u64, stagger: u64) -> Result<(), StartError> {
         self.starts += 1;
         self.inbox.clear();
@@ -176,7 +176,7 @@
         Ok(())
     }
 
-    /// One step of the process: its clock, its messages, its work as a holder and its writes.
+    /// Runs one step of the process: advances its clock, handles its messages, works on orders and writes to disk.
     fn step(&mut self, now: u64) -> Result<StepOutput, RaftNodeError> {
         let Some(process) = &mut self.process else { return Ok(StepOutput::default()) };
         for _ in 0..self.ticks_per_step.at(now).unwrap_or(1) {
@@ -188,12 +188,12 @@
         for packet in std::mem::take(&mut self.inbox) {
             process.receive(packet);
         }
-        let to_gate = process.act(now);
+        let to_gate = process.advance_lease_and_orders(now);
         let to_peers = self.write(now)?;
         Ok(StepOutput { to_gate, to_peers })
     }
 
-    /// Does the writes that are done by this step; returns the messages that come with them.
+    /// Completes the disk writes that are done by this step and returns the messages that were waiting for them.
     fn write(&mut self, now: u64) -> Result<Vec<Message>, RaftNodeError> {
         let mut messages = Vec::new();
         let Some(process) = &mut self.process else { return Ok(messages) };
@@ -214,7 +214,7 @@
 }
 
 impl World {
-    /// Starts an instance whose power is on again.
+    /// Starts an instance whose downtime has ended.
     pub(super) fn start_if_due(&mut self, position: usize) {
         let instance = &mut self.instances[position];
         if instance.process.is_some() || instance.down_until > self.now {
@@ -223,12 +223,12 @@
         let seed = self.rng.u64(..);
         let stagger = 5 + 7 * position as u64;
         if let Err(error) = instance.start(seed, stagger) {
-            let what = format!("step {}: n{position} does not start: {error}", self.now);
-            self.report.lost.push(what);
+            let violation = format!("step {}: instance n{position} does not start: {error}", self.now);
+            self.report.lost.push(violation);
         }
     }
 
-    /// One step of an instance, unless it is frozen.
+    /// Runs one step of an instance, unless it is frozen.
     pub(super) fn step_instance(&mut self, position: usize) {
         let now = self.now;
         if self.instances[position].frozen_until > now {
@@ -237,7 +237,7 @@
         let output = match self.instances[position].step(now) {
             Ok(output) => output,
             Err(error) => {
-                self.report.other.push(format!("step {now}: n{position}: {error}"));
+                self.report.other.push(format!("step {now}: instance n{position} failed: {error}"));
                 return;
             }
         };
@@ -257,28 +257,32 @@
         }
     }
 
-    /// Holds what the instance has applied and whom it takes for the leader against what is known.
+    /// Checks the entries that the instance has applied, and its leadership, against the Raft invariants.
     fn observe_node(&mut self, position: usize) {
         let instance = &mut self.instances[position];
         let Some(process) = &mut instance.process else { return };
         for AppliedEntry { index, term } in process.node.take_applied() {
             let violation = self.invariants.on_applied(index, term);
-            self.report.duplicates.extend(violation.map(|what| format!("step {}: {what}", self.now)));
+            self.report
+                .conflicts
+                .extend(violation.map(|violation| format!("step {}: {violation}", self.now)));
         }
         if process.node.is_leader() {
             let violation = self.invariants.on_leader(process.node.status().term, instance.id);
-            self.report.duplicates.extend(violation.map(|what| format!("step {}: {what}", self.now)));
+            self.report
+                .conflicts
+                .extend(violation.map(|violation| format!("step {}: {violation}", self.now)));
         }
     }
 
-    /// Hands each answer to whoever waits for it; returns those that go to clients.
+    /// Passes each answer to the sender of its request; returns those that go to clients over the network.
     fn route_answers(&mut self, position: usize) -> Vec<(Address, Packet)> {
         let now = self.now;
         let mut to_clients = Vec::new();
         let Some(process) = &mut self.instances[position].process else { return to_clients };
         for TicketAnswer { ticket, answer } in process.node.take_answers() {
             match process.tickets.remove(&ticket) {
-                Some(TicketOwner::Proposer) => process.on_proposal_answer(now, answer),
+                Some(TicketOwner::ProposalQueue) => process.on_proposal_answer(now, answer),
                 Some(TicketOwner::Client(client)) => {
                     let read_value = match self.clients[client].subject_read() {
                         Some(subject) if answer == Answer::ReadReady => process.decided_value(&subject),
@@ -290,8 +294,9 @@
                 Some(TicketOwner::Operator) => self.replacements.on_answer(&answer),
                 Some(TicketOwner::Ignored) => {}
                 None => {
-                    let what = format!("step {now}: n{position}: {ticket} is answered twice");
-                    self.report.duplicates.push(what);
+                    let violation =
+                        format!("step {now}: instance n{position} answered ticket {ticket} twice");
+                    self.report.conflicts.push(violation);
                 }
             }
         }
--- a/crates/consensus/examples/handover/world/mod.rs
+++ b/crates/consensus/examples/handover/world/mod.rs
@@ -1,9 +1,9 @@
-//! A cluster in virtual time: instances with their clocks and disks, a network that loses, duplicates and delays, a
-//! fencing gate with effects behind it, clients, and a schedule of faults. The same seed and schedule give the same
-//! run.
+//! Simulation of a cluster in virtual time: instances with their clocks and disks, a network that loses, duplicates and
+//! delays messages, a fencing gate that executes orders, clients, and a schedule of faults. A run is deterministic:
+//! the same seed and schedule give the same run.
 //!
-//! In reading order: `faults`, `network`, `instance`, `order_dispatch` (the holder's work), `gate`, `clients`,
-//! `operator`, `checks`.
+//! Suggested reading order of the modules: `faults`, `network`, `instance`, `order_dispatch` (what an instance does as
+//! the lease holder), `gate`, `clients`, `operator`, `checks`.
 
 pub mod checks;
 mod clients;
@@ -29,28 +29,28 @@
 use self::operator::Replacements;
 use crate::disk::{DiskKind, SimDisk};
 
-/// Steps after which a healed cluster must have answered everything.
+/// Steps within which a cluster must have answered every request after its faults have ended.
 const RECOVERY_STEPS: u64 = 1_200;
-/// Orders that holders dispatch.
+/// Number of orders that the lease holders dispatch.
 const ORDERS: u64 = 12;
 const CLIENTS: usize = 3;
 
-/// A protection that can be disabled, to see the checks fail.
+/// Protection that a run can disable, to show that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisabledProtection {
-    /// None: all protections work.
+    /// No protection is disabled.
     None,
-    /// The gate admits every epoch.
+    /// Fencing is disabled: the gate admits orders under older epochs.
     FencingGate,
-    /// Disks say that they have synced and have not.
+    /// Disk syncs are disabled: disks report success without making the data durable.
     DiskSync,
 }
 
-/// The simulated cluster and everything around it.
+/// Simulated cluster with its network, fencing gate, clients and operator.
 pub struct World {
     disabled: DisabledProtection,
     rng: Rng,
-    /// The present step.
+    /// Current step.
     now: u64,
     instances: Vec<Instance>,
     next_id: u64,
@@ -81,23 +81,23 @@
 }
 
 impl World {
-    /// A cluster of so many instances.
+    /// Creates a cluster of `instances` instances that have not started yet.
     pub fn new(seed: u64, instances: usize, disabled: DisabledProtection, disk_kind: DiskKind) -> Self {
-        let founders: Vec<Member> =
+        let initial_members: Vec<Member> =
             (0..instances).map(|position| member(InstanceId(position as u64 + 1), position)).collect();
-        let initial_state = raft_node::initial_state(&founders);
-        let found = |founder: &Member| {
-            let mut disk = SimDisk::new(disk_kind, founder.id);
-            // Synced whatever is disabled later.
+        let initial_state = raft_node::initial_state(&initial_members);
+        let create_instance = |member: &Member| {
+            let mut disk = SimDisk::new(disk_kind, member.id);
+            // The initial state is always durable, even if the run disables syncs.
             disk.write(&initial_state);
             disk.set_ignore_syncs(disabled == DisabledProtection::DiskSync);
-            Instance::new(founder.id, disk)
+            Instance::new(member.id, disk)
         };
         Self {
             disabled,
             rng: Rng::with_seed(seed ^ 0x5eed),
             now: 0,
-            instances: founders.iter().map(found).collect(),
+            instances: initial_members.iter().map(create_instance).collect(),
             next_id: instances as u64 + 1,
             network: Network::default(),
             gate: GateProcess::default(),
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Plays the schedule, heals everything, and checks.
+    /// Runs the schedule, ends all faults, waits until the cluster has settled and checks the final state. Returns
+    /// early at the first violation.
     pub fn run(mut self, plan: &[PlannedFault]) -> RunReport {
         let mut plan = plan.iter().peekable();
         while self.now < FAULT_STEPS {
@@ -117,7 +118,7 @@
                 self.inject(planned.fault);
             }
             self.step();
-            if !self.report.is_sound() {
+            if !self.report.has_no_violations() {
                 return self.report;
             }
         }
@@ -125,7 +126,7 @@
         let end = self.now + RECOVERY_STEPS;
         while self.now < end && !self.is_settled() {
             self.step();
-            if !self.report.is_sound() {
+            if !self.report.has_no_violations() {
                 return self.report;
             }
         }
@@ -138,8 +139,8 @@
         while let Some(arrived) = self.network.next_arrival(self.now) {
             match arrived.to {
                 Address::Instance(position) => self.instances[position].inbox.push(arrived.packet),
-                Address::Gate => self.at_gate(arrived.from, arrived.packet),
-                Address::Clients => self.at_client(arrived.packet),
+                Address::Gate => self.deliver_to_gate(arrived.from, arrived.packet),
+                Address::Clients => self.deliver_to_client(arrived.packet),
             }
         }
         for position in 0..self.instances.len() {
@@ -147,8 +148,8 @@
             self.step_instance(position);
         }
         for position in 0..self.clients.len() {
-            self.client_turn(position);
+            self.step_client(position);
         }
-        self.operator_turn();
+        self.step_operator();
     }
 }
--- a/crates/consensus/examples/handover/world/network.rs
+++ b/crates/consensus/examples/handover/world/network.rs
@@ -1,4 +1,4 @@
-//! A network that splits, loses, duplicates and delays.
+//! Simulated network with partitions that loses, duplicates and delays messages.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -10,26 +10,26 @@
 
 use super::instance::Temporary;
 
-/// What travels.
+/// Content of a message between two addresses.
 #[derive(Debug, Clone)]
 pub(super) enum Packet {
-    /// Between instances.
+    /// Raft message between instances.
     Raft(Box<Message>),
-    /// A holder shows its epoch to the gate.
+    /// Lease holder's request that the gate observe its epoch.
     ObserveEpoch(Epoch),
-    /// A holder sends an order.
+    /// Lease holder's order to the gate.
     SubmitOrder { epoch: Epoch, order: u64 },
-    /// A holder asks whether an order in doubt was executed.
+    /// Lease holder's query to the gate whether an order in doubt was executed.
     QueryOrder { epoch: Epoch, order: u64 },
-    /// The gate has observed this epoch.
+    /// Gate's reply that it has observed this epoch.
     EpochObserved(Epoch),
-    /// The gate knows of this newer epoch.
+    /// Gate's rejection of an older epoch: it has observed this newer one.
     NewerEpoch(Epoch),
-    /// The gate has admitted the order, now or before.
+    /// Gate's reply that it has admitted the order, now or earlier.
     OrderAdmitted { epoch: Epoch, order: u64 },
-    /// The gate's answer to a query.
+    /// Gate's reply to a query.
     OrderStatus { epoch: Epoch, order: u64, executed: bool },
-    /// To a client. `read_value`: what a read found decided.
+    /// Answer to a client's request. `read_value` is the decided value that a read found, if any.
     ClientAnswer { client: usize, ticket: Ticket, answer: Answer, read_value: Option<Vec<u8>> },
 }
 
@@ -40,11 +40,11 @@
     Clients,
 }
 
-/// A packet under way.
+/// Packet in transit.
 pub(super) struct InTransit {
     due: u64,
-    /// Tells packets that are due at the same step apart: they arrive in the order in which they were sent.
-    number: u64,
+    /// Send sequence number: packets due at the same step arrive in the order in which they were sent.
+    sequence: u64,
     pub(super) from: Address,
     pub(super) to: Address,
     pub(super) packet: Packet,
@@ -66,22 +66,22 @@
 
 impl Ord for InTransit {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.due, self.number).cmp(&(other.due, other.number))
+        (self.due, self.sequence).cmp(&(other.due, other.sequence))
     }
 }
 
-/// Of a hundred messages so many are lost, duplicated or much delayed.
+/// Percentages of messages that are lost, duplicated and delayed for long.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Noise {
-    /// Lost.
+    /// Percentage of messages lost.
     pub lost: u8,
-    /// Duplicated.
+    /// Percentage of messages duplicated.
     pub duplicated: u8,
-    /// Delayed beyond an election, a lease's ttl and a transfer of leadership.
+    /// Percentage of messages delayed for longer than an election, a lease's ttl or a transfer of leadership may take.
     pub delayed: u8,
 }
 
-/// Instances whose bits differ in `side` can't reach one another.
+/// Partition of the instances: two whose bits in `side` differ can't reach each other.
 #[derive(Debug)]
 pub(super) struct Partition {
     pub(super) side: u32,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Messages of one instance to another are lost.
+/// Loss of all messages from one instance to another, but not of those in the opposite direction.
 #[derive(Debug)]
 pub(super) struct OneWayLoss {
     pub(super) from: usize,
@@ -105,7 +105,7 @@
 #[derive(Default)]
 pub(super) struct Network {
     in_transit: BinaryHeap<Reverse<InTransit>>,
-    sent: u64,
+    sent_count: u64,
     pub(super) partitions: Vec<Partition>,
     pub(super) one_way_losses: Vec<OneWayLoss>,
     pub(super) noise: Temporary<Noise>,
@@ -127,11 +127,11 @@
         let duplicated = noise.is_some_and(|noise| rng.u8(..100) < noise.duplicated);
         let copies = if duplicated { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = delay(rng, noise) + hesitation(rng, &packet);
-            self.sent += 1;
+            let delay = delay(rng, noise) + pause_before_send(rng, &packet);
+            self.sent_count += 1;
             self.in_transit.push(Reverse(InTransit {
                 due: now + 1 + delay,
-                number: self.sent,
+                sequence: self.sent_count,
                 from,
                 to,
                 packet: packet.clone(),
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The next packet that arrives by this step.
+    /// Removes and returns the next packet that is due by this step.
     pub(super) fn next_arrival(&mut self, now: u64) -> Option<InTransit> {
         let Reverse(next) = self.in_transit.peek()?;
         if next.due > now {
@@ -148,7 +148,8 @@
         self.in_transit.pop().map(|Reverse(arrived)| arrived)
     }
 
-    /// Partitions are between instances alone: the gate and the clients are reached by all.
+    /// Returns whether a message can pass. Partitions affect only messages between instances: every instance can always
+    /// reach the gate and the clients.
     fn connects(&self, now: u64, from: Address, to: Address) -> bool {
         let (Address::Instance(from), Address::Instance(to)) = (from, to) else { return true };
         let is_separated =
@@ -159,14 +160,16 @@
     }
 }
 
-/// Steps that a packet takes beyond the first. Some minutes at a hundredth of a second a step would be beyond
-/// any run: a delayed one is beyond an election, a lease's ttl and a transfer of leadership.
+/// Draws the number of steps that a packet takes beyond the first. The upper limit is far below the minutes that a real
+/// network may delay a packet: at 10 ms a step those would outlast the run. A delayed packet still arrives later than
+/// an election, a lease's ttl or a transfer of leadership takes.
 fn delay(rng: &mut Rng, noise: Option<Noise>) -> u64 {
     if noise.is_some_and(|noise| rng.u8(..100) < noise.delayed) { rng.u64(20..250) } else { rng.u64(0..3) }
 }
 
-/// An act waits between its check and its sending as long as the scheduler likes.
-fn hesitation(rng: &mut Rng, packet: &Packet) -> u64 {
+/// Draws the number of steps between the lease check of an order and its sending: the sending thread may be descheduled
+/// in between.
+fn pause_before_send(rng: &mut Rng, packet: &Packet) -> u64 {
     match packet {
         Packet::SubmitOrder { .. } if rng.u8(..4) == 0 => rng.u64(1..120),
         _ => 0,
--- a/crates/consensus/examples/handover/world/operator.rs
+++ b/crates/consensus/examples/handover/world/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who replaces the member whose disk was lost.
+//! Simulated operator who replaces a member whose disk was lost.
 
 use garnetcrank_consensus::membership::MembershipChange;
 use garnetcrank_consensus::pending_requests::Answer;
@@ -6,20 +6,20 @@
 use super::World;
 use super::instance::TicketOwner;
 
-/// Steps after which the operator asks again.
+/// Steps after which the operator sends an unanswered request again.
 const RETRY_STEPS: u64 = 80;
-/// Ticks that the operator waits for an answer.
+/// Ticks for which a request waits for its answer.
 const REQUEST_TICKS: u64 = 60;
 
-/// A change of membership that the operator has to make.
+/// Membership change that the operator has to make.
 #[derive(Debug)]
 struct Replacement {
     change: MembershipChange,
-    /// When it was last asked for, unless it was answered.
+    /// Step of the last request; none if there was none or it was answered.
     requested_at: Option<u64>,
 }
 
-/// Changes of membership that are left to make, in order.
+/// Remaining membership changes, in order.
 #[derive(Debug, Default)]
 pub(super) struct Replacements(Vec<Replacement>);
 
@@ -43,8 +43,9 @@
 }
 
 impl World {
-    /// Removes the member whose disk was lost and adds the machine anew, at whichever instance leads.
-    pub(super) fn operator_turn(&mut self) {
+    /// Requests the next membership change from the leader: first the removal of the member whose disk was lost, then
+    /// the addition of its machine under a new id.
+    pub(super) fn step_operator(&mut self) {
         let now = self.now;
         let Some(next) = self.replacements.0.first_mut() else { return };
         if next.requested_at.is_some_and(|requested_at| now < requested_at + RETRY_STEPS) {
--- a/crates/consensus/examples/handover/world/order_dispatch.rs
+++ b/crates/consensus/examples/handover/world/order_dispatch.rs
@@ -1,5 +1,5 @@
-//! What an instance does as the holder of the lease: it dispatches orders, sends them to the gate, and resolves those
-//! that are in doubt.
+//! Work of an instance as the lease holder: it dispatches orders, sends them to the gate and resolves those that are in
+//! doubt.
 
 use garnetcrank_consensus::ids::{Epoch, Ticks};
 use garnetcrank_consensus::lease_client::LeaseAction;
@@ -11,32 +11,32 @@
 use super::network::Packet;
 use super::{ORDERS, order, role};
 
-/// Steps between one order's becoming due and the next one's.
+/// Steps between the due times of successive orders.
 const STEPS_PER_ORDER: u64 = 12;
-/// Orders that a holder is busy with at once.
+/// Maximum number of orders that a holder works on at once.
 const MAX_ORDERS_IN_PROGRESS: usize = 4;
-/// Steps after which the gate is asked again.
+/// Steps after which a request to the gate is sent again.
 const GATE_RETRY_STEPS: u64 = 25;
-/// Ticks that a proposal of the instance's own waits for its answer.
+/// Ticks for which one of the instance's own proposals waits for its answer.
 const PROPOSAL_TICKS: u64 = 20;
 
-/// What a holder is doing about an order.
+/// Progress of a holder on an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OrderProgress {
     Dispatching,
-    /// Dispatched under this epoch; sent to the gate again from a step on.
+    /// Dispatched under this epoch; sent to the gate again at step `next_at`.
     Sending {
         epoch: Epoch,
         next_at: u64,
     },
-    /// Dispatched under an older epoch: the gate is asked whether it was executed.
+    /// Dispatched under an older epoch; the gate is queried again at step `next_at` whether the order was executed.
     InDoubt {
         next_at: u64,
     },
     Resolving,
 }
 
-/// What one of the instance's own proposals is for.
+/// Purpose of one of the instance's own proposals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProposalPurpose {
     Lease,
@@ -45,8 +45,8 @@
 }
 
 impl Process {
-    /// The lease client's and the holder's work of this step; returns what goes to the gate.
-    pub(super) fn act(&mut self, now: u64) -> Vec<Packet> {
+    /// Runs this step's work on the lease and, as the holder, on orders; returns the packets for the gate.
+    pub(super) fn advance_lease_and_orders(&mut self, now: u64) -> Vec<Packet> {
         let ticks = self.node.now();
         let mut to_gate = Vec::new();
         to_gate.extend(self.poll_lease(ticks));
@@ -62,7 +62,7 @@
         let lease = self.node.state().lease(&role());
         match self.lease_client.poll(ticks, lease)? {
             LeaseAction::Propose(command) => {
-                // If the queue is full the client gets no answer, as if the proposal were never answered.
+                // With a full queue the lease client gets no answer, as for a proposal whose answer is lost.
                 let _ = self.proposals.submit(ProposalPurpose::Lease, command);
                 None
             }
@@ -73,11 +73,11 @@
     fn send_proposal(&mut self) {
         match self.proposals.next_proposal() {
             Some(NextProposal::OpenSession) => {
-                let ticket = self.new_ticket(TicketOwner::Proposer);
+                let ticket = self.new_ticket(TicketOwner::ProposalQueue);
                 self.node.open_session(ticket, PROPOSAL_TICKS);
             }
             Some(NextProposal::Propose(proposal)) => {
-                let ticket = self.new_ticket(TicketOwner::Proposer);
+                let ticket = self.new_ticket(TicketOwner::ProposalQueue);
                 self.node.propose(ticket, proposal, PROPOSAL_TICKS);
             }
             None => {}
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The gate has admitted an order that was sent under this epoch.
+    /// Resolves as executed an order that the gate has admitted under this epoch.
     pub(super) fn on_order_admitted(&mut self, sent_under: Epoch, number: u64) {
         if let Some(OrderProgress::Sending { epoch, .. }) = self.orders.get(&number)
             && *epoch == sent_under
@@ -147,14 +147,14 @@
         }
     }
 
-    /// The gate says whether an order in doubt was executed.
+    /// Resolves an order in doubt by the gate's reply whether it was executed.
     pub(super) fn on_order_status(&mut self, epoch: Epoch, number: u64, executed: bool) {
         if let Some(OrderProgress::InDoubt { .. }) = self.orders.get(&number) {
             self.resolve(epoch, number, executed);
         }
     }
 
-    /// The answer to one of the instance's own proposals.
+    /// Handles the answer to one of the instance's own proposals.
     pub(super) fn on_proposal_answer(&mut self, now: u64, answer: Answer) {
         let ticks = self.node.now();
         let Some((purpose, outcome)) = self.proposals.on_answer(answer) else { return };
@@ -168,7 +168,7 @@
                     self.orders.insert(number, OrderProgress::Sending { epoch, next_at: now });
                 }
             }
-            // In all other cases the replicated state tells at the next step what is known of the order.
+            // In all other cases the next step derives the progress of the order from the replicated state.
             (ProposalPurpose::DispatchOrder(number) | ProposalPurpose::ResolveOrder(number), _) => {
                 self.orders.remove(&number);
             }
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -1,4 +1,4 @@
-//! What recovery costs by the length of the log, and whether memory stays flat over an hour of virtual load.
+//! Measures recovery time by log length, and memory use over one hour of load in virtual time.
 //!
 //! `cargo run --release --locked -p garnetcrank-consensus --example recovery` prints two tables.
 
@@ -14,16 +14,17 @@
 
 const KIB_PER_MIB: f64 = 1024.0;
 const BYTES_PER_MIB: f64 = 1_048_576.0;
-/// Entries in one write when a store is filled.
+/// Entries written in one batch when a store is filled.
 const ENTRIES_PER_BATCH: u64 = 5_000;
-/// An hour, ten milliseconds a tick.
+/// Ticks in an hour, at 10 ms a tick.
 const TICKS_PER_HOUR: u64 = 360_000;
 const TICKS_PER_MINUTE: u64 = 6_000;
-const MINUTES_PER_LINE: u64 = 10;
-/// Ticks that a proposal waits for its answer.
+const MINUTES_PER_ROW: u64 = 10;
+/// Ticks for which a proposal waits for its answer.
 const PROPOSAL_TICKS: u64 = 500;
-/// Every so many proposals old subjects are retired; so many stay.
-const RETIRE_EVERY: u64 = 100;
+/// Number of proposals after which old subjects are retired.
+const RETIRE_INTERVAL: u64 = 100;
+/// Number of the newest subjects that are not retired.
 const SUBJECTS_RETAINED: u64 = 2_000;
 const SPACE: &str = "measured";
 
@@ -54,31 +55,32 @@
     Command::Decide { subject: Subject::new(SPACE, number), value: number.to_le_bytes().to_vec() }
 }
 
-/// The entry at `index` of a log whose first entry opens a session and whose others decide a subject each.
+/// Builds the entry at `index` of a log whose first entry opens a session and whose other entries decide one subject
+/// each.
 fn record(index: u64) -> Record {
     let proposal = match index {
         2 => proposal(0, 0, Command::OpenSession { nonce: 1 }),
         _ => proposal(2, index, decide(index)),
     };
-    let data = postcard::to_stdvec(&proposal).expect("bytes");
+    let data = postcard::to_stdvec(&proposal).expect("the proposal is encoded");
     Record { index, term: 1, kind: 0, data, context: Vec::new() }
 }
 
-/// Fills a store whose log holds so many entries behind the first snapshot.
+/// Creates a store whose log holds `entries` entries after the initial snapshot.
 fn fill_store(path: &Path, entries: u64) {
-    let mut store = Store::open(path, &identity()).expect("a store");
-    store.commit(&raft_node::initial_state(&[member(1)])).expect("a first state");
+    let mut store = Store::open(path, &identity()).expect("the store opens");
+    store.commit(&raft_node::initial_state(&[member(1)])).expect("the initial state is written");
     let last = entries + 1;
     for first in (2..=last).step_by(ENTRIES_PER_BATCH as usize) {
         let last_of_batch = last.min(first + ENTRIES_PER_BATCH - 1);
         let entries = (first..=last_of_batch).map(record).collect();
-        store.commit(&Batch { entries, ..Batch::default() }).expect("entries");
+        store.commit(&Batch { entries, ..Batch::default() }).expect("the entries are written");
     }
-    let hard = Some(HardState { term: 1, vote: 1, commit: last });
-    store.commit(&Batch { hard_state: hard, ..Batch::default() }).expect("the hard state");
+    let committed = Some(HardState { term: 1, vote: 1, commit: last });
+    store.commit(&Batch { hard_state: committed, ..Batch::default() }).expect("the hard state is written");
 }
 
-/// What one recovery took.
+/// Durations of the phases of one recovery, and the index that it applied.
 struct Recovery {
     open: Duration,
     read: Duration,
@@ -88,14 +90,14 @@
 
 fn recover(path: &Path) -> Recovery {
     let start = Instant::now();
-    let store = Store::open(path, &identity()).expect("a store");
+    let store = Store::open(path, &identity()).expect("the store opens");
     let opened = start.elapsed();
-    let loaded = store.load().expect("what is held");
+    let loaded = store.load().expect("the store loads");
     let read = start.elapsed();
     let settings = RaftSettings { compact_every: u64::MAX / 2, ..RaftSettings::default() };
-    let mut node = RaftNode::start(settings, InstanceId(1), store.starts(), loaded).expect("a node");
-    while node.ready().expect("its work").is_some() {
-        node.on_persisted().expect("a write");
+    let mut node = RaftNode::start(settings, InstanceId(1), store.starts(), loaded).expect("the node starts");
+    while node.ready().expect("the node prepares its output").is_some() {
+        node.on_persisted().expect("the node continues after the write");
     }
     Recovery {
         open: opened,
@@ -109,12 +111,12 @@
     println!("| entries | file, MiB | open, ms | read, ms | apply, ms | all, ms | resident, MiB |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for entries in [1_000, 100_000, 1_000_000] {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder is created");
         let path = folder.path().join("store");
         fill_store(&path, entries);
         let file_mib = std::fs::metadata(&path).map_or(0, |metadata| metadata.len()) as f64 / BYTES_PER_MIB;
         let Recovery { open, read, apply, applied } = recover(&path);
-        assert!(applied > entries, "all is applied");
+        assert!(applied > entries, "all {entries} entries must be applied, got index {applied}");
         println!(
             "| {entries} | {file_mib:.1} | {:.1} | {:.1} | {:.1} | {:.1} | {:.0} |",
             milliseconds(open),
@@ -126,7 +128,7 @@
     }
 }
 
-/// Three instances in virtual time that give one another their messages at the next tick.
+/// Three instances in virtual time whose messages are delivered at the next tick.
 struct Cluster {
     nodes: BTreeMap<u64, RaftNode>,
     in_transit: Vec<Message>,
@@ -147,7 +149,7 @@
                 snapshot: initial.snapshot,
                 entries: Vec::new(),
             };
-            RaftNode::start(settings.clone(), InstanceId(id), 1, loaded).expect("a node")
+            RaftNode::start(settings.clone(), InstanceId(id), 1, loaded).expect("the node starts")
         };
         Self {
             nodes: (1..=3).map(|id| (id, start(id))).collect(),
@@ -170,7 +172,7 @@
         }
     }
 
-    /// A proposal a tick, at each instance in turn.
+    /// Submits one proposal, at each instance in turn; opens the session first.
     fn propose(&mut self, tick: u64) {
         let Some(node) = self.nodes.get_mut(&(tick % 3 + 1)) else { return };
         let Some(session) = self.session else {
@@ -180,7 +182,7 @@
             return;
         };
         self.sequence += 1;
-        let command = if self.sequence.is_multiple_of(RETIRE_EVERY) {
+        let command = if self.sequence.is_multiple_of(RETIRE_INTERVAL) {
             let below = self.sequence.saturating_sub(SUBJECTS_RETAINED);
             Command::RetireSubjects { space: SPACE.into(), below }
         } else {
@@ -192,9 +194,9 @@
     fn advance(&mut self, id: u64) {
         let Some(node) = self.nodes.get_mut(&id) else { return };
         node.tick();
-        while let Some(ready) = node.ready().expect("its work") {
+        while let Some(ready) = node.ready().expect("the node prepares its output") {
             self.in_transit.extend(ready.messages);
-            node.on_persisted().expect("a write");
+            node.on_persisted().expect("the node continues after the write");
         }
         for answered in node.take_answers() {
             match answered.answer {
@@ -220,7 +222,7 @@
     for tick in 0..TICKS_PER_HOUR {
         cluster.tick(tick);
         let ticks = tick + 1;
-        if ticks.is_multiple_of(MINUTES_PER_LINE * TICKS_PER_MINUTE) {
+        if ticks.is_multiple_of(MINUTES_PER_ROW * TICKS_PER_MINUTE) {
             println!(
                 "| {} | {} | {} | {:.1} |",
                 ticks / TICKS_PER_MINUTE,
