--- a/crates/consensus/tests/golden_bytes.rs
+++ b/crates/consensus/tests/golden_bytes.rs
@@ -67,11 +67,11 @@
         }
         let bytes = golden_bytes(self.golden, name);
         let decoded: T = postcard::from_bytes(&bytes).expect("golden bytes are decoded");
-        assert_eq!(&decoded, value, "{name}: decoded from the golden bytes");
+        assert_eq!(&decoded, value, "{name}: the value decoded from the golden bytes differs");
         assert_eq!(
             postcard::to_stdvec(&decoded).expect("the value is encoded"),
             bytes,
-            "{name}: encoded again"
+            "{name}: the re-encoded bytes differ"
         );
     }
 }
@@ -281,8 +281,8 @@
     for (name, message) in messages {
         let bytes = golden_bytes(golden, &name);
         let decoded = raft_node::decode_message(&bytes).expect("golden bytes are decoded");
-        assert_eq!(decoded, message, "{name}: decoded from the golden bytes");
-        assert_eq!(raft_node::encode_message(&decoded), bytes, "{name}: encoded again");
+        assert_eq!(decoded, message, "{name}: the value decoded from the golden bytes differs");
+        assert_eq!(raft_node::encode_message(&decoded), bytes, "{name}: the re-encoded bytes differ");
     }
 }
 
--- a/crates/consensus/tests/handover.rs
+++ b/crates/consensus/tests/handover.rs
@@ -29,6 +29,10 @@
         .unwrap_or_else(|_| RunReport { lost: vec!["panic".to_owned()], ..RunReport::default() })
 }
 
+/// Runs the plan of each of 12 seeds and returns the total number of stale orders that the gate rejected.
+///
+/// # Panics
+/// Panics on a violation or on fewer than 12 decisions in a run.
 fn assert_no_violations(instances: usize, plan: impl Fn(u64) -> Vec<PlannedFault>) -> u64 {
     let mut rejected = 0;
     for seed in 0..12 {
