--- a/crates/agent/src/api.rs
+++ b/crates/agent/src/api.rs
@@ -1,6 +1,6 @@
-//! Request and response bodies of the local HTTP port, as JSON. Names in the JSON are fixed: proxies and scripts of
-//! other versions rely on them, so fields and variants that have a better name in the code keep the old one on the
-//! wire.
+//! Request and response bodies of the local HTTP port, as JSON. Names in the JSON are fixed, because proxies
+//! and scripts of other versions rely on them: a field or variant with another name in the code is mapped to
+//! its JSON name by a serde attribute.
 
 use garnetcrank_consensus::build_verdicts::BuildVerdict;
 use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Subject};
@@ -8,31 +8,31 @@
 use garnetcrank_consensus::replicated_state::{Command, Proposal, Reply, SubjectState};
 use serde::{Deserialize, Serialize};
 
-/// Longest wait that a caller may ask for, in milliseconds.
+/// Longest timeout that a caller may request, in milliseconds.
 pub const MAX_TIMEOUT_MS: u64 = 60_000;
-/// Wait of a caller that names none, in milliseconds.
+/// Timeout of a request that names none, in milliseconds.
 pub const DEFAULT_TIMEOUT_MS: u64 = 5_000;
-/// Most subjects on one page.
+/// Maximum number of subjects on one page.
 pub const SUBJECTS_PER_PAGE: usize = 500;
-/// Most digits of an instance's id in hexadecimal: 64 bits.
+/// Maximum number of hexadecimal digits of an instance's id, which has 64 bits.
 const MAX_INSTANCE_ID_DIGITS: usize = 16;
 
-/// A member, for operators.
+/// A member as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Its id in hexadecimal, see [`format_instance_id`].
+    /// The member's id, as formatted by [`format_instance_id`].
     pub id: String,
-    /// Its name, unique in the cluster.
+    /// The member's name, unique in the cluster.
     pub name: String,
-    /// Where its peers connect to it.
+    /// The address at which peers connect to the member.
     pub address: String,
-    /// `voter`, `learner`, or `none` for an instance that waits to be added.
+    /// The member's role: `voter`, `learner`, or `none` for an instance that is not a member yet.
     #[serde(rename = "part")]
     pub role: String,
-    /// Whether the leader has heard from it lately; absent where that is not known.
+    /// Whether the leader has recently received a message from the member; absent if this is not known.
     #[serde(rename = "living", skip_serializing_if = "Option::is_none")]
     pub recently_active: Option<bool>,
-    /// The last index that it is known to have stored; absent where that is not known.
+    /// The last index that the member is known to have stored; absent if this is not known.
     #[serde(rename = "matched", skip_serializing_if = "Option::is_none")]
     pub matched_index: Option<u64>,
 }
@@ -44,39 +44,40 @@
     pub cluster: String,
     /// This instance.
     pub me: MemberView,
-    /// Version of this program.
+    /// The version of this program.
     pub version: String,
-    /// How often the store has been opened by its owner, this time included.
+    /// Number of times that the store has been opened by its owner, including this one.
     pub starts: u64,
     /// Milliseconds since this process started.
     #[serde(rename = "up_ms")]
     pub uptime_ms: u64,
-    /// Figures of the Raft node.
+    /// The status of the Raft node.
     pub node: NodeStatus,
-    /// The leader's name, where known.
+    /// The leader's name, if known.
     pub leader: Option<String>,
-    /// The members as known here.
+    /// The members as known to this instance.
     pub members: Vec<MemberView>,
-    /// Number of subjects held.
+    /// Number of subjects in the replicated state.
     #[serde(rename = "subjects")]
     pub subject_count: usize,
-    /// Number of sessions held.
+    /// Number of sessions in the replicated state.
     #[serde(rename = "sessions")]
     pub session_count: usize,
     /// Length of the store's file, in bytes.
     pub store_bytes: u64,
 }
 
-/// A lease on a role, for operators.
+/// A lease on a role as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseView {
     /// The role.
     pub role: String,
-    /// The holder's name, or its id in hexadecimal if it has no name here; absent after the lease was released.
+    /// The holder's name, or its id in hexadecimal if it is not a member; absent after the lease was
+    /// released.
     pub holder: Option<String>,
     /// The lease's epoch.
     pub epoch: Epoch,
-    /// Index of the holder's last renewal.
+    /// Log index of the holder's last renewal.
     #[serde(rename = "renewed")]
     pub renewed_at: Index,
 }
@@ -86,7 +87,7 @@
 pub struct SubjectView {
     /// The subject.
     pub subject: Subject,
-    /// What has been decided about it.
+    /// The state decided for the subject.
     #[serde(rename = "standing")]
     pub state: SubjectState,
 }
@@ -96,9 +97,9 @@
 pub struct SubjectPage {
     /// The last index that had been applied when the page was read.
     pub applied: Index,
-    /// Subjects in order, [`SUBJECTS_PER_PAGE`] at most.
+    /// The subjects in order, at most [`SUBJECTS_PER_PAGE`].
     pub subjects: Vec<SubjectView>,
-    /// Pass this as `after` to get the next page; absent on the last page.
+    /// The value of `after` that requests the next page; absent on the last page.
     pub next: Option<Subject>,
 }
 
@@ -106,13 +107,13 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProposeRequest {
-    /// A command that the agent proposes once, in a session of its own.
+    /// A command that the agent proposes once, in one of its own sessions.
     #[serde(default)]
     pub command: Option<Command>,
-    /// A proposal in the caller's own session, which may be sent again to any agent.
+    /// A proposal in the caller's own session, which the caller may retry at any agent.
     #[serde(default)]
     pub proposal: Option<Proposal>,
-    /// How long to wait, in milliseconds: [`DEFAULT_TIMEOUT_MS`] if absent, [`MAX_TIMEOUT_MS`] at most.
+    /// Timeout of the request, in milliseconds: [`DEFAULT_TIMEOUT_MS`] if absent, at most [`MAX_TIMEOUT_MS`].
     #[serde(rename = "within_ms", default)]
     pub timeout_ms: Option<u64>,
 }
@@ -121,24 +122,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum ProposeResponse {
-    /// It was applied.
+    /// A proposal that was applied.
     Applied {
         /// The reply of the replicated state.
         reply: Reply,
     },
-    /// It was never proposed: it decides nothing.
+    /// A proposal that was never handed to Raft and has no effect.
     NotProposed,
-    /// No answer in time; it may yet be decided. Send the same proposal again to learn the outcome.
+    /// A proposal without an answer in time, which could still be applied. Sending the same proposal again
+    /// returns its outcome.
     #[serde(rename = "may_yet")]
     Indeterminate,
-    /// Too many requests are pending here; nothing was done.
+    /// A proposal shed because too many requests are pending at this agent; it has no effect.
     Busy,
-    /// The store is nearly full; nothing was done.
+    /// A proposal not accepted because the store is nearly full; it has no effect.
     StoreFull,
-    /// It is not valid.
+    /// An invalid proposal.
     #[serde(rename = "refused")]
     Rejected {
-        /// Why.
+        /// The reason for the rejection.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -148,37 +150,37 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MembershipRequest {
-    /// Adds an instance.
+    /// The addition of an instance.
     Add {
-        /// Its id in hexadecimal.
+        /// The instance's id in hexadecimal.
         id: String,
-        /// Its name.
+        /// The instance's name.
         name: String,
-        /// Where its peers connect to it, as `IP:PORT`.
+        /// The address at which peers connect to the instance, as `IP:PORT`.
         address: String,
     },
-    /// Removes an instance, by its name or its id in hexadecimal.
+    /// The removal of an instance, by its name or its id in hexadecimal.
     Remove(String),
 }
 
-/// The outcome of an operator's request that only the leader carries out.
+/// The outcome of an operation that an operator requested.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum OperationResponse {
-    /// Done, or, for a transfer of leadership, begun.
+    /// A completed operation or, for a transfer of leadership, one that has begun.
     Done,
-    /// Another instance leads.
+    /// An operation not carried out because only the leader can do so and another instance leads.
     NotLeader {
-        /// The leader's name, if known. The caller has to know its local port.
+        /// The leader's name, if known. The response does not include the leader's local port.
         leader: Option<String>,
     },
-    /// No answer in time; it may yet be done.
+    /// An operation without an answer in time, which could still be carried out.
     #[serde(rename = "may_yet")]
     Indeterminate,
-    /// It is not valid.
+    /// An invalid operation.
     #[serde(rename = "refused")]
     Rejected {
-        /// Why.
+        /// The reason for the rejection.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -191,7 +193,7 @@
     /// The proxy's name.
     #[serde(rename = "front")]
     pub proxy: String,
-    /// Its verdict.
+    /// The proxy's verdict.
     #[serde(rename = "opinion")]
     pub verdict: BuildVerdict,
 }
@@ -207,23 +209,25 @@
 /// One line of `GET /v1/watch`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Builds that are condemned.
+    /// The condemned builds.
     #[serde(rename = "condemned")]
     pub condemned_builds: Vec<u64>,
-    /// The vote that this proxy casts at the platform for all; absent if another proxy casts it.
+    /// The vote that this proxy casts at the platform for all instances; absent if this proxy is not the one
+    /// to cast it.
     #[serde(rename = "cast", default, skip_serializing_if = "Option::is_none")]
     pub vote: Option<VoteAssignment>,
-    /// Whether verdicts that are sent here reach the other instances: a leader is known and this instance votes.
+    /// Whether verdicts reported here reach the other instances: a leader is known and this instance is a
+    /// voter.
     #[serde(rename = "together")]
     pub quorum_available: bool,
 }
 
-/// A vote to cast at the platform for all instances.
+/// A vote to be cast at the platform for all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteAssignment {
-    /// The epoch of the lease on the role `votes` under which it is cast.
+    /// The epoch of the lease on the role `votes` under which the vote is cast.
     pub epoch: Epoch,
-    /// The vote; none while no instance has a verdict.
+    /// The vote's verdict; `None` while no instance has one.
     #[serde(rename = "opinion")]
     pub verdict: Option<BuildVerdict>,
 }
@@ -231,11 +235,11 @@
 /// The body of every error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong and what to do.
+    /// A description of the error.
     pub error: String,
 }
 
-/// A text that is not an instance's id.
+/// A text that can't be parsed as an instance's id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "\"{text}\" is not an instance id: 1 to {MAX_INSTANCE_ID_DIGITS} hex digits, not all zero, are required"
@@ -244,15 +248,15 @@
     text: String,
 }
 
-/// An instance's id as operators see it: 16 hexadecimal digits.
+/// Formats an instance's id as 16 hexadecimal digits.
 pub fn format_instance_id(id: InstanceId) -> String {
     format!("{:016x}", id.0)
 }
 
-/// Parses an instance's id as operators give it.
+/// Parses an instance's id from hexadecimal digits.
 ///
 /// # Errors
-/// The text is not 1 to 16 hexadecimal digits, or the id is zero, which stands for no instance.
+/// The text is not 1 to 16 hexadecimal digits, or the id is zero, which is reserved.
 pub fn parse_instance_id(text: &str) -> Result<InstanceId, ParseInstanceIdError> {
     match u64::from_str_radix(text, 16) {
         Ok(id) if id != 0 && text.len() <= MAX_INSTANCE_ID_DIGITS => Ok(InstanceId(id)),
--- a/crates/agent/src/config/error.rs
+++ b/crates/agent/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used.
+//! Errors of the configuration.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,100 +6,100 @@
 
 use super::MAX_NAME_BYTES;
 
-/// Why a configuration file can't be used.
+/// A configuration file that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file can't be read.
+    /// A file that can't be read.
     #[error("configuration: {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file's content can't be used.
+    /// A file with invalid content.
     #[error("configuration: {}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error in the content.
         source: InvalidConfig,
     },
 }
 
-/// Why the content of a configuration file can't be used. Keys are named as in the file.
+/// An error in the content of a configuration file. Messages name keys as they are in the file.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidConfig {
-    /// No JSON, or a key is missing, unknown or of another type.
+    /// Malformed JSON, or a key that is missing, unknown or of the wrong type.
     #[error("{}{source}", KeyPrefix(key))]
     Json {
-        /// The path of the key; empty for the whole file.
+        /// The path of the key; empty if the error concerns no single key.
         key: String,
-        /// What is wrong there.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// A name with other characters than allowed, or too long.
+    /// A name that is empty, too long or has characters that are not allowed.
     #[error("{key} must be 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.', got \"{value}\"")]
     Name {
         /// The key.
         key: &'static str,
-        /// Its value.
+        /// The key's value.
         value: String,
     },
-    /// A number out of its range.
+    /// A number outside its range.
     #[error("{key} must be between {min} and {max}, got {value}")]
     OutOfRange {
         /// The key.
         key: &'static str,
-        /// Its value.
+        /// The key's value.
         value: u64,
-        /// The smallest allowed.
+        /// The smallest value allowed.
         min: u64,
-        /// The largest allowed.
+        /// The largest value allowed.
         max: u64,
     },
-    /// A number below its lowest value.
+    /// A number below its minimum.
     #[error("{key} must be at least {min}, got {value}")]
     TooSmall {
         /// The key.
         key: &'static str,
-        /// Its value.
+        /// The key's value.
         value: u64,
-        /// The smallest allowed.
+        /// The smallest value allowed.
         min: u64,
     },
-    /// An election timeout that does not fit the heartbeat interval.
+    /// An election timeout that is too short for the heartbeat interval, or too long.
     #[error("election_ticks must be between {min} (three times heartbeat_ticks) and {max}, got {value}")]
     ElectionTicks {
-        /// Its value, in ticks.
+        /// The election timeout, in ticks.
         value: usize,
-        /// The smallest allowed, in ticks.
+        /// The shortest timeout allowed, in ticks.
         min: usize,
-        /// The largest allowed, in ticks.
+        /// The longest timeout allowed, in ticks.
         max: usize,
     },
-    /// A lease that does not fit the election timeout.
+    /// A lease duration that is too short for the election timeout, or too long.
     #[error(
         "life_ms must be between {min} (three elections of election_ticks x tick_ms) and {max} (an hour), got {value}"
     )]
     LeaseTtl {
-        /// Its value, in milliseconds.
+        /// The lease duration, in milliseconds.
         value: u64,
-        /// The smallest allowed, in milliseconds.
+        /// The shortest duration allowed, in milliseconds.
         min: u64,
-        /// The largest allowed, in milliseconds.
+        /// The longest duration allowed, in milliseconds.
         max: u64,
     },
-    /// Peers and proxies can't share an address.
+    /// An address configured for both peers and proxies.
     #[error("local must differ from peers, both are {address}")]
     SameAddress {
-        /// The address of both.
+        /// The shared address.
         address: SocketAddr,
     },
-    /// Peers can't connect without a port.
+    /// An announced address without a port.
     #[error("announce must have a port that peers can connect to, got {address}: set it here or in peers")]
     NoAnnouncedPort {
-        /// The address that peers would be given.
+        /// The address that would be announced to peers.
         address: SocketAddr,
     },
 }
@@ -112,7 +112,7 @@
     }
 }
 
-/// A key with a colon behind it; nothing for the whole file.
+/// A key followed by a colon in error messages; nothing if the key is empty.
 struct KeyPrefix<'a>(&'a str);
 
 impl fmt::Display for KeyPrefix<'_> {
--- a/crates/agent/src/config/mod.rs
+++ b/crates/agent/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The agent's configuration: one JSON file, read, checked and given its defaults here. An error names the key.
+//! The agent's configuration: one JSON file, with validation and defaults. Errors name the faulty key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,34 +18,36 @@
 const MAX_TICK_MS: u64 = 1_000;
 const MIN_HEARTBEAT_TICKS: usize = 1;
 const MAX_HEARTBEAT_TICKS: usize = 100;
-/// Fewest heartbeat intervals in an election timeout, so that one lost heartbeat is no reason for an election.
+/// Minimum number of heartbeat intervals per election timeout, so that one lost heartbeat does not start an
+/// election.
 const MIN_HEARTBEATS_PER_ELECTION: usize = 3;
 const MAX_ELECTION_TICKS: usize = 10_000;
-/// Fewest election timeouts in a lease: one that expired in every election would change its holder for nothing.
+/// Minimum number of election timeouts per lease duration. With a shorter lease, every election could expire
+/// the lease and change its holder needlessly.
 const MIN_ELECTIONS_PER_LEASE: u64 = 3;
 const MAX_LEASE_TTL_MS: u64 = 3_600_000;
 const MIN_COMPACT_EVERY: u64 = 100;
 const MAX_COMPACT_EVERY: u64 = 10_000_000;
 const MIN_STORE_LIMIT_MB: u64 = 8;
 
-/// Form of the log lines.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Settings of the log.
+/// The log settings.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogConfig {
-    /// Form of the lines.
+    /// The format of the lines.
     pub format: LogFormat,
-    /// Which lines are written, as a filter of `tracing`.
+    /// The filter that selects the lines written, in the syntax of `tracing_subscriber::EnvFilter`.
     pub filter: String,
 }
 
@@ -55,27 +57,27 @@
     }
 }
 
-/// The whole configuration. Keys of the file keep their names; where the field here has a better one, the key is
-/// given beside it.
+/// The agent's configuration. Where a key of the file differs from the field's name, the field's
+/// documentation names the key.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
     /// This instance's name, unique in the cluster.
     pub name: String,
-    /// The cluster's name: peers of another cluster are rejected.
+    /// The cluster's name. Peers of other clusters are rejected.
     pub cluster: String,
-    /// The store's file.
+    /// Path of the store's file.
     pub store: PathBuf,
-    /// Where this instance listens for peers; key `peers`.
+    /// The address on which this instance listens for peers; key `peers`.
     #[serde(rename = "peers")]
     pub peer_address: SocketAddr,
-    /// Where peers are to connect, if it is not [`Config::peer_address`]; key `announce`.
+    /// The address announced to peers, if it differs from [`Config::peer_address`]; key `announce`.
     #[serde(rename = "announce", default)]
     pub announced_address: Option<SocketAddr>,
-    /// Addresses of members that are to be used in place of those that they announce, by name; key `via`.
+    /// Addresses used in place of those that members announce, by member name; key `via`.
     #[serde(rename = "via", default)]
     pub peer_overrides: BTreeMap<String, SocketAddr>,
-    /// Where this instance listens for proxies and operators; key `local`.
+    /// The address on which this instance listens for proxies and operators; key `local`.
     #[serde(rename = "local")]
     pub http_address: SocketAddr,
     /// Length of a tick, in milliseconds.
@@ -87,17 +89,17 @@
     /// Time between a leader's heartbeats, in ticks.
     #[serde(default = "default_heartbeat_ticks")]
     pub heartbeat_ticks: usize,
-    /// How long a lease stays valid without renewal, in milliseconds; key `life_ms`.
+    /// Time that a lease stays valid without renewal, in milliseconds; key `life_ms`.
     #[serde(rename = "life_ms", default = "default_lease_ttl_ms")]
     pub lease_ttl_ms: u64,
-    /// Applied entries after which the log is compacted into a snapshot; key `fold_every`.
+    /// Number of applied entries after which the log is compacted into a snapshot; key `fold_every`.
     #[serde(rename = "fold_every", default = "default_compact_every")]
     pub compact_every: u64,
-    /// Length of the store's file beyond which no new entries are accepted, in MB; key `store_most_mb`. The device
-    /// should have half as much again.
+    /// Length of the store's file from which on no new entries are accepted, in MB of 1024 * 1024 bytes; key
+    /// `store_most_mb`. The device needs room for one and a half times this length.
     #[serde(rename = "store_most_mb", default = "default_store_limit_mb")]
     pub store_limit_mb: u64,
-    /// The log.
+    /// The log settings.
     #[serde(default)]
     pub log: LogConfig,
 }
@@ -127,28 +129,28 @@
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
-    /// The file can't be read, or a key is missing, unknown or out of its range.
+    /// The file can't be read, or a key is missing, unknown or has an invalid value.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Unreadable { path: path.to_owned(), source })?;
         Self::parse(&text).map_err(|source| ConfigError::Invalid { path: path.to_owned(), source })
     }
 
-    /// Parses and checks the text of a file.
+    /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
-    /// A key is missing, unknown or out of its range.
+    /// A key is missing, unknown or has an invalid value.
     pub fn parse(text: &str) -> Result<Self, InvalidConfig> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let config: Self = serde_path_to_error::deserialize(&mut reader).map_err(InvalidConfig::from)?;
-        config.check()?;
+        config.validate()?;
         Ok(config)
     }
 
-    fn check(&self) -> Result<(), InvalidConfig> {
+    fn validate(&self) -> Result<(), InvalidConfig> {
         check_name("name", &self.name)?;
         check_name("cluster", &self.cluster)?;
         self.check_timing()?;
@@ -197,12 +199,12 @@
         Ok(())
     }
 
-    /// Where peers are to connect.
+    /// Returns the address at which peers connect to this instance.
     pub fn announced(&self) -> SocketAddr {
         self.announced_address.unwrap_or(self.peer_address)
     }
 
-    /// Milliseconds as ticks, rounded up, one at least.
+    /// Converts milliseconds to ticks, rounded up, at least one.
     pub fn ticks(&self, ms: u64) -> u64 {
         ms.div_ceil(self.tick_ms).max(1)
     }
--- a/crates/agent/src/config/tests.rs
+++ b/crates/agent/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! The minimal file and the errors of faulty ones.
+//! Defaults of a minimal configuration, and error messages of invalid ones.
 
 use super::Config;
 
@@ -6,7 +6,7 @@
     r#"{"name":"n1","cluster":"c","store":"/tmp/n1","peers":"127.0.0.1:7001","local":"127.0.0.1:7101"}"#;
 
 #[test]
-fn a_minimal_file_gets_defaults_and_an_error_names_its_key() {
+fn minimal_config_gets_defaults_and_errors_name_the_key() {
     let config = Config::parse(MINIMAL).unwrap();
     assert_eq!((config.tick_ms, config.announced().port()), (20, 7001));
     let error_with =
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_error_gives_the_value_and_what_is_allowed() {
+fn range_errors_name_the_value_and_the_limits() {
     let error_with = |key: &str, value: u64| {
         let text = MINIMAL.replace('}', &format!(",\"{key}\":{value}}}"));
         Config::parse(&text).unwrap_err().to_string()
--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters, each only ever growing, shared by the agent's threads. Each has a key in the JSON of the HTTP port, which
-//! is public and stays, and a name in full here.
+//! Monotonic counters shared by the agent's threads. Each has a field name in the code and a fixed key in the
+//! JSON of the HTTP port, which is part of the public interface.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,8 +12,8 @@
         }
 
         impl Counters {
-            /// All counters, by their public keys.
-            pub fn all(&self) -> std::collections::BTreeMap<&'static str, u64> {
+            /// Returns the values of all counters, by their public keys.
+            pub fn values_by_key(&self) -> std::collections::BTreeMap<&'static str, u64> {
                 [$(($key, self.$name.load(Ordering::Relaxed)),)*].into()
             }
         }
@@ -23,15 +23,15 @@
 counters! {
     /// Messages queued for peers.
     messages_sent => "sent";
-    /// Messages to peers that were dropped: the queue was full or there was no connection.
+    /// Messages to peers that were dropped because the queue was full or there was no connection.
     outbound_messages_dropped => "unsent";
     /// Messages received from peers.
     messages_received => "received";
-    /// Messages from peers that were dropped: the engine's queue was full.
+    /// Messages from peers that were dropped because the engine's queue was full.
     inbound_messages_dropped => "overrun";
-    /// Violations of the peer protocol, such as malformed frames; each ended its connection.
+    /// Connections ended by a violation of the peer protocol, such as a malformed frame.
     protocol_violations => "unreadable";
-    /// Hellos of peers that were rejected.
+    /// Hellos from peers that were rejected.
     hellos_rejected => "hellos_refused";
     /// Connections to peers that were established.
     connections_established => "connected";
@@ -43,19 +43,19 @@
     entries_committed => "entries";
     /// Time spent in commits, in microseconds.
     commit_time_us => "commit_us";
-    /// Snapshots written, whether from compaction or from the leader.
+    /// Snapshots written to the store, from a compaction or from the leader.
     snapshots_written => "snapshots";
-    /// How often this instance became leader.
+    /// Elections won by this instance.
     elections_won => "led";
-    /// How often the process was paused for longer than an election timeout.
+    /// Pauses of the process that were longer than an election timeout.
     process_pauses => "freezes";
-    /// Requests on the HTTP port.
+    /// Requests received on the HTTP port.
     http_requests => "requests";
     /// Requests shed because too many were pending.
     requests_shed => "busy";
     /// Proposals that were applied within their timeout.
     proposals_applied => "applied";
-    /// Proposals that got no answer within their timeout.
+    /// Proposals without an answer within their timeout.
     proposals_timed_out => "unanswered";
     /// Leases acquired by this instance.
     leases_acquired => "granted";
@@ -63,12 +63,12 @@
     verdicts_reported => "verdicts";
 }
 
-/// Adds one to a counter.
-pub fn count(counter: &AtomicU64) {
+/// Increments a counter by one.
+pub fn increment(counter: &AtomicU64) {
     add(counter, 1);
 }
 
-/// Adds to a counter.
+/// Adds an amount to a counter.
 pub fn add(counter: &AtomicU64, amount: u64) {
     counter.fetch_add(amount, Ordering::Relaxed);
 }
--- a/crates/agent/src/engine/leadership.rs
+++ b/crates/agent/src/engine/leadership.rs
@@ -1,12 +1,12 @@
-//! Changes of leadership, for the log and the counters.
+//! Logging and counting of leadership changes.
 
 use garnetcrank_consensus::ids::InstanceId;
 use tracing::info;
 
 use super::Engine;
-use crate::counters::count;
+use crate::counters::increment;
 
-/// The leadership that was last reported.
+/// The leadership as last reported.
 #[derive(Default)]
 pub(super) struct LeadershipMonitor {
     is_leader: bool,
@@ -14,11 +14,11 @@
 }
 
 impl Engine {
-    /// Counts and logs a change of leadership, if there is one.
+    /// Counts an election that this instance has won and logs a change of the leader.
     pub(super) fn report_leadership(&mut self) {
         let is_leader = self.node.is_leader();
         if is_leader && !self.leadership.is_leader {
-            count(&self.peer_context.counters.elections_won);
+            increment(&self.peer_context.counters.elections_won);
         }
         self.leadership.is_leader = is_leader;
         let leader = self.node.leader();
--- a/crates/agent/src/engine/membership.rs
+++ b/crates/agent/src/engine/membership.rs
@@ -12,11 +12,12 @@
 use tracing::{info, warn};
 
 use super::Engine;
-use crate::counters::count;
+use crate::counters::increment;
 use crate::engine_input::EngineInput;
 use crate::peer_transport::{PeerContext, PeerSender};
 
-/// Most instances that have connected and are no members: those that are to be added, or that may add this one.
+/// Maximum number of recorded instances that have connected to this one: those to be added to the cluster, or
+/// those that may add this one to theirs.
 const MAX_DISCOVERED: usize = 1024;
 
 struct PeerConnection {
@@ -27,26 +28,26 @@
 /// The connections to all peers.
 pub(super) struct PeerConnections {
     context: Arc<PeerContext>,
-    inputs: SyncSender<EngineInput>,
+    input_sender: SyncSender<EngineInput>,
     runtime: Handle,
-    /// Addresses to be used in place of those that members announce, by name.
+    /// Addresses used in place of those that members announce, by member name.
     overrides: BTreeMap<String, SocketAddr>,
     connections: BTreeMap<InstanceId, PeerConnection>,
     discovered: BTreeMap<InstanceId, Member>,
-    /// The instances that [`PeerConnections::connections`] was last brought in line with.
+    /// The instances that [`PeerConnections::connections`] was last updated for.
     targets: Vec<Member>,
 }
 
 impl PeerConnections {
     pub(super) fn new(
         context: Arc<PeerContext>,
-        inputs: SyncSender<EngineInput>,
+        input_sender: SyncSender<EngineInput>,
         runtime: Handle,
         overrides: BTreeMap<String, SocketAddr>,
     ) -> Self {
         Self {
             context,
-            inputs,
+            input_sender,
             runtime,
             overrides,
             connections: BTreeMap::new(),
@@ -55,30 +56,31 @@
         }
     }
 
-    /// Notes an instance that has connected to this one.
+    /// Records an instance that has connected to this one.
     pub(super) fn on_discovered(&mut self, member: Member) {
         if self.discovered.len() < MAX_DISCOVERED || self.discovered.contains_key(&member.id) {
             self.discovered.insert(member.id, member);
         }
     }
 
-    /// Sends a message to the peer that it names.
+    /// Sends a message to the peer it is addressed to, or drops it if there is no connection to that peer.
     pub(super) fn send(&self, message: &Message) {
         match self.connections.get(&InstanceId(message.to)) {
             Some(connection) => connection.sender.send(message),
-            None => count(&self.context.counters.outbound_messages_dropped),
+            None => increment(&self.context.counters.outbound_messages_dropped),
         }
     }
 
-    /// Keeps a connection to each member; without members, to each instance that was discovered and so may be about
-    /// to add this one.
+    /// Updates the connections: one to each member or, while this instance knows no members, one to each
+    /// discovered instance, since any of them may be about to add this one.
     fn update(&mut self, members: Vec<Member>) {
-        let waits_to_be_added = members.is_empty();
-        let targets = if waits_to_be_added { self.discovered.values().cloned().collect() } else { members };
+        let is_awaiting_membership = members.is_empty();
+        let targets =
+            if is_awaiting_membership { self.discovered.values().cloned().collect() } else { members };
         if targets == self.targets {
             return;
         }
-        if !waits_to_be_added {
+        if !is_awaiting_membership {
             self.publish_members(&targets);
             self.discovered.clear();
         }
@@ -94,22 +96,27 @@
         self.targets = targets;
     }
 
-    /// Replaces the members that hellos of callers are checked against.
+    /// Replaces the members that hellos of connecting peers are checked against.
     fn publish_members(&self, members: &[Member]) {
         *self.context.members.write().unwrap_or_else(PoisonError::into_inner) = members.to_vec();
     }
 
-    /// Connects to a peer, unless there is a connection to its address already.
+    /// Starts a connection to a peer, unless there is one to the same address already.
     fn connect(&mut self, peer: &Member) {
         let Some(address) = self.address_of(peer) else {
-            warn!(peer = peer.name, address = peer.address, "peer has no usable address");
+            warn!(peer = peer.name, address = peer.address, "not connecting: peer address is not IP:PORT");
             return;
         };
         if self.connections.get(&peer.id).is_some_and(|connection| connection.address == address) {
             return;
         }
-        let sender =
-            PeerSender::connect(&self.context, peer.clone(), address, self.inputs.clone(), &self.runtime);
+        let sender = PeerSender::connect(
+            &self.context,
+            peer.clone(),
+            address,
+            self.input_sender.clone(),
+            &self.runtime,
+        );
         self.connections.insert(peer.id, PeerConnection { address, sender });
     }
 
@@ -122,7 +129,7 @@
 }
 
 impl Engine {
-    /// Brings the connections in line with the members.
+    /// Updates the connections to match the current members.
     pub(super) fn connect_to_members(&mut self) {
         self.peers.update(self.node.state().members().cloned().collect());
     }
--- a/crates/agent/src/engine/mod.rs
+++ b/crates/agent/src/engine/mod.rs
@@ -1,14 +1,13 @@
-//! The engine: one thread that owns the Raft node and all that follows from it. Everything reaches it as an
-//! [`EngineInput`] in one bounded queue, and it waits for nothing else.
+//! The engine: the single thread that owns the Raft node and all state derived from it. Every input arrives
+//! as an [`EngineInput`] on one bounded queue, and the engine blocks on nothing else.
 //!
-//! - `clock`: ticks, and pauses of the process;
-//! - `requests`: requests of the HTTP port; `replies`: the answers that are due to them; `sessions`: sessions
-//!   for callers that have none;
-//! - `reads`, `views`: what the replicated state and the node look like from outside;
-//! - `persistence`: what Raft wants written and sent; `leadership`: who leads;
+//! - `clock`: ticks since the engine started;
+//! - `requests`: requests from the HTTP port; `replies`: their pending answers; `sessions`: a pool of
+//!   sessions for callers that have none;
+//! - `reads`, `views`: the replicated state and the node as shown to callers of the HTTP port;
+//! - `persistence`: batches and messages that Raft has ready; `leadership`: changes of the leader;
 //! - `membership`: connections to the members;
-//! - `votes`: the lease on the vote and the verdicts on builds; `publisher`: what is published to proxies
-//!   that watch.
+//! - `votes`: the lease on the vote and the verdicts on builds; `publisher`: events for proxies that watch.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -31,7 +30,7 @@
 use self::sessions::SessionPool;
 use self::votes::VoteCoordinator;
 use crate::config::Config;
-use crate::counters::count;
+use crate::counters::increment;
 use crate::engine_input::{EngineInput, PublishedState};
 use crate::peer_transport::PeerContext;
 
@@ -47,44 +46,44 @@
 mod views;
 mod votes;
 
-/// Most inputs handled in one turn, so that ticks are never far behind.
-const MAX_INPUTS_PER_TURN: usize = 512;
+/// Maximum number of inputs handled per iteration of the loop, so that a full queue does not delay ticks.
+const MAX_INPUTS_PER_ITERATION: usize = 512;
 
-/// Why the engine ended.
+/// An error that ends the engine.
 #[derive(Debug, thiserror::Error)]
 pub enum EngineError {
-    /// The store can't be written any more.
+    /// A failed commit to the store.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// The Raft node can't go on.
+    /// An error that the Raft node can't recover from.
     #[error("{0}")]
     Node(#[from] RaftNodeError),
-    /// The thread that owns the store is gone.
+    /// The end of the thread that owns the store.
     #[error("the storage writer has ended")]
     WriterEnded,
 }
 
-/// What the engine works with.
+/// The state and the dependencies that an engine starts with.
 pub struct EngineParts {
     /// The configuration.
     pub config: Config,
     /// The Raft node.
     pub node: RaftNode,
-    /// What connections to peers share.
+    /// The context shared by all connections to peers.
     pub peer_context: Arc<PeerContext>,
-    /// The sending end of the engine's own queue, for connections.
-    pub inputs: SyncSender<EngineInput>,
-    /// The queue of the thread that owns the store.
+    /// The sending end of the engine's own queue, handed to connections.
+    pub input_sender: SyncSender<EngineInput>,
+    /// The sending end of the storage writer's queue.
     pub storage_writer: SyncSender<Batch>,
-    /// Where connections run.
+    /// The runtime on which connections run.
     pub runtime: Handle,
-    /// Where state is published to proxies that watch.
+    /// The channel on which state is published to proxies that watch.
     pub published: watch::Sender<PublishedState>,
-    /// How often the store has been opened, this time included.
+    /// Number of times that the store has been opened, including this one.
     pub starts: u64,
 }
 
-/// The engine. See the module's documentation.
+/// The engine; see the module's documentation.
 pub struct Engine {
     config: Config,
     node: RaftNode,
@@ -101,17 +100,30 @@
 }
 
 impl Engine {
-    /// An engine whose clock starts now.
+    /// Creates an engine whose clock starts now.
     pub fn new(parts: EngineParts) -> Self {
-        let EngineParts { config, node, peer_context, inputs, storage_writer, runtime, published, starts } =
-            parts;
+        let EngineParts {
+            config,
+            node,
+            peer_context,
+            input_sender,
+            storage_writer,
+            runtime,
+            published,
+            starts,
+        } = parts;
         Self {
             clock: EngineClock::start(config.tick_ms),
             persistence: Persistence::new(storage_writer),
             leadership: LeadershipMonitor::default(),
             replies: PendingReplies::default(),
             sessions: SessionPool::default(),
-            peers: PeerConnections::new(peer_context.clone(), inputs, runtime, config.peer_overrides.clone()),
+            peers: PeerConnections::new(
+                peer_context.clone(),
+                input_sender,
+                runtime,
+                config.peer_overrides.clone(),
+            ),
             votes: VoteCoordinator::new(peer_context.me.id, &config),
             publisher: ProxyPublisher::new(published),
             config,
@@ -121,10 +133,10 @@
         }
     }
 
-    /// Runs until [`EngineInput::Shutdown`] or until all senders of its queue are gone.
+    /// Runs until [`EngineInput::Shutdown`] arrives or all senders of its queue are dropped.
     ///
     /// # Errors
-    /// The store or the Raft node can't go on: the process has to end.
+    /// The store or the Raft node has failed. The process must end.
     pub fn run(mut self, inputs: &Receiver<EngineInput>) -> Result<(), EngineError> {
         loop {
             if self.handle_inputs(inputs)?.is_break() {
@@ -139,7 +151,7 @@
         }
     }
 
-    /// Waits for an input until the next tick is due, and handles it and those that wait behind it.
+    /// Waits for an input until the next tick is due, then handles it and the inputs queued behind it.
     fn handle_inputs(&mut self, inputs: &Receiver<EngineInput>) -> Result<ControlFlow<()>, EngineError> {
         let wait = self.clock.next_tick_at().saturating_duration_since(Instant::now());
         match inputs.recv_timeout(wait) {
@@ -149,7 +161,7 @@
             Ok(input) => self.handle_input(input)?,
             Err(RecvTimeoutError::Timeout) => {}
         }
-        for _ in 1..MAX_INPUTS_PER_TURN {
+        for _ in 1..MAX_INPUTS_PER_ITERATION {
             match inputs.try_recv() {
                 Ok(EngineInput::Shutdown) => return Ok(ControlFlow::Break(())),
                 Ok(input) => self.handle_input(input)?,
@@ -173,7 +185,7 @@
                     self.votes.remove_proxy(&proxy);
                 }
             }
-            // Ends the loop before it comes here.
+            // `handle_inputs` returns before it passes this input on.
             EngineInput::Shutdown => {}
         }
         Ok(())
@@ -181,9 +193,10 @@
 
     fn receive(&mut self, message: Message) {
         let state = self.node.state();
-        // An instance without members waits to be added, and follows whichever instance adds it to its cluster.
-        let waits_to_be_added = state.members().next().is_none();
-        if waits_to_be_added || state.member(InstanceId(message.from)).is_some() {
+        // An instance that knows no members is waiting to be added to a cluster. It accepts messages from any
+        // instance, because it can't know yet which one will add it.
+        let is_awaiting_membership = state.members().next().is_none();
+        if is_awaiting_membership || state.member(InstanceId(message.from)).is_some() {
             self.node.receive(message);
         }
     }
@@ -197,9 +210,9 @@
             }
             return;
         }
-        // The process was paused, and what the others have sent meanwhile waits in the sockets. If it caught up with
-        // all ticks at once it would stand for election before it had read any of that.
-        count(&self.peer_context.counters.process_pauses);
+        // The process was paused, and messages that peers sent meanwhile are unread in the sockets. Catching
+        // up with all ticks at once would start an election before any of these messages is read.
+        increment(&self.peer_context.counters.process_pauses);
         warn!(
             paused_ms = elapsed * self.config.tick_ms,
             "process was paused longer than an election timeout"
--- a/crates/agent/src/engine/persistence.rs
+++ b/crates/agent/src/engine/persistence.rs
@@ -1,4 +1,4 @@
-//! What Raft wants written and sent. One batch at a time is in flight to the storage writer.
+//! Writes and messages that Raft has ready. At most one batch is in flight to the storage writer.
 
 use std::sync::mpsc::SyncSender;
 
@@ -10,14 +10,14 @@
 
 const BYTES_PER_MB: u64 = 1024 * 1024;
 
-/// Whether a batch is on its way to the device.
+/// The state of writes to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WriteState {
     Idle,
     InFlight,
 }
 
-/// The engine's side of the storage writer.
+/// The engine's connection to the storage writer.
 pub(super) struct Persistence {
     writer: SyncSender<Batch>,
     state: WriteState,
@@ -29,7 +29,7 @@
         Self { writer, state: WriteState::Idle, file_bytes: 0 }
     }
 
-    /// Length of the store's file after the last batch, in bytes; 0 before the first.
+    /// Returns the length of the store's file after the last batch, in bytes; 0 before the first batch.
     pub(super) fn file_bytes(&self) -> u64 {
         self.file_bytes
     }
@@ -41,7 +41,7 @@
 }
 
 impl Engine {
-    /// Sends and writes what Raft has ready, as long as no batch is in flight.
+    /// Sends the messages and writes the batches that Raft has ready, until a batch is in flight.
     pub(super) fn process_ready(&mut self) -> Result<(), EngineError> {
         while self.persistence.state == WriteState::Idle {
             let Some(ready) = self.node.ready()? else { break };
@@ -55,7 +55,7 @@
             }
         }
         self.report_leadership();
-        // Nobody here waits for single entries; without this call they would pile up.
+        // The engine has no use for the applied entries; without this call the node would accumulate them.
         self.node.take_applied();
         Ok(())
     }
--- a/crates/agent/src/engine/publisher.rs
+++ b/crates/agent/src/engine/publisher.rs
@@ -1,4 +1,4 @@
-//! What is published to proxies that watch.
+//! Publishing of events to proxies that watch.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 use crate::api::WatchEvent;
 use crate::engine_input::PublishedState;
 
-/// The proxies that watch, and what was published last.
+/// The proxies that watch, and the state that was last published to them.
 pub(super) struct ProxyPublisher {
-    /// Number of watches by the proxy's name: one that connects again may have two for a moment.
+    /// Number of watches, by proxy name. A proxy that reconnects may briefly have two.
     watches: BTreeMap<String, u32>,
     last: PublishedState,
     channel: watch::Sender<PublishedState>,
@@ -22,12 +22,13 @@
         Self { watches: BTreeMap::new(), last: PublishedState::default(), channel }
     }
 
-    /// Notes a new watch of a proxy.
+    /// Records a new watch of a proxy.
     pub(super) fn on_connected(&mut self, proxy: String) {
         *self.watches.entry(proxy).or_default() += 1;
     }
 
-    /// Notes the end of a watch. Returns how many the proxy has left, or nothing if it had none.
+    /// Records the end of a watch. Returns the number of watches that the proxy has left, or `None` if it had
+    /// none.
     pub(super) fn on_disconnected(&mut self, proxy: &str) -> Option<u32> {
         let watches = self.watches.get_mut(proxy)?;
         *watches -= 1;
@@ -38,9 +39,10 @@
         Some(remaining)
     }
 
-    /// Publishes an event, unless nothing has changed.
+    /// Publishes an event and the voting proxy, unless neither has changed.
     fn publish(&mut self, event: WatchEvent) {
-        // The first by name, for as long as it watches: any would do, but only one may cast the vote.
+        // Any proxy could cast the vote, but only one may. The first by name among those that watch is
+        // chosen.
         let voting_proxy = self.watches.keys().next().cloned();
         let state = PublishedState { event, voting_proxy };
         if state != self.last {
@@ -51,7 +53,7 @@
 }
 
 impl Engine {
-    /// Publishes what has changed.
+    /// Publishes the current state to proxies that watch.
     pub(super) fn publish(&mut self) {
         let now = self.clock.now();
         let state = self.node.state();
--- a/crates/agent/src/engine/reads.rs
+++ b/crates/agent/src/engine/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the replicated state, as this instance has applied it.
+//! Reads of the replicated state, as applied by this instance.
 
 use garnetcrank_consensus::ids::Subject;
 use garnetcrank_consensus::replicated_state::SubjectState;
@@ -18,12 +18,12 @@
         }
     }
 
-    /// A page with one subject, or none if nothing has been decided about it.
+    /// Returns a page with one subject, or an empty page if nothing has been decided about it.
     fn single_subject(&self, subject: &Subject) -> SubjectPage {
         let state = self.node.state();
         let mut subjects = Vec::new();
         if let Some(found) = state.subject_state(subject) {
-            subjects.push(view(subject, found));
+            subjects.push(subject_view(subject, found));
         }
         SubjectPage { applied: state.applied(), subjects, next: None }
     }
@@ -32,20 +32,21 @@
         let state = self.node.state();
         let mut subjects = Vec::new();
         let first_of_space = space.map(|space| Subject::new(space, 0));
-        // The state gives what follows a subject, so the first one of the space is looked up by itself.
+        // `subjects_after` excludes the subject it starts from, so the space's first subject is looked up
+        // separately.
         if after.is_none()
             && let Some(first) = &first_of_space
             && let Some(found) = state.subject_state(first)
         {
-            subjects.push(view(first, found));
+            subjects.push(subject_view(first, found));
         }
         for (subject, found) in state.subjects_after(after.or(first_of_space.as_ref())) {
             let is_outside_space = space.is_some_and(|space| subject.space != space);
-            // One more than the page holds shows that another page follows.
+            // One subject beyond the page size shows that another page follows.
             if is_outside_space || subjects.len() > SUBJECTS_PER_PAGE {
                 break;
             }
-            subjects.push(view(subject, found));
+            subjects.push(subject_view(subject, found));
         }
         let has_more = subjects.len() > SUBJECTS_PER_PAGE;
         subjects.truncate(SUBJECTS_PER_PAGE);
@@ -54,6 +55,6 @@
     }
 }
 
-fn view(subject: &Subject, state: &SubjectState) -> SubjectView {
+fn subject_view(subject: &Subject, state: &SubjectState) -> SubjectView {
     SubjectView { subject: subject.clone(), state: state.clone() }
 }
--- a/crates/agent/src/engine/replies.rs
+++ b/crates/agent/src/engine/replies.rs
@@ -1,4 +1,4 @@
-//! Answers that are due to callers: who waits for which ticket, and what a Raft answer means to them.
+//! Pending replies, by ticket, and the conversion of the Raft node's answers into responses.
 
 use std::collections::HashMap;
 
@@ -11,19 +11,19 @@
 use super::Engine;
 use super::sessions::PooledSession;
 use crate::api::{OperationResponse, ProposeResponse};
-use crate::counters::count;
+use crate::counters::increment;
 use crate::engine_input::{QueryError, QueryResult, StateQuery};
 
-/// What is to be done with the answer to a ticket.
+/// The destination of the answer to a ticket.
 pub(super) enum PendingReply {
     /// A proposal of the engine itself.
-    OwnProposal,
-    /// A caller's proposal, or its session being opened.
+    EngineProposal,
+    /// A caller's own proposal, or its request to open a session.
     Proposal(oneshot::Sender<ProposeResponse>),
-    /// A session being opened for a caller's command.
+    /// A session being opened by the engine for a caller's command.
     SessionForCommand {
         command: Command,
-        /// Timeout of the command itself, in ticks.
+        /// Timeout of the proposal that carries the command, in ticks.
         timeout_ticks: u64,
         reply: oneshot::Sender<ProposeResponse>,
     },
@@ -35,7 +35,7 @@
     Operation(oneshot::Sender<OperationResponse>),
 }
 
-/// All answers that are due, by ticket.
+/// All pending replies, by ticket.
 #[derive(Default)]
 pub(super) struct PendingReplies {
     by_ticket: HashMap<Ticket, PendingReply>,
@@ -43,7 +43,7 @@
 }
 
 impl PendingReplies {
-    /// Registers a reply; its ticket goes to the Raft node with the request.
+    /// Registers a reply and returns its ticket, which is passed to the Raft node with the request.
     pub(super) fn register(&mut self, reply: PendingReply) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
@@ -52,26 +52,26 @@
     }
 }
 
-/// Sends a caller its answer.
+/// Sends an answer to its caller.
 pub(super) fn send_reply<T>(reply: oneshot::Sender<T>, answer: T) {
-    // A caller that has gone needs no answer.
+    // The send fails only if the caller no longer waits, which needs no handling.
     let _ = reply.send(answer);
 }
 
 impl Engine {
-    /// Passes on the answers that the Raft node has ready.
+    /// Delivers the answers that the Raft node has ready.
     pub(super) fn deliver_answers(&mut self) {
         for TicketAnswer { ticket, answer } in self.node.take_answers() {
             match self.replies.by_ticket.remove(&ticket) {
                 Some(reply) => self.deliver(reply, answer),
-                None => error!(%ticket, "a request was answered twice: report this with the log"),
+                None => error!(%ticket, "answer without a pending request: report this bug with the log"),
             }
         }
     }
 
     fn deliver(&mut self, reply: PendingReply, answer: Answer) {
         match reply {
-            PendingReply::OwnProposal => self.on_own_proposal_answered(answer),
+            PendingReply::EngineProposal => self.on_engine_proposal_answered(answer),
             PendingReply::Proposal(reply) => send_reply(reply, self.propose_response(answer)),
             PendingReply::SessionForCommand { command, timeout_ticks, reply } => {
                 self.on_session_opened(answer, command, timeout_ticks, reply);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Goes on with a caller's command once its session is open.
+    /// Proposes a caller's command once its session is open.
     fn on_session_opened(
         &mut self,
         answer: Answer,
@@ -116,17 +116,17 @@
         let counters = &self.peer_context.counters;
         match answer {
             Answer::Applied(reply) => {
-                count(&counters.proposals_applied);
+                increment(&counters.proposals_applied);
                 ProposeResponse::Applied { reply }
             }
             Answer::Busy => {
-                count(&counters.requests_shed);
+                increment(&counters.requests_shed);
                 ProposeResponse::Busy
             }
             Answer::StoreFull => ProposeResponse::StoreFull,
             Answer::Rejected(reason) => ProposeResponse::Rejected { reason },
             Answer::NotProposed => {
-                count(&counters.proposals_timed_out);
+                increment(&counters.proposals_timed_out);
                 ProposeResponse::NotProposed
             }
             Answer::Indeterminate
@@ -134,7 +134,7 @@
             | Answer::MembershipChanged
             | Answer::ReadTimedOut
             | Answer::NotLeader(_) => {
-                count(&counters.proposals_timed_out);
+                increment(&counters.proposals_timed_out);
                 ProposeResponse::Indeterminate
             }
         }
@@ -152,7 +152,7 @@
     }
 }
 
-/// Whether a session's last proposal is known to be applied, and the session to be open still.
+/// Returns whether a session's last proposal was applied and the session has not expired.
 fn is_session_reusable(answer: &Answer) -> bool {
     match answer {
         Answer::Applied(reply) => *reply != Reply::SessionExpired,
--- a/crates/agent/src/engine/requests.rs
+++ b/crates/agent/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the HTTP port.
+//! Handling of requests from the HTTP port.
 
 use std::net::{AddrParseError, SocketAddr};
 
@@ -14,24 +14,24 @@
     MembershipRequest, OperationResponse, ParseInstanceIdError, ProposeResponse, VerdictReceipt,
     VerdictReport, format_instance_id, parse_instance_id,
 };
-use crate::counters::count;
+use crate::counters::increment;
 use crate::engine_input::{EngineRequest, QueryResult, ReadConsistency, StateQuery};
 
-/// Why an operator's request is rejected before it reaches the Raft node.
+/// An operator's request that is rejected before it reaches the Raft node.
 #[derive(Debug, thiserror::Error)]
 enum InvalidOperation {
-    /// No member has this name or id.
+    /// A name or id that belongs to no member.
     #[error("{0} is not a member: see `members list`")]
     UnknownMember(String),
-    /// A new member's address can't be used.
+    /// A new member's address that is not `IP:PORT`.
     #[error("address {address}: {source}")]
     Address {
         /// The address.
         address: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// A new member's id can't be used.
+    /// A new member's id that can't be parsed.
     #[error("{0}")]
     InstanceId(#[from] ParseInstanceIdError),
 }
@@ -137,9 +137,9 @@
     }
 
     fn report_verdict(&mut self, report: VerdictReport, reply: oneshot::Sender<VerdictReceipt>) {
-        count(&self.peer_context.counters.verdicts_reported);
+        increment(&self.peer_context.counters.verdicts_reported);
         let now = self.clock.now();
-        // Without a quorum the verdict would not reach the other instances, and the proxy has to know that.
+        // Without a quorum the verdict would not reach the other instances; the response tells the proxy so.
         let accepted = self.is_quorum_available()
             && self.votes.record_verdict(now, &report.proxy, report.verdict).is_ok();
         send_reply(reply, VerdictReceipt { accepted });
@@ -158,11 +158,11 @@
         }
     }
 
-    /// The member with this name or id.
+    /// Finds the member with this name or id.
     fn find_member(&self, name_or_id: &str) -> Result<InstanceId, InvalidOperation> {
-        let is_wanted =
+        let has_name_or_id =
             |member: &&Member| member.name == name_or_id || format_instance_id(member.id) == name_or_id;
-        match self.node.state().members().find(is_wanted) {
+        match self.node.state().members().find(has_name_or_id) {
             Some(member) => Ok(member.id),
             None => Err(InvalidOperation::UnknownMember(name_or_id.to_owned())),
         }
--- a/crates/agent/src/engine/views.rs
+++ b/crates/agent/src/engine/views.rs
@@ -1,4 +1,4 @@
-//! The node, its members and the leases, as operators see them.
+//! Views of the node, its members and the leases for operators.
 
 use garnetcrank_consensus::ids::InstanceId;
 use garnetcrank_consensus::membership::PeerProgress;
@@ -61,7 +61,7 @@
         views
     }
 
-    /// A member's name, or its id if it is no member.
+    /// Returns the name of a member, or the id in hexadecimal if the instance is not a member.
     pub(super) fn member_name(&self, id: InstanceId) -> String {
         match self.node.state().member(id) {
             Some(member) => member.name.clone(),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether this instance can decide together with others just now, as far as it knows.
+    /// Returns whether a quorum is available as far as this instance knows: it is a voter and knows a leader.
     pub(super) fn is_quorum_available(&self) -> bool {
         self.node.leader().is_some() && self.node.is_voter(self.peer_context.me.id)
     }
--- a/crates/agent/src/engine/votes.rs
+++ b/crates/agent/src/engine/votes.rs
@@ -1,5 +1,5 @@
-//! Whether a build is condemned, and which instance's vote at the platform stands for all: the lease on the vote's
-//! role, the verdicts of the proxies here, and the proposals that follow from both.
+//! Coordination of the vote on builds: the lease on the role that casts the platform's vote for all
+//! instances, the verdicts of the proxies that report to this agent, and the proposals that follow from both.
 
 use garnetcrank_consensus::build_verdicts::{self, BuildVerdict, BuildVerdicts, TooManyProxies};
 use garnetcrank_consensus::ids::{InstanceId, Ticks};
@@ -13,30 +13,31 @@
 use super::replies::PendingReply;
 use crate::api::VoteAssignment;
 use crate::config::Config;
-use crate::counters::{Counters, count};
+use crate::counters::{Counters, increment};
 
-/// Most proposals of the engine itself that wait.
-const MAX_OWN_PROPOSALS: usize = 256;
-/// Attempts to get an answer to one proposal.
-const PROPOSAL_ATTEMPTS: u32 = 3;
-/// A verdict that is not renewed expires after so many lease durations, so that it outlives one whole lease.
-const LEASES_PER_VERDICT: u64 = 2;
-/// Attempts that fit into a lease's duration, so that a renewal whose answer is lost can be sent again in time.
+/// Maximum number of the engine's own proposals that are queued.
+const MAX_ENGINE_PROPOSALS: usize = 256;
+/// Maximum number of times that one proposal is sent to the Raft node.
+const MAX_PROPOSAL_ATTEMPTS: u32 = 3;
+/// Lease durations after which a verdict that is not renewed expires, so that it outlives one lease.
+const VERDICT_TTL_LEASES: u64 = 2;
+/// Proposal attempts that fit into a lease's duration, so that a renewal whose answer is lost can be sent
+/// again before the lease expires.
 const ATTEMPTS_PER_LEASE: u64 = 3;
 
-/// What a proposal of the engine belongs to.
+/// The component that a proposal of the engine belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ProposalOwner {
     Lease,
     Verdicts,
 }
 
-struct OwnProposal {
+struct EngineProposal {
     owner: ProposalOwner,
     command: Command,
 }
 
-/// This instance's part in the vote.
+/// The lease client, the verdicts and the proposal queue of this instance.
 pub(super) struct VoteCoordinator {
     lease: LeaseClient,
     verdicts: BuildVerdicts,
@@ -47,12 +48,13 @@
 impl VoteCoordinator {
     pub(super) fn new(me: InstanceId, config: &Config) -> Self {
         let lease_ttl = config.ticks(config.lease_ttl_ms);
-        // Another wait at each instance, so that they don't all try to acquire a free lease at once.
+        // The wait depends on the instance's id, so that instances don't all try to acquire a free lease at
+        // the same time.
         let stagger = 1 + me.0 % config.election_ticks as u64;
         Self {
             lease: LeaseClient::new(build_verdicts::vote_role(), me, lease_ttl, stagger),
-            verdicts: BuildVerdicts::new(me, LEASES_PER_VERDICT * lease_ttl),
-            proposals: ProposalQueue::new(MAX_OWN_PROPOSALS, PROPOSAL_ATTEMPTS),
+            verdicts: BuildVerdicts::new(me, VERDICT_TTL_LEASES * lease_ttl),
+            proposals: ProposalQueue::new(MAX_ENGINE_PROPOSALS, MAX_PROPOSAL_ATTEMPTS),
             proposal_timeout_ticks: lease_ttl / ATTEMPTS_PER_LEASE + 1,
         }
     }
@@ -60,7 +62,7 @@
     /// Records a proxy's verdict.
     ///
     /// # Errors
-    /// Too many proxies report to this agent.
+    /// The limit on the number of reporting proxies is reached.
     pub(super) fn record_verdict(
         &mut self,
         now: Ticks,
@@ -70,12 +72,12 @@
         self.verdicts.record_verdict(now, proxy, verdict)
     }
 
-    /// Forgets a proxy's verdict.
+    /// Removes a proxy's verdict.
     pub(super) fn remove_proxy(&mut self, proxy: &str) {
         self.verdicts.remove_proxy(proxy);
     }
 
-    /// The vote to cast at the platform, while this instance holds the lease.
+    /// Returns the vote to cast at the platform, or `None` while this instance does not hold the lease.
     pub(super) fn vote(&mut self, now: Ticks, state: &ReplicatedState) -> Option<VoteAssignment> {
         let epoch = self.lease.valid_epoch(now)?;
         Some(VoteAssignment { epoch, verdict: self.verdicts.vote_to_cast(now, state) })
@@ -84,19 +86,19 @@
     /// Queues the proposals that are due.
     fn queue_proposals(&mut self, now: Ticks, state: &ReplicatedState, counters: &Counters) {
         self.verdicts.observe_notices(now, state);
-        let mut due: Vec<OwnProposal> = Vec::new();
+        let mut due: Vec<EngineProposal> = Vec::new();
         for command in self.verdicts.proposals(now, state) {
-            due.push(OwnProposal { owner: ProposalOwner::Verdicts, command });
+            due.push(EngineProposal { owner: ProposalOwner::Verdicts, command });
         }
         match self.lease.poll(now, state.lease(self.lease.role())) {
             Some(LeaseAction::Propose(command)) => {
-                due.push(OwnProposal { owner: ProposalOwner::Lease, command });
+                due.push(EngineProposal { owner: ProposalOwner::Lease, command });
             }
-            // The platform knows no epochs, so there is no fencing gate that has to see this one first. A vote of a
-            // deposed holder is one more instance's own vote, and the platform counts it as such.
+            // The platform has no notion of epochs, so there is no fencing gate that must observe this one
+            // first. A vote cast by a deposed holder counts as that instance's own vote at the platform.
             Some(LeaseAction::ObserveEpoch(epoch)) => {
-                info!(%epoch, "this instance casts the platform's vote for all");
-                count(&counters.leases_acquired);
+                info!(%epoch, "lease on the platform's vote acquired");
+                increment(&counters.leases_acquired);
                 self.lease.on_epoch_observed(epoch);
             }
             None => {}
@@ -106,11 +108,11 @@
         }
     }
 
-    fn submit(&mut self, now: Ticks, proposal: OwnProposal) {
+    fn submit(&mut self, now: Ticks, proposal: EngineProposal) {
         if self.proposals.submit(proposal.owner, proposal.command).is_ok() {
             return;
         }
-        warn!(owner = ?proposal.owner, "too many proposals of this instance are pending: one is dropped");
+        warn!(owner = ?proposal.owner, "engine proposal dropped: the proposal queue is full");
         if proposal.owner == ProposalOwner::Lease {
             self.lease.on_answer(now, &Answer::Busy);
         }
@@ -132,7 +134,8 @@
 }
 
 impl Engine {
-    /// Proposes what the lease and the verdicts call for. Only a voter takes part.
+    /// Queues the proposals due for the lease and the verdicts, and passes the queue's next request to the
+    /// Raft node. Does nothing unless this instance is a voter.
     pub(super) fn coordinate_votes(&mut self) {
         if !self.node.is_voter(self.peer_context.me.id) {
             return;
@@ -142,18 +145,18 @@
         let timeout_ticks = self.votes.proposal_timeout_ticks;
         match self.votes.proposals.next_proposal() {
             Some(NextProposal::OpenSession) => {
-                let ticket = self.replies.register(PendingReply::OwnProposal);
+                let ticket = self.replies.register(PendingReply::EngineProposal);
                 self.node.open_session(ticket, timeout_ticks);
             }
             Some(NextProposal::Propose(proposal)) => {
-                let ticket = self.replies.register(PendingReply::OwnProposal);
+                let ticket = self.replies.register(PendingReply::EngineProposal);
                 self.node.propose(ticket, proposal, timeout_ticks);
             }
             None => {}
         }
     }
 
-    pub(super) fn on_own_proposal_answered(&mut self, answer: Answer) {
+    pub(super) fn on_engine_proposal_answered(&mut self, answer: Answer) {
         let now = self.clock.now();
         self.votes.on_answer(now, answer);
     }
--- a/crates/agent/src/engine_input.rs
+++ b/crates/agent/src/engine_input.rs
@@ -1,5 +1,5 @@
-//! What the engine receives and what it publishes. Connections, the HTTP port and the storage writer depend on this
-//! module alone, so that they need not know the engine.
+//! Inputs of the engine and the state it publishes. Connections, the HTTP port and the storage writer depend
+//! on this module rather than on the engine itself.
 
 use garnetcrank_consensus::ids::{InstanceId, Subject};
 use garnetcrank_consensus::raft_node::Message;
@@ -12,145 +12,145 @@
     VerdictReceipt, VerdictReport, WatchEvent,
 };
 
-/// Capacity of the engine's queue, in inputs. A full queue sheds load: senders that can't wait drop the input or
-/// answer their caller that the agent is busy.
+/// Capacity of the engine's queue, in inputs. A full queue sheds load: senders that can't wait drop the input
+/// or answer their caller that the agent is busy.
 pub const MAX_QUEUED_INPUTS: usize = 8192;
 
-/// Everything that the engine reacts to.
+/// An input of the engine.
 #[derive(Debug)]
 pub enum EngineInput {
     /// A message from a peer.
     PeerMessage(Box<Message>),
-    /// The connection to a peer failed.
+    /// A failed connection to a peer.
     PeerUnreachable(InstanceId),
-    /// An instance connected to this one.
+    /// An instance that has connected to this one.
     PeerDiscovered(Member),
-    /// The batch in flight is durable.
+    /// Confirmation that the batch in flight is durable.
     BatchPersisted {
         /// Length of the store's file, in bytes.
         file_bytes: u64,
     },
-    /// The store can't be written any more.
+    /// A failed commit to the store; no further batch is written.
     StorageFailed(StoreError),
     /// A request from the HTTP port.
     Request(EngineRequest),
-    /// A proxy began to watch, by name. One proxy may watch more than once.
+    /// The start of a proxy's watch, by proxy name. One proxy may have several watches.
     ProxyConnected(String),
-    /// A proxy's watch ended.
+    /// The end of a proxy's watch, by proxy name.
     ProxyDisconnected(String),
-    /// The process is to end.
+    /// A request to shut down.
     Shutdown,
 }
 
-/// A request and where its one answer goes. Timeouts are in milliseconds.
+/// A request to the engine, with the channel for its single answer.
 #[derive(Debug)]
 pub enum EngineRequest {
-    /// Figures for operators.
+    /// A read of the status for operators.
     Status(oneshot::Sender<StatusView>),
-    /// Opens a session for the caller.
+    /// The opening of a session for the caller.
     OpenSession {
-        /// How long to wait.
+        /// Timeout of the request, in milliseconds.
         timeout_ms: u64,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<ProposeResponse>,
     },
     /// A proposal in the caller's own session.
     Propose {
         /// The proposal.
         proposal: Proposal,
-        /// How long to wait.
+        /// Timeout of the request, in milliseconds.
         timeout_ms: u64,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<ProposeResponse>,
     },
-    /// A command to be proposed once, in a session that the engine keeps.
+    /// A command to be proposed once, in a session of the engine.
     Execute {
         /// The command.
         command: Command,
-        /// How long to wait.
+        /// Timeout of the request, in milliseconds.
         timeout_ms: u64,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<ProposeResponse>,
     },
     /// A read of the replicated state.
     Read {
-        /// What to read.
+        /// The part of the state to read.
         query: StateQuery,
-        /// How recent the answer has to be.
+        /// The consistency required of the answer.
         consistency: ReadConsistency,
-        /// How long to wait.
+        /// Timeout of the request, in milliseconds.
         timeout_ms: u64,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<QueryResult>,
     },
     /// A change of membership.
     ChangeMembership {
         /// The change.
         request: MembershipRequest,
-        /// How long to wait.
+        /// Timeout of the request, in milliseconds.
         timeout_ms: u64,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<OperationResponse>,
     },
     /// A transfer of leadership.
     TransferLeadership {
         /// The new leader, by name or id in hexadecimal.
         to: String,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<OperationResponse>,
     },
-    /// Compacts the log into a snapshot now.
+    /// An immediate compaction of the log into a snapshot.
     Compact(oneshot::Sender<OperationResponse>),
     /// A proxy's verdict on a build.
     ReportVerdict {
-        /// The verdict.
+        /// The proxy's name and its verdict.
         report: VerdictReport,
-        /// Where the answer goes.
+        /// The channel for the answer.
         reply: oneshot::Sender<VerdictReceipt>,
     },
 }
 
-/// What can be read of the replicated state.
+/// A query on the replicated state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StateQuery {
     /// One subject.
     Subject(Subject),
     /// A page of subjects.
     Page {
-        /// Only those after this one.
+        /// Restricts the page to subjects after this one.
         after: Option<Subject>,
-        /// Only those of this space.
+        /// Restricts the page to subjects of this space.
         space: Option<String>,
     },
     /// All leases.
     Leases,
 }
 
-/// How recent the answer to a read has to be.
+/// The consistency of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadConsistency {
-    /// Everything that was decided before the read is seen; needs a quorum.
+    /// A read that sees everything decided before it began. It needs a quorum.
     Linearizable,
-    /// What this instance has applied, however old; works without a quorum.
+    /// A read of the state that this instance has applied, however old. It works without a quorum.
     Stale,
 }
 
-/// What a read found.
+/// The result of a query.
 #[derive(Debug)]
 pub enum QueryOutput {
-    /// A page of subjects, or the one that was asked for.
+    /// A page of subjects, or the single subject queried.
     Subjects(SubjectPage),
     /// All leases.
     Leases(Vec<LeaseView>),
 }
 
-/// Why a read was not answered.
+/// An error that leaves a read unanswered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum QueryError {
-    /// Too many requests are pending.
+    /// Too many pending requests.
     #[error("too much work waits at this agent; try again")]
     Busy,
-    /// No quorum confirmed the read within its timeout.
+    /// A timeout before a quorum confirmed the read.
     #[error("no quorum answered in time; ?stale=1 reads what this agent has")]
     NoQuorum,
 }
@@ -158,12 +158,12 @@
 /// The answer to a read.
 pub type QueryResult = Result<QueryOutput, QueryError>;
 
-/// What the engine publishes to all proxies that watch.
+/// The state that the engine publishes to proxies that watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedState {
-    /// The event for the proxy that casts the vote. All others get it without the vote.
+    /// The event for the proxy that casts the vote; other proxies receive it without the vote.
     pub event: WatchEvent,
-    /// Name of the proxy that casts the vote.
+    /// Name of the proxy that casts the vote, if any proxy watches.
     pub voting_proxy: Option<String>,
 }
 
@@ -175,7 +175,7 @@
 }
 
 impl PublishedState {
-    /// What one proxy sees: only the one that casts the vote gets it, so that it is cast once.
+    /// Returns the event for one proxy. Only the voting proxy's event has the vote, so that it is cast once.
     pub fn event_for(&self, proxy: &str) -> WatchEvent {
         let mut event = self.event.clone();
         if self.voting_proxy.as_deref() != Some(proxy) {
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the program ends with an error.
+//! Errors that end the program, and their exit codes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,76 +11,76 @@
 use garnetcrank_store::StoreError;
 use tracing_subscriber::filter::ParseError;
 
-/// An address, the store or the engine can't be used.
+/// Exit code for an address, store or engine that can't be used.
 const EXIT_FAILURE: u8 = 1;
-/// The configuration is wrong; `clap` uses the same code for the command line.
+/// Exit code for an invalid configuration; `clap` uses the same code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
-/// Why the program ends with an error.
+/// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AgentError {
-    /// The configuration can't be used.
+    /// A configuration that can't be used.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// The filter of the log can't be used.
+    /// A log filter that can't be parsed.
     #[error("configuration: log.filter: {0}")]
     LogFilter(#[from] ParseError),
-    /// The store can't be used.
-    #[error("store {}: {source}; {}", path.display(), storage_writer::advice(source))]
+    /// A store that can't be opened or written.
+    #[error("store {}: {source}; {}", path.display(), storage_writer::operator_advice(source))]
     Store {
         /// The store's file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The store's error.
         source: StoreError,
     },
-    /// A cluster is to be founded and its store exists.
-    #[error("store {}: exists already, and a cluster is founded only once", path.display())]
+    /// A cluster that can't be founded because its store exists already.
+    #[error("store {}: already exists; a cluster can only be founded with a new store", path.display())]
     AlreadyFounded {
         /// The store's file.
         path: PathBuf,
     },
-    /// What the store holds can't be used.
+    /// Stored state that the Raft node can't start from.
     #[error("store {}: {source}", path.display())]
     StoredState {
         /// The store's file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The Raft node's error.
         source: RaftNodeError,
     },
-    /// The runtime or a thread can't be started.
-    #[error("can't start the {what}: {source}")]
+    /// A runtime or thread that can't be started.
+    #[error("can't start the {component}: {source}")]
     Start {
-        /// What can't be started.
-        what: &'static str,
-        /// The system's error.
+        /// The component that can't be started.
+        component: &'static str,
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// An address can't be listened on.
+    /// An address on which the agent can't listen.
     #[error("{key}: {address}: {source}")]
     Listen {
-        /// The key of the configuration.
+        /// The configuration key of the address.
         key: &'static str,
-        /// Its value.
+        /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The engine ended with an error.
+    /// An error that ended the engine.
     #[error("{0}")]
     Engine(#[from] EngineError),
 }
 
 impl AgentError {
-    /// Reports the error to the operator: in the log once the agent runs, else on standard error.
+    /// Prints the error on standard error, unless it is an engine error, which is in the log already.
     pub(crate) fn report(&self) {
         match self {
-            // The engine's end has been logged when it happened.
+            // `run` logs this error when the engine ends.
             Self::Engine(_) => {}
             other => eprintln!("{other}"),
         }
     }
 
-    /// The program's exit code.
+    /// Returns the program's exit code.
     pub(crate) fn exit_code(&self) -> ExitCode {
         let code = match self {
             Self::Config(_) | Self::LogFilter(_) => EXIT_USAGE,
--- a/crates/agent/src/found.rs
+++ b/crates/agent/src/found.rs
@@ -1,4 +1,4 @@
-//! `garnetcrank-agent found`: makes a new store that is a cluster of one.
+//! The command `garnetcrank-agent found`: creates a new store for a cluster of one member.
 
 use garnetcrank_agent::config::Config;
 use garnetcrank_consensus::raft_node;
@@ -7,13 +7,13 @@
 use crate::error::AgentError;
 use crate::identity::{InstanceIdentity, as_member};
 
-/// Founds the cluster and says so on standard output.
+/// Founds a cluster with this instance as its only member, and prints the identity on standard output.
 ///
 /// # Errors
-/// There is a store already, or it can't be written.
-pub(crate) fn found(config: &Config) -> Result<(), AgentError> {
+/// The store exists already or can't be written.
+pub(crate) fn found_cluster(config: &Config) -> Result<(), AgentError> {
     let store_error = |source| AgentError::Store { path: config.store.clone(), source };
-    let identity = match InstanceIdentity::of(config).map_err(store_error)? {
+    let identity = match InstanceIdentity::load_or_generate(config).map_err(store_error)? {
         InstanceIdentity::New(identity) => identity,
         InstanceIdentity::Stored(_) => {
             return Err(AgentError::AlreadyFounded { path: config.store.clone() });
--- a/crates/agent/src/http_api/error.rs
+++ b/crates/agent/src/http_api/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the HTTP port, each with its status code.
+//! Errors of the HTTP port and their status codes.
 
 use std::time::Duration;
 
@@ -10,42 +10,42 @@
 use crate::api::ErrorBody;
 use crate::engine_input::QueryError;
 
-/// Why a request is not carried out. Its text is the body's `error`.
+/// An error that fails a request. Its text is the `error` field of the response body.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ApiError {
-    /// The engine's queue is full, or the engine has ended.
+    /// A full queue of the engine, or an engine that has ended.
     #[error("the agent is busy or ending; try again")]
     Busy,
-    /// The engine ended before it answered.
+    /// An engine that ended before it answered.
     #[error("the agent is ending")]
-    Ending,
-    /// The engine does not run.
+    ShuttingDown,
+    /// An engine that does not answer in time.
     #[error("the agent's engine did not answer within {} ms", limit.as_millis())]
     EngineTimeout {
-        /// How long was waited.
+        /// The time waited for the answer.
         limit: Duration,
     },
-    /// A read was not answered.
+    /// An unanswered read.
     #[error("{0}")]
     Query(#[from] QueryError),
-    /// A body that is no JSON or not of the expected form.
+    /// A body that is not JSON or not of the expected type.
     #[error("{key}: {source}")]
     Body {
         /// The path of the faulty key.
         key: String,
-        /// What is wrong there.
+        /// The JSON error.
         source: serde_json::Error,
     },
     /// A subject that can't be parsed.
     #[error("{0}")]
     Subject(#[from] ParseSubjectError),
-    /// A propose request with neither or both.
+    /// A propose request with both a command and a proposal, or with neither.
     #[error("either a command or a proposal is required, not both")]
     CommandOrProposal,
-    /// A watch without a usable name.
+    /// A watch request with a missing or invalid proxy name.
     #[error("front=NAME of 1 to {MAX_PROXY_NAME_BYTES} bytes is required")]
     ProxyName,
-    /// No such path.
+    /// A path that does not exist.
     #[error("no such path")]
     UnknownPath,
 }
@@ -53,7 +53,7 @@
 impl ApiError {
     fn status(&self) -> StatusCode {
         match self {
-            Self::Busy | Self::Ending | Self::Query(_) => StatusCode::SERVICE_UNAVAILABLE,
+            Self::Busy | Self::ShuttingDown | Self::Query(_) => StatusCode::SERVICE_UNAVAILABLE,
             Self::EngineTimeout { .. } => StatusCode::GATEWAY_TIMEOUT,
             Self::Body { .. } | Self::Subject(_) | Self::CommandOrProposal | Self::ProxyName => {
                 StatusCode::BAD_REQUEST
--- a/crates/agent/src/http_api/handlers.rs
+++ b/crates/agent/src/http_api/handlers.rs
@@ -1,4 +1,4 @@
-//! Handlers of the paths that have one answer.
+//! Handlers of the paths with a single response.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 
 type JsonResult<T> = Result<Json<T>, ApiError>;
 
-/// A body as JSON; an error names the faulty key.
+/// Parses a JSON body. An error names the faulty key.
 fn parse_body<T: for<'a> Deserialize<'a>>(bytes: &Bytes) -> Result<T, ApiError> {
     let mut reader = serde_json::Deserializer::from_slice(bytes);
     Ok(serde_path_to_error::deserialize(&mut reader)?)
@@ -29,7 +29,7 @@
 }
 
 pub(super) async fn counters(State(api): State<HttpApi>) -> Json<BTreeMap<&'static str, u64>> {
-    Json(api.counters.all())
+    Json(api.counters.values_by_key())
 }
 
 pub(super) async fn open_session(
@@ -58,7 +58,7 @@
     Ok(Json(response))
 }
 
-/// Reads the replicated state.
+/// Reads the replicated state with the consistency and timeout of the options.
 async fn read(api: &HttpApi, query: StateQuery, options: &QueryOptions) -> Result<Response, ApiError> {
     let timeout_ms = options.timeout_ms();
     let consistency = options.consistency();
--- a/crates/agent/src/http_api/mod.rs
+++ b/crates/agent/src/http_api/mod.rs
@@ -1,5 +1,5 @@
-//! The local port: HTTP/1.1 with JSON, for proxies and operators of this machine. Handlers turn a request into an
-//! [`EngineRequest`] and wait for its answer; they hold no state of their own.
+//! The local HTTP port: HTTP/1.1 with JSON, for proxies and operators of this machine. Handlers are
+//! stateless: each converts its request into an [`EngineRequest`] and waits for the answer.
 
 use std::sync::Arc;
 use std::sync::mpsc::SyncSender;
@@ -14,7 +14,7 @@
 
 use self::error::ApiError;
 use crate::api::{DEFAULT_TIMEOUT_MS, MAX_TIMEOUT_MS};
-use crate::counters::{Counters, count};
+use crate::counters::{Counters, increment};
 use crate::engine_input::{EngineInput, EngineRequest, PublishedState, ReadConsistency};
 
 mod error;
@@ -23,26 +23,26 @@
 
 pub use watch_stream::WATCH_INTERVAL;
 
-/// Longest request body, in bytes.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Longest name of a proxy, in bytes.
+/// Maximum length of a proxy's name, in bytes.
 const MAX_PROXY_NAME_BYTES: usize = 64;
-/// How much longer than the request's own timeout a handler waits for the engine. The engine answers in time by
-/// itself; this is for an engine that does not run.
+/// Time that a handler waits for the engine beyond the request's own timeout, in milliseconds. A running
+/// engine answers within the request's timeout, so this detects only an engine that is stuck.
 const ENGINE_GRACE_MS: u64 = 2_000;
 
-/// What the handlers work with.
+/// The state shared by the handlers.
 #[derive(Clone)]
 pub struct HttpApi {
-    /// The engine's queue.
+    /// The sending end of the engine's queue.
     pub engine: SyncSender<EngineInput>,
-    /// What the engine publishes to proxies that watch.
+    /// The state that the engine publishes to proxies that watch.
     pub published: watch::Receiver<PublishedState>,
     /// Counters of the agent.
     pub counters: Arc<Counters>,
 }
 
-/// The port's routes.
+/// Builds the router of the HTTP port.
 pub fn routes(api: HttpApi) -> Router {
     Router::new()
         .route("/healthz", get(|| async { "ok\n" }))
@@ -64,7 +64,7 @@
 }
 
 impl HttpApi {
-    /// Sends the engine a request and waits for its one answer.
+    /// Sends a request to the engine and waits for its answer.
     async fn request<T>(
         &self,
         timeout_ms: u64,
@@ -75,28 +75,28 @@
         let limit = Duration::from_millis(timeout_ms + ENGINE_GRACE_MS);
         match timeout(limit, answer).await {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(_)) => Err(ApiError::Ending),
+            Ok(Err(_)) => Err(ApiError::ShuttingDown),
             Err(_) => Err(ApiError::EngineTimeout { limit }),
         }
     }
 
-    /// Counts a request and passes its input to the engine.
+    /// Counts an HTTP request and passes its input to the engine.
     fn send(&self, input: EngineInput) -> Result<(), ApiError> {
-        count(&self.counters.http_requests);
+        increment(&self.counters.http_requests);
         if self.engine.try_send(input).is_err() {
-            count(&self.counters.requests_shed);
+            increment(&self.counters.requests_shed);
             return Err(ApiError::Busy);
         }
         Ok(())
     }
 }
 
-/// The query of a request; each path uses some of its keys.
+/// The query parameters of a request; each path uses some of them.
 #[derive(Debug, Default, Deserialize)]
 struct QueryOptions {
     #[serde(rename = "within_ms")]
     timeout_ms: Option<u64>,
-    /// Anything but 0: a stale read is enough.
+    /// Any value other than 0 permits a stale read.
     stale: Option<u8>,
     after: Option<String>,
     space: Option<String>,
@@ -117,7 +117,8 @@
     }
 }
 
-/// The wait that a caller gets, in milliseconds.
+/// Returns the timeout of a request in milliseconds: the requested one, limited to [`MAX_TIMEOUT_MS`], or the
+/// default.
 fn effective_timeout_ms(requested: Option<u64>) -> u64 {
     requested.unwrap_or(DEFAULT_TIMEOUT_MS).min(MAX_TIMEOUT_MS)
 }
--- a/crates/agent/src/http_api/watch_stream.rs
+++ b/crates/agent/src/http_api/watch_stream.rs
@@ -1,4 +1,5 @@
-//! `GET /v1/watch`: a line of JSON for each change, for as long as a proxy stays connected.
+//! The path `GET /v1/watch`: a stream with one line of JSON per change, and at least one per
+//! [`WATCH_INTERVAL`].
 
 use std::convert::Infallible;
 use std::sync::mpsc::{SyncSender, TrySendError};
@@ -15,10 +16,10 @@
 use super::{HttpApi, MAX_PROXY_NAME_BYTES, QueryOptions};
 use crate::engine_input::{EngineInput, PublishedState};
 
-/// Longest time between two lines, so that a proxy notices a paused agent by its silence.
+/// Longest time between two lines, so that a proxy detects a paused agent by the missing lines.
 pub const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Notifies the engine that a proxy's watch has ended, however its connection ends.
+/// A guard that notifies the engine of the end of a proxy's watch when it is dropped.
 struct WatchGuard {
     proxy: String,
     engine: SyncSender<EngineInput>,
@@ -27,7 +28,7 @@
 impl Drop for WatchGuard {
     fn drop(&mut self) {
         let input = EngineInput::ProxyDisconnected(std::mem::take(&mut self.proxy));
-        // A full queue must not lose it: a proxy that is gone would be assigned the vote for ever.
+        // The input must not be lost to a full queue: a disconnected proxy would stay assigned the vote.
         if let Err(TrySendError::Full(input)) = self.engine.try_send(input) {
             let engine = self.engine.clone();
             std::thread::spawn(move || engine.send(input));
@@ -35,16 +36,16 @@
     }
 }
 
-/// One proxy's watch.
+/// The watch of one proxy.
 struct Watch {
     published: watch::Receiver<PublishedState>,
     guard: WatchGuard,
 }
 
 impl Watch {
-    /// Waits for a change, or for the interval to pass, and gives the line to send.
+    /// Waits for a change or for the end of the interval, and returns the line to send.
     async fn next_line(&mut self) -> Bytes {
-        // Neither a timeout nor the engine's end is an error here: the proxy gets what was published last.
+        // Neither a timeout nor the engine's end is an error: the proxy receives the last published state.
         let _ = timeout(WATCH_INTERVAL, self.published.changed()).await;
         let event = self.published.borrow_and_update().event_for(&self.guard.proxy);
         let mut line = serde_json::to_vec(&event).unwrap_or_default();
--- a/crates/agent/src/identity.rs
+++ b/crates/agent/src/identity.rs
@@ -1,32 +1,32 @@
-//! Who this instance is.
+//! The identity of this instance.
 
 use garnetcrank_agent::config::Config;
 use garnetcrank_consensus::ids::InstanceId;
 use garnetcrank_consensus::replicated_state::Member;
 use garnetcrank_store::{Identity, Store, StoreError};
 
-/// An identity, and whether there is a store that has it.
+/// The identity of this instance, by its origin.
 pub(crate) enum InstanceIdentity {
-    /// The store has it.
+    /// The identity recorded in the store.
     Stored(Identity),
-    /// There is no store yet; the id has just been drawn.
+    /// An identity with a newly generated id; there is no store yet.
     New(Identity),
 }
 
 impl InstanceIdentity {
-    /// Reads the id from the store, or draws one if there is no store. Names are those of the configuration: opening
-    /// a store that has others fails.
+    /// Reads the id from the store, or generates a random one if there is no store. The names are those of
+    /// the configuration; opening a store that records other names fails.
     ///
     /// # Errors
     /// The store can't be read.
-    pub(crate) fn of(config: &Config) -> Result<Self, StoreError> {
+    pub(crate) fn load_or_generate(config: &Config) -> Result<Self, StoreError> {
         match Store::owner(&config.store)? {
             Some(owner) => Ok(Self::Stored(with_id(config, owner.id))),
             None => Ok(Self::New(with_id(config, fastrand::u64(1..)))),
         }
     }
 
-    /// The identity itself.
+    /// Returns the identity regardless of its origin.
     pub(crate) fn into_inner(self) -> Identity {
         match self {
             Self::Stored(identity) | Self::New(identity) => identity,
@@ -38,7 +38,7 @@
     Identity { cluster: config.cluster.clone(), name: config.name.clone(), id }
 }
 
-/// This instance as a member of its cluster.
+/// Returns this instance as a member of its cluster.
 pub(crate) fn as_member(config: &Config, identity: &Identity) -> Member {
     let address = config.announced().to_string();
     Member { id: InstanceId(identity.id), name: identity.name.clone(), address }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,14 +1,14 @@
-//! The agent: one process per instance. It takes part in consensus with its peers over TCP and serves proxies and
-//! operators of its own machine over HTTP.
+//! The agent: one process per instance. It runs Raft consensus with its peers over TCP and serves the proxies
+//! and operators of its own machine over HTTP.
 //!
-//! - [`config`]: the configuration file, read and checked in one place;
+//! - [`config`]: the configuration file;
 //! - [`peer_protocol`]: frames between agents; [`peer_transport`]: the connections that carry them;
-//! - [`engine_input`]: what the engine receives and publishes; all that talks to the engine depends on this module,
-//!   not on the engine;
-//! - [`engine`]: the thread that owns the Raft node and everything derived from it;
+//! - [`engine_input`]: the engine's inputs and the state it publishes; other modules depend on this one
+//!   rather than on the engine;
+//! - [`engine`]: the thread that owns the Raft node and all state derived from it;
 //! - [`storage_writer`]: the thread that owns the store;
 //! - [`http_api`]: the local HTTP port; [`api`]: its request and response bodies;
-//! - [`counters`]: figures shared by all threads.
+//! - [`counters`]: counters shared by all threads.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,5 @@
-//! `garnetcrank-agent`: takes part in consensus among several instances; see the operators' page.
+//! The program `garnetcrank-agent`: runs one member of a cluster, creates a new cluster or checks a
+//! configuration.
 
 #![warn(
     clippy::too_many_lines,
@@ -21,10 +22,10 @@
 
 use error::AgentError;
 
-/// Takes part in one decision among several instances.
+/// Runs one member of a cluster that makes decisions by consensus among several instances.
 ///
-/// Exit codes: 0 stopped by a signal; 1 an address or the store can't be used, or the store has ended; 2 the command
-/// line or the configuration is wrong.
+/// Exit codes: 0 success, or stopped by a signal; 1 an address or the store can't be used, or the engine
+/// failed; 2 the command line or the configuration is invalid.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Cli {
@@ -34,21 +35,21 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Take part until SIGTERM or SIGINT.
+    /// Run the agent until SIGTERM or SIGINT.
     Run {
-        /// The configuration.
+        /// Path of the configuration file.
         #[arg(long)]
         config: PathBuf,
     },
-    /// Make a new store that is a cluster of one; others are added to it.
+    /// Create a new store for a cluster with this instance as its only member; other members are added later.
     Found {
-        /// The configuration.
+        /// Path of the configuration file.
         #[arg(long)]
         config: PathBuf,
     },
     /// Check the configuration.
     Check {
-        /// The configuration.
+        /// Path of the configuration file.
         #[arg(long)]
         config: PathBuf,
     },
@@ -71,7 +72,7 @@
     start_logging(&config.log)?;
     match command {
         Command::Check { .. } => Ok(()),
-        Command::Found { .. } => found::found(&config),
+        Command::Found { .. } => found::found_cluster(&config),
         Command::Run { .. } => run::run(config),
     }
 }
--- a/crates/agent/src/peer_protocol/mod.rs
+++ b/crates/agent/src/peer_protocol/mod.rs
@@ -1,6 +1,7 @@
-//! Frames between agents: a length of four bytes, little-endian, then a value in postcard's encoding, which is the
-//! order of its fields and variants without their names. The first frame of a connection is a [`Hello`], whose layout
-//! never changes; what follows is of the protocol version that it names.
+//! The protocol between agents. A frame is a four-byte little-endian length followed by a value in postcard
+//! encoding, which depends on the order of fields and variants and not on their names. The first frame of a
+//! connection is a [`Hello`], whose layout never changes; all later frames belong to the protocol version
+//! that it names.
 
 use garnetcrank_consensus::chunking::{CHUNK_BYTES, Chunk};
 use garnetcrank_consensus::ids::InstanceId;
@@ -14,23 +15,24 @@
 
 pub use handshake::{HelloRejection, check_hello};
 
-/// The protocol version of this program.
+/// The protocol version implemented by this program.
 pub const VERSION: u32 = 1;
-/// First bytes of each connection, so that whatever is not an agent is recognised at once.
+/// The magic number at the start of each connection, so that callers that are not agents are detected at
+/// once.
 pub const MAGIC: [u8; 4] = *b"GCAG";
-/// Longest frame, in bytes.
+/// Maximum length of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
-/// Longest hello and longest reply to one, in bytes.
+/// Maximum length of a hello and of the reply to it, in bytes.
 pub const MAX_HELLO_BYTES: usize = 1024;
-/// Longest message that is sent in one frame, in bytes; a longer one is split into chunks.
+/// Maximum length of a message sent in one frame, in bytes; longer messages are split into chunks.
 pub const MAX_UNCHUNKED_BYTES: usize = 2 * 1024 * 1024;
-/// Length of the length in front of each frame, in bytes.
-const LENGTH_BYTES: usize = 4;
+/// Size of the length prefix of each frame, in bytes.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// The first frame: who connects, and to whom.
+/// The first frame of a connection, sent by the instance that connects (the caller).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// See [`MAGIC`].
+    /// The constant [`MAGIC`].
     pub magic: [u8; 4],
     /// The caller's protocol version.
     pub version: u32,
@@ -38,102 +40,102 @@
     pub cluster: String,
     /// The caller.
     pub from: Member,
-    /// The instance that the caller wants to reach; 0: whichever answers.
+    /// The instance that the caller expects to reach; 0 accepts any instance.
     pub to: InstanceId,
 }
 
 /// The reply to a hello.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HelloReply {
-    /// The caller may send; this is the instance that answers.
+    /// Acceptance of the caller, with the instance that answers.
     Accepted(Member),
-    /// The connection is refused, for this reason.
+    /// Rejection of the caller, with the reason.
     Rejected(String),
 }
 
-/// A frame after the hello; only the caller sends these.
+/// A frame after the handshake, sent only by the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// A Raft message.
     Message(Vec<u8>),
     /// A part of a Raft message that is too long for one frame.
     Chunk(Chunk),
-    /// A heartbeat: the connection is open.
+    /// A heartbeat, which shows that the connection is alive.
     Heartbeat,
 }
 
-/// Why a connection ends.
+/// An error that ends a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerProtocolError {
-    /// The connection broke, ended or timed out.
+    /// A connection that failed, was closed or timed out.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A frame longer than allowed.
+    /// A frame that is longer than allowed.
     #[error("a frame must have at most {max} bytes, got {length}")]
     FrameTooLong {
-        /// Its length, in bytes.
+        /// The frame's length, in bytes.
         length: usize,
-        /// The longest allowed, in bytes.
+        /// The maximum length, in bytes.
         max: usize,
     },
-    /// Bytes that are no value of the expected type.
+    /// Bytes that can't be decoded as the expected type.
     #[error("malformed frame: {0}")]
     Malformed(#[from] postcard::Error),
-    /// Bytes after the value.
-    #[error("malformed frame: {count} bytes after its value")]
+    /// Excess bytes after the value of a frame.
+    #[error("malformed frame: {count} trailing bytes")]
     TrailingBytes {
-        /// How many.
+        /// Number of excess bytes.
         count: usize,
     },
-    /// Chunks that don't make up a message.
+    /// A chunk that does not fit the message being assembled.
     #[error("malformed chunk: {0}")]
     Chunk(#[from] garnetcrank_consensus::chunking::ChunkError),
-    /// Bytes that are no Raft message.
+    /// Bytes that can't be decoded as a Raft message.
     #[error("malformed message: {0}")]
     Message(#[from] garnetcrank_consensus::raft_node::DecodeMessageError),
-    /// A message in the name of another instance than the one that connected.
-    #[error("a message must come from the instance that connected, got one of {from:016x}")]
+    /// A message with a sender other than the instance that connected.
+    #[error("the sender of a message must be the instance that connected, got {from:016x}")]
     ForeignMessage {
-        /// The instance that the message names as its sender.
+        /// The sender named by the message.
         from: u64,
     },
-    /// The peer sent something after its reply to the hello.
+    /// Bytes from the peer after its reply to the hello.
     #[error("the peer sent bytes after its hello reply, where none are allowed")]
     UnexpectedBytes,
-    /// Another instance answers at the peer's address.
-    #[error("{} ({:016x}) answers at this address", .0.name, .0.id.0)]
+    /// A reply from another instance than the peer expected at the address.
+    #[error("another instance answers at the peer's address: {} ({:016x})", .0.name, .0.id.0)]
     WrongPeer(Member),
-    /// The peer rejected the hello.
+    /// A hello that the peer rejected, with the peer's reason.
     #[error("refused: {0}")]
     Rejected(String),
 }
 
 impl PeerProtocolError {
-    /// An operation that took too long.
+    /// Builds the error for an operation that timed out.
     pub(crate) fn timed_out() -> Self {
         Self::Io(std::io::ErrorKind::TimedOut.into())
     }
 
-    /// Whether the other side broke the protocol; else the connection itself failed.
+    /// Returns whether the error is a protocol violation rather than a failure of the connection.
     pub fn is_violation(&self) -> bool {
         !matches!(self, Self::Io(_))
     }
 }
 
-/// A value as a frame, with its length in front.
+/// Encodes a value as a frame, including the length prefix.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    let mut bytes = vec![0; LENGTH_BYTES];
-    // Fails only for sequences whose length is not known beforehand; no type of the protocol has one.
+    let mut bytes = vec![0; LENGTH_PREFIX_BYTES];
+    // Encoding fails only for sequences of unknown length, which no type of the protocol contains.
     bytes.extend(postcard::to_stdvec(value).unwrap_or_default());
-    let length = (bytes.len() - LENGTH_BYTES) as u32;
-    bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
+    let length = (bytes.len() - LENGTH_PREFIX_BYTES) as u32;
+    bytes[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_le_bytes());
     bytes
 }
 
-/// Decodes a frame's bytes without their length.
+/// Decodes the bytes of a frame that follow the length prefix.
 ///
 /// # Errors
-/// The bytes are no value of this type, or more bytes follow it.
+/// The bytes can't be decoded as this type, or excess bytes follow the value.
 pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, PeerProtocolError> {
     let (value, rest) = postcard::take_from_bytes(bytes)?;
     if !rest.is_empty() {
@@ -145,7 +147,7 @@
 /// Writes a value as a frame.
 ///
 /// # Errors
-/// The connection broke.
+/// The connection failed.
 pub async fn write<T: Serialize>(
     to: &mut (impl AsyncWriteExt + Unpin),
     value: &T,
@@ -155,11 +157,11 @@
     Ok(())
 }
 
-/// Reads a frame of `max` bytes at most. Memory is allocated as bytes arrive, not for the length that is announced,
-/// so that a false length costs nothing.
+/// Reads a frame of at most `max` bytes. Memory is allocated as bytes arrive rather than for the announced
+/// length, so that a false length does not consume memory.
 ///
 /// # Errors
-/// The connection broke, or the frame is too long or malformed.
+/// The connection failed, or the frame is too long or malformed.
 pub async fn read<T: for<'a> Deserialize<'a>>(
     from: &mut (impl AsyncReadExt + Unpin),
     max: usize,
--- a/crates/agent/src/peer_protocol/tests.rs
+++ b/crates/agent/src/peer_protocol/tests.rs
@@ -1,4 +1,4 @@
-//! Hellos that are rejected, and bytes that are no frames.
+//! Rejection of invalid hellos, and decoding of malformed frames.
 
 use garnetcrank_consensus::chunking::Chunk;
 use garnetcrank_consensus::ids::InstanceId;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn strangers_duplicates_and_calls_for_another_instance_are_rejected() {
+fn hellos_from_non_agents_duplicates_and_for_other_instances_are_rejected() {
     let hello = Hello {
         magic: MAGIC,
         version: VERSION,
@@ -25,8 +25,12 @@
     let members = [member(1, "a"), member(2, "b")];
     let check = |hello: Hello| check_hello(&hello, "c", &member(1, "a"), &members);
     assert_eq!(check(hello.clone()), Ok(()));
-    assert_eq!(check(Hello { from: member(7, "new"), ..hello.clone() }), Ok(()), "one that is to be added");
-    for bad in [
+    assert_eq!(
+        check(Hello { from: member(7, "new"), ..hello.clone() }),
+        Ok(()),
+        "an instance that is not a member yet is accepted"
+    );
+    for invalid in [
         Hello { magic: *b"HTTP", ..hello.clone() },
         Hello { version: 2, ..hello.clone() },
         Hello { cluster: "d".into(), ..hello.clone() },
@@ -35,17 +39,17 @@
         Hello { from: member(7, "a"), ..hello.clone() },
         Hello { from: member(1, "x"), ..hello.clone() },
     ] {
-        assert!(check(bad.clone()).is_err(), "{bad:?}");
+        assert!(check(invalid.clone()).is_err(), "accepted {invalid:?}");
     }
 }
 
 #[test]
-fn a_length_beyond_the_limit_and_a_frame_cut_short_end_the_reading() {
+fn oversized_and_truncated_frames_are_read_errors() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
     runtime.block_on(async {
-        let mut long: &[u8] = &u32::MAX.to_le_bytes();
+        let mut oversized: &[u8] = &u32::MAX.to_le_bytes();
         assert!(matches!(
-            read::<Frame>(&mut long, MAX_FRAME_BYTES).await,
+            read::<Frame>(&mut oversized, MAX_FRAME_BYTES).await,
             Err(PeerProtocolError::FrameTooLong { .. })
         ));
         let frame = encode(&Frame::Message(vec![7; 100]));
@@ -53,11 +57,14 @@
             let mut prefix = &frame[..cut];
             assert!(
                 matches!(read::<Frame>(&mut prefix, MAX_FRAME_BYTES).await, Err(PeerProtocolError::Io(_))),
-                "{cut}"
+                "frame truncated to {cut} bytes"
             );
         }
-        let mut rest = &frame[..];
-        assert_eq!(read::<Frame>(&mut rest, MAX_FRAME_BYTES).await.unwrap(), Frame::Message(vec![7; 100]));
+        let mut complete = &frame[..];
+        assert_eq!(
+            read::<Frame>(&mut complete, MAX_FRAME_BYTES).await.unwrap(),
+            Frame::Message(vec![7; 100])
+        );
     });
 }
 
@@ -69,13 +76,13 @@
     })]
 
     #[test]
-    fn any_bytes_are_a_frame_or_an_error_and_frames_come_back(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_never_panics_and_frames_round_trip(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode::<Frame>(&bytes);
         let _ = decode::<Hello>(&bytes);
         let frame = Frame::Chunk(Chunk { transfer: 1, offset: 2, total_len: 3, bytes: bytes.clone() });
         prop_assert_eq!(decode::<Frame>(&encode(&frame)[4..]).unwrap(), frame);
-        let mut more = encode(&Frame::Message(bytes));
-        more.push(0);
-        prop_assert!(decode::<Frame>(&more[4..]).is_err());
+        let mut with_trailing_byte = encode(&Frame::Message(bytes));
+        with_trailing_byte.push(0);
+        prop_assert!(decode::<Frame>(&with_trailing_byte[4..]).is_err());
     }
 }
--- a/crates/agent/src/peer_transport/connection.rs
+++ b/crates/agent/src/peer_transport/connection.rs
@@ -1,5 +1,5 @@
-//! Sending on one connection: short messages first, long ones in chunks between them, heartbeats when there is
-//! nothing else.
+//! Sending on one connection: short messages first, long messages in chunks between them, and heartbeats
+//! while nothing else is to be sent.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 /// Time between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why sending ended.
+/// The reason for the end of a connection.
 pub(super) enum ConnectionEnd {
-    /// Nobody can send to this peer any more.
+    /// The end of the queue's sender, after which no further messages can follow.
     SenderDropped,
-    /// The connection failed.
+    /// A failure of the connection.
     Failed(PeerProtocolError),
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// What is to be done next on a connection.
+/// The next action on a connection.
 enum SendAction {
     ShortMessage(Vec<u8>),
     NextChunk,
@@ -38,10 +38,10 @@
     Heartbeat,
 }
 
-/// The chunks of the long message that is being sent.
+/// The remaining chunks of the long message being sent.
 struct ChunkedMessage {
     chunks: std::vec::IntoIter<Chunk>,
-    /// Number of the last transfer; begins at random, so that chunks of an earlier connection don't match.
+    /// Number of the last transfer. The first is random, so that chunks of an earlier connection don't match.
     transfer: u64,
 }
 
@@ -50,7 +50,7 @@
         Self { chunks: Vec::new().into_iter(), transfer: fastrand::u64(..) }
     }
 
-    fn begin(&mut self, message: &[u8]) {
+    fn start(&mut self, message: &[u8]) {
         self.transfer = self.transfer.wrapping_add(1);
         let chunks: Vec<Chunk> = chunking::split(self.transfer, message).collect();
         self.chunks = chunks.into_iter();
@@ -68,7 +68,7 @@
     }
 }
 
-/// Sends what is queued until the connection fails or the sender is dropped.
+/// Sends queued messages until the connection fails or the queue's sender is dropped.
 pub(super) async fn send_until_closed(mut stream: TcpStream, queue: &mut PeerQueue) -> ConnectionEnd {
     let mut heartbeats = tokio::time::interval(HEARTBEAT_INTERVAL);
     let mut long_message = ChunkedMessage::new();
@@ -84,7 +84,7 @@
     }
 }
 
-/// Waits for the next thing to do.
+/// Waits for the next action.
 async fn next_action(
     queue: &mut PeerQueue,
     long_message: &ChunkedMessage,
@@ -93,7 +93,7 @@
 ) -> Result<SendAction, ConnectionEnd> {
     let mut unexpected = [0u8; 1];
     let action = tokio::select! {
-        // Short messages first: a snapshot must not delay Raft's heartbeats.
+        // Short messages take precedence, so that a snapshot does not delay Raft's heartbeats.
         biased;
         message = queue.short.recv() => SendAction::ShortMessage(message.ok_or(ConnectionEnd::SenderDropped)?),
         () = std::future::ready(()), if !long_message.is_done() => SendAction::NextChunk,
@@ -101,7 +101,7 @@
             SendAction::LongMessage(message.ok_or(ConnectionEnd::SenderDropped)?)
         }
         _ = heartbeats.tick() => SendAction::Heartbeat,
-        read = reader.read(&mut unexpected) => return Err(ConnectionEnd::Failed(read_end(read))),
+        read = reader.read(&mut unexpected) => return Err(ConnectionEnd::Failed(read_error(read))),
     };
     if let SendAction::ShortMessage(message) | SendAction::LongMessage(message) = &action {
         queue.on_dequeued(message);
@@ -109,8 +109,9 @@
     Ok(action)
 }
 
-/// What a finished read means: the peer never sends anything after its hello reply.
-fn read_end(read: std::io::Result<usize>) -> PeerProtocolError {
+/// Returns the error for a finished read. Any read that finishes is an error, because the peer sends nothing
+/// after its hello reply.
+fn read_error(read: std::io::Result<usize>) -> PeerProtocolError {
     match read {
         Ok(0) => std::io::Error::from(std::io::ErrorKind::ConnectionReset).into(),
         Ok(_) => PeerProtocolError::UnexpectedBytes,
@@ -125,14 +126,14 @@
 ) -> Result<(), PeerProtocolError> {
     match action {
         SendAction::ShortMessage(message) => {
-            // One chunk with each short message, so that many short ones can't hold a long one up for ever. Their
-            // order does not matter.
+            // One chunk is sent with each short message, so that a stream of short messages can't starve a
+            // long one. The order of short and long messages does not matter.
             long_message.send_next(writer).await?;
             send_frame(writer, &Frame::Message(message)).await
         }
         SendAction::NextChunk => long_message.send_next(writer).await,
         SendAction::LongMessage(message) => {
-            long_message.begin(&message);
+            long_message.start(&message);
             Ok(())
         }
         SendAction::Heartbeat => send_frame(writer, &Frame::Heartbeat).await,
--- a/crates/agent/src/peer_transport/inbound.rs
+++ b/crates/agent/src/peer_transport/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections of peers to this instance.
+//! Inbound connections: accepts peers and receives their messages.
 
 use std::sync::mpsc::SyncSender;
 use std::sync::{Arc, PoisonError};
@@ -14,28 +14,28 @@
 use tracing::{debug, warn};
 
 use super::{HANDSHAKE_TIMEOUT, IDLE_TIMEOUT, PeerContext, with_timeout};
-use crate::counters::count;
+use crate::counters::increment;
 use crate::engine_input::EngineInput;
 use crate::peer_protocol::{
     self, Frame, Hello, HelloRejection, HelloReply, MAX_FRAME_BYTES, MAX_HELLO_BYTES, PeerProtocolError,
 };
 
-/// Most connections of callers at once.
-const MAX_CALLERS: usize = 1024;
-/// Pause after a failed accept, such as for want of file descriptors: trying again at once would only burn the
-/// processor.
+/// Maximum number of concurrent connections from peers.
+const MAX_INBOUND_CONNECTIONS: usize = 1024;
+/// Delay after a failed accept, for example when file descriptors run out: an immediate retry would most
+/// likely fail as well and only consume processor time.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Accepts connections of peers until the process ends.
+/// Accepts connections from peers until the process ends.
 pub async fn listen(listener: TcpListener, context: Arc<PeerContext>, engine: SyncSender<EngineInput>) {
-    let permits = Arc::new(Semaphore::new(MAX_CALLERS));
+    let permits = Arc::new(Semaphore::new(MAX_INBOUND_CONNECTIONS));
     loop {
-        // Without a permit callers wait in the system's backlog, and time out.
+        // While no permit is free, connecting peers wait in the listen backlog and time out there.
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let (stream, address) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                warn!(%error, "accepting a peer's connection failed");
+                warn!(%error, "failed to accept a peer connection");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -43,41 +43,41 @@
         let (context, engine) = (context.clone(), engine.clone());
         tokio::spawn(async move {
             let _permit = permit;
-            if let Err(error) = serve_caller(stream, &context, &engine).await {
+            if let Err(error) = serve_peer(stream, &context, &engine).await {
                 if error.is_violation() {
-                    count(&context.counters.protocol_violations);
+                    increment(&context.counters.protocol_violations);
                 }
-                debug!(%address, %error, "peer's connection ended");
+                debug!(%address, %error, "peer connection ended");
             }
         });
     }
 }
 
-async fn serve_caller(
+async fn serve_peer(
     mut stream: TcpStream,
     context: &PeerContext,
     engine: &SyncSender<EngineInput>,
 ) -> Result<(), PeerProtocolError> {
     stream.set_nodelay(true)?;
-    match shake_hands(&mut stream, context).await? {
-        Some(caller) => {
-            let id = caller.id;
-            // A full queue may drop this: the caller is discovered again with its next connection.
-            let _ = engine.try_send(EngineInput::PeerDiscovered(caller));
+    match accept_handshake(&mut stream, context).await? {
+        Some(peer) => {
+            let id = peer.id;
+            // A full queue may drop this input; the peer is discovered again on its next connection.
+            let _ = engine.try_send(EngineInput::PeerDiscovered(peer));
             receive_messages(stream, id, context, engine).await
         }
         None => Ok(()),
     }
 }
 
-/// Answers the caller's hello; the caller, unless it was rejected.
-async fn shake_hands(
+/// Answers the hello of a connecting peer. Returns the peer, or `None` if its hello was rejected.
+async fn accept_handshake(
     stream: &mut TcpStream,
     context: &PeerContext,
 ) -> Result<Option<Member>, PeerProtocolError> {
     let hello: Hello = with_timeout(HANDSHAKE_TIMEOUT, peer_protocol::read(stream, MAX_HELLO_BYTES)).await?;
     if let Err(rejection) = check_hello(&hello, context) {
-        count(&context.counters.hellos_rejected);
+        increment(&context.counters.hellos_rejected);
         warn!(peer = hello.from.name, %rejection, "hello rejected");
         peer_protocol::write(stream, &HelloReply::Rejected(rejection.to_string())).await?;
         return Ok(None);
@@ -91,10 +91,10 @@
     peer_protocol::check_hello(hello, &context.cluster, &context.me, &members)
 }
 
-/// Passes the caller's messages to the engine until the connection ends.
+/// Passes the peer's messages to the engine until the connection ends.
 async fn receive_messages(
     mut stream: TcpStream,
-    caller: InstanceId,
+    peer: InstanceId,
     context: &PeerContext,
     engine: &SyncSender<EngineInput>,
 ) -> Result<(), PeerProtocolError> {
@@ -111,13 +111,14 @@
             },
         };
         let message = raft_node::decode_message(&bytes)?;
-        // An instance may only speak for itself: a vote in another's name would be a second vote of that one.
-        if InstanceId(message.from) != caller {
+        // An instance may send messages only in its own name: a vote in another instance's name would give
+        // that instance a second vote.
+        if InstanceId(message.from) != peer {
             return Err(PeerProtocolError::ForeignMessage { from: message.from });
         }
-        count(&context.counters.messages_received);
+        increment(&context.counters.messages_received);
         if engine.try_send(EngineInput::PeerMessage(Box::new(message))).is_err() {
-            count(&context.counters.inbound_messages_dropped);
+            increment(&context.counters.inbound_messages_dropped);
         }
     }
 }
--- a/crates/agent/src/peer_transport/mod.rs
+++ b/crates/agent/src/peer_transport/mod.rs
@@ -1,8 +1,10 @@
-//! Connections between agents. Each agent connects to every other one and sends only on connections that it made
-//! itself, so that a path that works in one direction only shows as exactly that.
+//! Connections between agents. Each agent connects to every other agent and sends only on the connections
+//! that it opened itself, so that a path between two agents that works in one direction only is visible as
+//! such.
 //!
-//! - [`PeerSender`]: the queue to one peer and the task that connects to it, again after each failure;
-//! - [`listen`]: accepts connections of peers and passes their messages to the engine.
+//! - [`PeerSender`]: the queue to one peer and the task that connects to it and reconnects after each
+//!   failure;
+//! - [`listen`]: accepts connections from peers and passes their messages to the engine.
 
 use std::future::Future;
 use std::sync::{Arc, RwLock};
@@ -22,26 +24,26 @@
 pub use inbound::listen;
 pub use outbound::PeerSender;
 
-/// Longest wait for a connection, a hello or the reply to one.
+/// Timeout for establishing a connection, for a hello and for its reply.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A caller that has sent no frame for so long is gone; a write that takes longer ends the connection. Five times
-/// the interval of heartbeats, so that a few late ones do no harm.
+/// Time without a frame from the peer, or spent in one write, after which a connection is closed. Five times
+/// the heartbeat interval, so that a few late heartbeats don't close it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What all connections share.
+/// The context shared by all connections to and from peers.
 #[derive(Debug)]
 pub struct PeerContext {
     /// This instance.
     pub me: Member,
     /// The cluster's name.
     pub cluster: String,
-    /// The members as known here.
+    /// The members as known to this instance.
     pub members: RwLock<Vec<Member>>,
     /// Counters of the agent.
     pub counters: Arc<Counters>,
 }
 
-/// Runs an operation on a connection with a time limit.
+/// Runs an operation on a connection with a timeout.
 async fn with_timeout<T, E>(
     limit: Duration,
     operation: impl Future<Output = Result<T, E>>,
--- a/crates/agent/src/peer_transport/outbound.rs
+++ b/crates/agent/src/peer_transport/outbound.rs
@@ -1,4 +1,4 @@
-//! The sender of messages to one peer, and the task that keeps a connection to it.
+//! Outbound connections: the sender of messages to one peer, and the task that maintains the connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 use super::connection::{ConnectionEnd, send_until_closed};
 use super::queue::{self, PeerQueue, QueueFull, QueueSender, QueueState};
 use super::{HANDSHAKE_TIMEOUT, PeerContext, with_timeout};
-use crate::counters::count;
+use crate::counters::increment;
 use crate::engine_input::EngineInput;
 use crate::peer_protocol::{self, Hello, HelloReply, MAGIC, MAX_HELLO_BYTES, PeerProtocolError, VERSION};
 
-/// First wait before a peer is connected to again.
+/// Shortest delay before a reconnection.
 const MIN_BACKOFF: Duration = Duration::from_millis(30);
-/// Longest wait before a peer is connected to again.
+/// Longest delay before a reconnection, without jitter.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Sends messages to one peer. Dropping it ends the connection.
+/// The sender of messages to one peer. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct PeerSender {
     queue: QueueSender,
@@ -31,7 +31,8 @@
 }
 
 impl PeerSender {
-    /// Connects to a peer, and again whenever the connection ends, until the sender is dropped.
+    /// Starts a task that connects to a peer, and reconnects when the connection ends, until the sender is
+    /// dropped.
     pub fn connect(
         context: &Arc<PeerContext>,
         peer: Member,
@@ -45,17 +46,17 @@
         Self { queue: sender, context: context.clone() }
     }
 
-    /// Queues a message, or drops it if too much is queued already.
+    /// Queues a message, or drops it if the queue is full.
     pub fn send(&self, message: &Message) {
         let counters = &self.context.counters;
         match self.queue.try_send(raft_node::encode_message(message)) {
-            Ok(()) => count(&counters.messages_sent),
-            Err(QueueFull) => count(&counters.outbound_messages_dropped),
+            Ok(()) => increment(&counters.messages_sent),
+            Err(QueueFull) => increment(&counters.outbound_messages_dropped),
         }
     }
 }
 
-/// The wait before the next attempt, which doubles with each failure.
+/// The delay before the next connection attempt, doubled after each failure.
 struct Backoff(Duration);
 
 impl Backoff {
@@ -67,8 +68,8 @@
         self.0 = MIN_BACKOFF;
     }
 
-    /// Between half and one and a half times the wait: without jitter all that lost one peer would connect to it at
-    /// the same moment when it is back.
+    /// Returns the delay multiplied by a random factor from 0.5 to 1.5. Without jitter, all agents that lost
+    /// a peer would reconnect to it at the same moment.
     fn jittered(&self) -> Duration {
         self.0.mul_f64(0.5 + fastrand::f64())
     }
@@ -78,7 +79,7 @@
     }
 }
 
-/// Keeps a connection to one peer.
+/// The task that maintains a connection to one peer.
 struct Connector {
     context: Arc<PeerContext>,
     peer: Member,
@@ -87,7 +88,7 @@
 }
 
 impl Connector {
-    /// Connects and sends until nobody can send into the queue any more.
+    /// Connects and sends queued messages until the queue's sender is dropped.
     async fn run(self, mut queue: PeerQueue) {
         let mut backoff = Backoff::new();
         let mut last_error = String::new();
@@ -95,7 +96,7 @@
             let error = match self.connect().await {
                 Ok(stream) => {
                     info!(peer = self.peer.name, address = %self.address, "peer connected");
-                    count(&self.context.counters.connections_established);
+                    increment(&self.context.counters.connections_established);
                     backoff.reset();
                     last_error.clear();
                     match send_until_closed(stream, &mut queue).await {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Connects and shakes hands.
+    /// Connects and performs the handshake.
     async fn connect(&self) -> Result<TcpStream, PeerProtocolError> {
         let mut stream = with_timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(self.address)).await?;
         stream.set_nodelay(true)?;
@@ -136,15 +137,15 @@
         }
     }
 
-    /// Counts a failure, notifies the engine and logs it; the same error again and again is logged once.
+    /// Counts a failure, logs it unless it repeats the last error, and notifies the engine.
     fn report_failure(&self, error: &PeerProtocolError, last_error: &mut String) {
-        count(&self.context.counters.connections_failed);
+        increment(&self.context.counters.connections_failed);
         let text = error.to_string();
         if *last_error != text {
             warn!(peer = self.peer.name, address = %self.address, %error, "peer not reached");
             *last_error = text;
         }
-        // A full queue may drop this: Raft notices by the peer's silence.
+        // A full queue may drop this notification; Raft then detects the failure by the missing responses.
         let _ = self.engine.try_send(EngineInput::PeerUnreachable(self.peer.id));
     }
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,5 @@
-//! `garnetcrank-agent run`: starts all threads and connections, and runs the engine until it ends.
+//! The command `garnetcrank-agent run`: starts all threads and connections, and runs the engine until it
+//! ends.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{SyncSender, sync_channel};
@@ -22,15 +23,17 @@
 use crate::error::AgentError;
 use crate::identity::{InstanceIdentity, as_member};
 
-/// Threads for connections and the HTTP port. They only move bytes: all work is done by the engine's own thread.
+/// Number of threads for connections and the HTTP port. They only do I/O: requests are processed on the
+/// engine's own thread.
 const RUNTIME_THREADS: usize = 2;
-/// A proposal that was lost is handed on again after so many election timeouts, by when a new leader is likely known.
-const ELECTIONS_PER_RETRY: u64 = 2;
-/// Share of the compaction interval whose entries stay in the log, as its divisor: a follower that is only a little
-/// behind then needs no snapshot.
+/// Election timeouts after which a proposal without an answer is forwarded again: by then a new leader is
+/// probably known.
+const RETRY_ELECTION_TIMEOUTS: u64 = 2;
+/// Divisor of the compaction interval that gives the number of entries kept in the log after a compaction, so
+/// that a follower slightly behind needs no snapshot.
 const RETAINED_ENTRIES_DIVISOR: u64 = 10;
 
-/// The store and what it holds.
+/// The opened store, its owner's identity and the loaded state.
 struct OpenedStore {
     identity: Identity,
     store: Store,
@@ -43,10 +46,10 @@
     http: TcpListener,
 }
 
-/// Runs the agent until it is signalled to stop.
+/// Runs the agent until it receives SIGTERM or SIGINT.
 ///
 /// # Errors
-/// An address or the store can't be used, or the engine ended with an error.
+/// An address or the store can't be used, or the engine ends with an error.
 pub(crate) fn run(config: Config) -> Result<(), AgentError> {
     let OpenedStore { identity, store, loaded } =
         open_store(&config).map_err(|source| AgentError::Store { path: config.store.clone(), source })?;
@@ -74,7 +77,7 @@
         config,
         node,
         peer_context,
-        inputs: engine_sender,
+        input_sender: engine_sender,
         storage_writer,
         runtime: runtime.handle().clone(),
         published,
@@ -82,7 +85,7 @@
     });
     let result = engine.run(&inputs);
     log_end(&result, &counters);
-    // Connections need not be waited for: callers without an answer see them end.
+    // There is no need to wait for connections: callers without an answer see their connection close.
     runtime.shutdown_background();
     Ok(result?)
 }
@@ -101,7 +104,7 @@
         Ok(()) => info!("stopped"),
         Err(error) => error!(%error, "agent failed"),
     }
-    info!(counters = serde_json::to_string(&counters.all()).unwrap_or_default(), "counters");
+    info!(counters = serde_json::to_string(&counters.values_by_key()).unwrap_or_default(), "counters");
 }
 
 fn start_storage_writer(
@@ -113,12 +116,12 @@
     let path = config.store.clone();
     match storage_writer::start(store, path, engine.clone(), counters.clone()) {
         Ok((sender, _)) => Ok(sender),
-        Err(source) => Err(AgentError::Start { what: "storage writer", source }),
+        Err(source) => Err(AgentError::Start { component: "storage writer", source }),
     }
 }
 
 fn open_store(config: &Config) -> Result<OpenedStore, StoreError> {
-    let identity = InstanceIdentity::of(config)?.into_inner();
+    let identity = InstanceIdentity::load_or_generate(config)?.into_inner();
     let store = Store::open(&config.store, &identity)?;
     let loaded = store.load()?;
     Ok(OpenedStore { identity, store, loaded })
@@ -128,7 +131,7 @@
     RaftSettings {
         election_ticks: config.election_ticks,
         heartbeat_ticks: config.heartbeat_ticks,
-        retry_ticks: ELECTIONS_PER_RETRY * config.election_ticks as u64,
+        retry_ticks: RETRY_ELECTION_TIMEOUTS * config.election_ticks as u64,
         compact_every: config.compact_every,
         retained_entries: config.compact_every / RETAINED_ENTRIES_DIVISOR,
         seed: fastrand::u64(..),
@@ -141,7 +144,7 @@
         .worker_threads(RUNTIME_THREADS)
         .enable_all()
         .build()
-        .map_err(|source| AgentError::Start { what: "runtime", source })
+        .map_err(|source| AgentError::Start { component: "runtime", source })
 }
 
 async fn listen(config: &Config) -> Result<Listeners, AgentError> {
@@ -155,7 +158,7 @@
     TcpListener::bind(address).await.map_err(|source| AgentError::Listen { key, address, source })
 }
 
-/// Starts all that runs beside the engine.
+/// Spawns the peer listener, the HTTP server and the signal handler.
 fn spawn_connections(
     runtime: &Runtime,
     listeners: Listeners,
@@ -166,7 +169,7 @@
     runtime.spawn(peer_transport::listen(listeners.peers, peer_context, engine.clone()));
     runtime.spawn(async move {
         if let Err(error) = axum::serve(listeners.http, http_api::routes(http_api)).await {
-            error!(%error, "the HTTP port failed");
+            error!(%error, "HTTP server failed");
         }
     });
     runtime.spawn(shut_down_on_signal(engine.clone()));
@@ -176,13 +179,13 @@
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
-        error!("signals can't be received");
+        error!("failed to install handlers for SIGTERM and SIGINT");
         return;
     };
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    // The queue may be full until the engine empties it: waiting for that must not block a thread of the runtime.
+    // A separate thread, because the send blocks while the queue is full and must not block a runtime thread.
     std::thread::spawn(move || engine.send(EngineInput::Shutdown));
 }
--- a/crates/agent/src/storage_writer.rs
+++ b/crates/agent/src/storage_writer.rs
@@ -1,5 +1,5 @@
-//! The thread that owns the store. It commits one batch at a time and reports each to the engine once it is durable,
-//! so that a slow device delays only what depends on the write.
+//! The storage writer: the thread that owns the store. It commits one batch at a time and reports each to the
+//! engine once it is durable, so that a slow device delays only work that depends on the write.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -9,16 +9,17 @@
 
 use garnetcrank_store::{Batch, Store, StoreError};
 
-use crate::counters::{Counters, add, count};
+use crate::counters::{Counters, add, increment};
 use crate::engine_input::EngineInput;
 
-/// Batches that wait for the thread: the engine writes one at a time and waits for its report.
+/// Capacity of the thread's queue, in batches: the engine has at most one batch in flight.
 const MAX_QUEUED_BATCHES: usize = 1;
 
-/// Starts the thread. It ends when the sender is dropped, when the engine has ended or when a commit has failed.
+/// Starts the thread. It ends when the returned sender is dropped, when the engine has ended or when a commit
+/// fails.
 ///
 /// # Errors
-/// The system can't start another thread.
+/// The operating system can't start the thread.
 pub fn start(
     store: Store,
     path: PathBuf,
@@ -56,35 +57,35 @@
     let started = Instant::now();
     let result = store.commit(batch);
     add(&counters.commit_time_us, started.elapsed().as_micros() as u64);
-    count(&counters.batches_committed);
+    increment(&counters.batches_committed);
     add(&counters.entries_committed, batch.entries.len() as u64);
     if batch.snapshot.is_some() {
-        count(&counters.snapshots_written);
+        increment(&counters.snapshots_written);
     }
     result
 }
 
-/// Length of a file in bytes; 0 if that is not known.
+/// Returns the length of a file in bytes, or 0 if its metadata can't be read.
 fn file_length(path: &Path) -> u64 {
     std::fs::metadata(path).map_or(0, |metadata| metadata.len())
 }
 
-/// What operators should do about an error of the store.
-pub fn advice(error: &StoreError) -> &'static str {
+/// Returns the action that operators should take on a store error.
+pub fn operator_advice(error: &StoreError) -> &'static str {
     match error {
         StoreError::DeviceFull(_) => {
-            "free space on the device and start again: nothing that was decided is lost"
+            "free space on the device, then restart the agent: no committed data is lost"
         }
         StoreError::Corrupt(_) => {
-            "don't trust the device: remove this member, give it an empty store and add it again"
+            "the device is unreliable: remove this member, give it an empty store and add it again"
         }
         StoreError::UnsupportedSchema { .. } => "use the program version that wrote the store",
-        StoreError::WrongOwner { .. } => "the configuration names another instance's store",
-        StoreError::OutOfOrder(_) => "a bug in this program: report it with the log",
-        StoreError::InUse => "stop the other agent that uses it, or give this one a store of its own",
+        StoreError::WrongOwner { .. } => "the configuration names the store of another instance",
+        StoreError::OutOfOrder(_) => "this is a bug in the program: report it with the log",
+        StoreError::InUse => "stop the other agent that uses the store, or configure a separate store",
         StoreError::File { .. } | StoreError::NotFound { .. } => "check the path and its permissions",
         StoreError::Empty | StoreError::Device(_) | StoreError::Failed { .. } => {
-            "the device failed: check the system's log, then start again"
+            "the device failed: check the system log, then restart the agent"
         }
     }
 }
