--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -1,5 +1,7 @@
-//! Clients that decide the same subjects against one another through all agents, and proxies that watch for votes to
-//! cast; at the end, whether anything was decided twice or lost.
+//! Load for a cluster: clients that compete to decide the same subjects through all agents, and proxies that
+//! watch for votes to cast.
+//!
+//! The report at the end lists the subjects that were decided twice and the decisions that were lost.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,43 +17,43 @@
 use garnetcrank_test_support::linearizability::History;
 use serde_json::{Value, json};
 
-/// Subjects that are open to all clients at a time.
+/// Number of subjects that clients decide at the same time.
 const OPEN_SUBJECTS: u64 = 8;
-/// Operations on one subject before the next is opened.
+/// Number of operations on one subject before the next one replaces it.
 const OPERATIONS_PER_SUBJECT: u64 = 5;
-/// One in so many operations is a read.
+/// Interval between two reads, in operations.
 const OPERATIONS_PER_READ: u64 = 3;
-/// Longest wait for one answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long one proposal is sent again and again before its session is given up.
+/// Longest wait for one response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Longest time for which a proposal is retried before its session is abandoned.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(25);
-/// Longest wait for a page when the agents are compared at the end.
+/// Longest wait for a page of subjects in the comparison of all agents at the end.
 const COMPARE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The result of a run.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Subjects decided.
+    /// Number of subjects that clients have seen decided.
     pub decisions: u64,
-    /// Epochs of the lease on the role `votes` that were seen.
+    /// Number of epochs of the lease on the role `votes` under which the fencing gate admitted a vote.
     pub epochs: usize,
-    /// Votes under an older epoch that the fencing gate rejected.
-    pub stale: u64,
-    /// Whatever must not happen, in words.
-    pub faults: Vec<String>,
+    /// Number of votes under an older epoch, which the fencing gate rejected.
+    pub stale_votes: u64,
+    /// Descriptions of all violations of the cluster's guarantees.
+    pub violations: Vec<String>,
 }
 
-/// The platform that proxies cast their votes at, with a fencing gate in front.
+/// Release controller to which proxies cast their votes, behind a fencing gate.
 #[derive(Default)]
-struct Platform {
+struct ReleaseController {
     fencing_gate: FencingGate,
     admitted_epochs: Vec<u64>,
     stale_votes: u64,
 }
 
-impl Platform {
-    /// A proxy that is assigned the vote shows its epoch first.
-    fn cast_vote(&mut self, epoch: u64) {
+impl ReleaseController {
+    /// Receives a vote of a proxy. The fencing gate checks the vote's epoch first.
+    fn receive_vote(&mut self, epoch: u64) {
         let order = Subject::new("cast", epoch);
         match self.fencing_gate.admit(&build_verdicts::vote_role(), Epoch(epoch), &order) {
             FencingDecision::Admit => self.admitted_epochs.push(epoch),
@@ -62,41 +64,42 @@
 }
 
 #[derive(Default)]
-struct Shared {
+struct SharedState {
     stop: AtomicBool,
     operations: AtomicU64,
     history: Mutex<History>,
-    platform: Mutex<Platform>,
+    release_controller: Mutex<ReleaseController>,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+/// Locks a mutex, also after a thread has panicked while it held the lock.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Clients and proxies that are running.
+/// Running clients and proxies.
 pub struct Load {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Starts so many clients, and a proxy at each agent.
+    /// Starts `client_count` clients, and a proxy at each agent.
     pub fn start(cluster: &AgentCluster, client_count: usize) -> Self {
-        let shared = Arc::new(Shared::default());
-        let agents: Vec<SocketAddr> = (0..cluster.len()).map(|at| cluster.local(at)).collect();
+        let shared = Arc::new(SharedState::default());
+        let agents: Vec<SocketAddr> = (0..cluster.len()).map(|agent| cluster.local(agent)).collect();
         let started = Instant::now();
         let mut clients = Vec::new();
         for number in 0..client_count {
             let client = Client::new(number, agents.clone(), started, shared.clone());
             clients.push(std::thread::spawn(move || client.run()));
         }
-        for at in 0..cluster.len() {
-            let events = cluster.watch(at, &format!("front-{at}"));
+        for agent in 0..cluster.len() {
+            let events = cluster.watch(agent, &format!("front-{agent}"));
             let shared = shared.clone();
             std::thread::spawn(move || {
                 for event in events {
                     if let Some(epoch) = event["cast"]["epoch"].as_u64() {
-                        locked(&shared.platform).cast_vote(epoch);
+                        lock(&shared.release_controller).receive_vote(epoch);
                     }
                 }
             });
@@ -104,60 +107,61 @@
         Self { shared, clients }
     }
 
-    /// Subjects that clients have seen decided so far.
+    /// Returns how many subjects clients have seen decided so far.
     pub fn decisions(&self) -> usize {
-        locked(&self.shared.history).acknowledged().into_iter().collect::<BTreeMap<_, _>>().len()
+        lock(&self.shared.history).acknowledged().into_iter().collect::<BTreeMap<_, _>>().len()
     }
 
-    /// Ends the clients and compares what they were answered with what all agents hold.
+    /// Stops the clients and compares the decisions that they received with the state of every agent.
     pub fn end(self, cluster: &AgentCluster) -> Report {
         self.shared.stop.store(true, Ordering::SeqCst);
         let mut report = Report::default();
         for client in self.clients {
             if client.join().is_err() {
-                report.faults.push("a client panicked".to_owned());
+                report.violations.push("a client panicked".to_owned());
             }
         }
-        let history = locked(&self.shared.history).clone();
-        report.faults.extend(history.not_linearizable());
+        let history = lock(&self.shared.history).clone();
+        report.violations.extend(history.not_linearizable());
         let acknowledged: BTreeMap<u64, Vec<u8>> = history.acknowledged().into_iter().collect();
         report.decisions = acknowledged.len() as u64;
-        for at in 0..cluster.len() {
-            report.faults.extend(missing_decisions(cluster, at, &acknowledged));
+        for agent in 0..cluster.len() {
+            report.violations.extend(missing_decisions(cluster, agent, &acknowledged));
         }
-        let platform = locked(&self.shared.platform);
-        report.epochs = platform.admitted_epochs.len();
-        report.stale = platform.stale_votes;
+        let release_controller = lock(&self.shared.release_controller);
+        report.epochs = release_controller.admitted_epochs.len();
+        report.stale_votes = release_controller.stale_votes;
         report
     }
 }
 
-/// Acknowledged decisions that an agent does not hold.
+/// Describes the acknowledged decisions that an agent does not hold.
 fn missing_decisions(
     cluster: &AgentCluster,
-    at: usize,
+    agent: usize,
     acknowledged: &BTreeMap<u64, Vec<u8>>,
 ) -> Vec<String> {
     let http = client(COMPARE_TIMEOUT);
-    let mut held = BTreeMap::new();
-    wait_until("an agent reads the whole ledger", || match read_subjects(&http, cluster.local(at)) {
+    let mut decided = BTreeMap::new();
+    wait_until("an agent returns all subjects", || match read_subjects(&http, cluster.local(agent)) {
         Some(subjects) => {
-            held = subjects;
+            decided = subjects;
             true
         }
         None => false,
     });
     let mut missing = Vec::new();
     for (number, value) in acknowledged {
-        let found = held.get(number);
+        let found = decided.get(number);
         if found != Some(value) {
-            missing.push(format!("subject {number}: {value:?} acknowledged, n{at} holds {found:?}"));
+            missing.push(format!("subject {number}: {value:?} acknowledged, n{agent} holds {found:?}"));
         }
     }
     missing
 }
 
-/// All subjects in space `s`, by linearizable reads, so that nothing that was decided before is missing.
+/// Reads all subjects in space `s` by linearizable reads, so that no earlier decision is missing. Returns
+/// `None` if a read fails.
 fn read_subjects(http: &ureq::Agent, agent: SocketAddr) -> Option<BTreeMap<u64, Vec<u8>>> {
     let mut subjects = BTreeMap::new();
     let mut after = String::new();
@@ -177,22 +181,22 @@
     }
 }
 
-/// One client: opens a session, then proposes and reads, each sent to one agent after the other.
+/// Client that opens a session, then proposes and reads, each time at the next agent.
 struct Client {
     number: usize,
     agents: Vec<SocketAddr>,
-    /// Requests sent so far, and with them which agent is next.
+    /// Number of requests so far plus the client's number, which determines the next agent.
     requests: usize,
     http: ureq::Agent,
     started: Instant,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     session: Option<Value>,
     sequence: u64,
 }
 
 impl Client {
-    fn new(number: usize, agents: Vec<SocketAddr>, started: Instant, shared: Arc<Shared>) -> Self {
-        let http = client(ANSWER_TIMEOUT);
+    fn new(number: usize, agents: Vec<SocketAddr>, started: Instant, shared: Arc<SharedState>) -> Self {
+        let http = client(RESPONSE_TIMEOUT);
         Self { number, agents, requests: number, http, started, shared, session: None, sequence: 0 }
     }
 
@@ -213,7 +217,7 @@
         }
     }
 
-    /// Microseconds since the start of the run.
+    /// Returns the time since the start of the run, in microseconds.
     fn now(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
@@ -225,46 +229,46 @@
 
     fn open_session(&mut self) {
         let agent = self.next_agent();
-        if let Ok((200, answer)) = post(&self.http, agent, "/v1/sessions?within_ms=800", &json!({})) {
-            let session = answer["reply"]["Opened"].clone();
+        if let Ok((200, response)) = post(&self.http, agent, "/v1/sessions?within_ms=800", &json!({})) {
+            let session = response["reply"]["Opened"].clone();
             self.session = if session.is_null() { None } else { Some(session) };
             self.sequence = 0;
         }
     }
 
-    /// Reads a subject. A read without an answer shows nothing and need not be sent again.
+    /// Reads a subject. A read without a response proves nothing, so it is not retried.
     fn read(&mut self, subject: u64) {
-        let operation = locked(&self.shared.history).begin_read(subject, self.now());
+        let operation = lock(&self.shared.history).begin_read(subject, self.now());
         let path = format!("/v1/ledger/s/{subject}?within_ms=800");
         let agent = self.next_agent();
         if let Ok((200, page)) = get(&self.http, agent, &path) {
             let value = page["subjects"][0]["standing"]["Decided"].as_array().map(|value| bytes(value));
-            locked(&self.shared.history).end_read(operation, value, self.now());
+            lock(&self.shared.history).end_read(operation, value, self.now());
         }
     }
 
-    /// Decides a subject. The proposal is sent until it is answered, also after the end of the run: only that tells
-    /// whether it was decided.
+    /// Decides a subject. The proposal is retried until it is answered, also after the end of the run,
+    /// because only the response shows the decision.
     fn decide(&mut self, subject: u64, session: &Value) {
         self.sequence += 1;
         let value = [self.number as u8, (self.sequence >> 8) as u8, self.sequence as u8];
-        let operation = locked(&self.shared.history).begin_decide(subject, value.to_vec(), self.now());
+        let operation = lock(&self.shared.history).begin_decide(subject, value.to_vec(), self.now());
         let command = json!({"Decide": {"subject": {"space": "s", "number": subject}, "value": value}});
         let proposal = json!({"session": session, "sequence": self.sequence, "command": command});
         let body = json!({"proposal": proposal, "within_ms": 800});
         let deadline = Instant::now() + PROPOSAL_TIMEOUT;
         loop {
             let agent = self.next_agent();
-            let answer = match post(&self.http, agent, "/v1/propose", &body) {
-                Ok((200, answer)) => answer,
+            let response = match post(&self.http, agent, "/v1/propose", &body) {
+                Ok((200, response)) => response,
                 _ => Value::Null,
             };
-            if let Some(decided) = answer["reply"]["Decided"]["value"].as_array() {
-                locked(&self.shared.history).end_decide(operation, bytes(decided), self.now());
+            if let Some(decided) = response["reply"]["Decided"]["value"].as_array() {
+                lock(&self.shared.history).end_decide(operation, bytes(decided), self.now());
                 return;
             }
-            let session_lost = answer["reply"] == "SessionLost";
-            if session_lost || Instant::now() > deadline {
+            let session_expired = response["reply"] == "SessionLost";
+            if session_expired || Instant::now() > deadline {
                 self.session = None;
                 return;
             }
--- a/crates/agent/examples/freeze/main.rs
+++ b/crates/agent/examples/freeze/main.rs
@@ -1,8 +1,8 @@
-//! Real agents that are frozen, resumed, killed and cut off, round after round, while clients decide through all of
-//! them.
+//! Freezes, kills and partitions real agents in many rounds while clients make decisions through all of them.
 //!
-//! `--rounds N [--agents A] [--seed S]`, after `cargo build --release -p garnetcrank-agent`. Ends with one line of
-//! figures and exit 0; anything decided twice or lost is printed, with exit 1.
+//! Build the agent first with `cargo build --release -p garnetcrank-agent`. The options are
+//! `--rounds N [--agents A] [--seed S]`. The last line of the output gives the figures of the run. The exit
+//! code is 0, or 1 if a subject was decided twice or a decision was lost; each such violation is printed.
 
 mod load;
 
@@ -13,12 +13,12 @@
 use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions};
 use load::{Load, Report};
 
-/// Clients that decide and read.
+/// Number of clients that propose and read.
 const CLIENTS: usize = 6;
-/// How long a fault lasts, in milliseconds: from far below an election timeout to far beyond a lease's duration.
+/// Durations of a fault in milliseconds, from far below an election timeout to far beyond a lease's duration.
 const FAULT_MS: [u64; 5] = [10, 40, 90, 160, 400];
-/// Progress is printed every so many rounds.
-const ROUNDS_PER_LINE: u64 = 100;
+/// Number of rounds between two lines of progress.
+const ROUNDS_PER_PROGRESS_LINE: u64 = 100;
 
 struct Options {
     rounds: u64,
@@ -32,32 +32,36 @@
         agents: argument("--agents", 3) as usize,
         seed: argument("--seed", 1),
     };
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let mut cluster = start_cluster(folder.path(), options.agents);
     let started = Instant::now();
     let report = run(&mut cluster, &options, started);
-    for fault in &report.faults {
-        println!("{fault}");
+    for violation in &report.violations {
+        println!("{violation}");
     }
     let Options { rounds, agents, .. } = options;
-    let Report { decisions, epochs, stale, faults } = &report;
+    let Report { decisions, epochs, stale_votes, violations } = &report;
     println!(
         "rounds {rounds} agents {agents} decisions {decisions} faults {} epochs {epochs} \
-         stale-acts-refused {stale} seconds {}",
-        faults.len(),
+         stale-acts-refused {stale_votes} seconds {}",
+        violations.len(),
         started.elapsed().as_secs()
     );
-    if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// A number from the command line.
+/// Returns a number from the command line.
+///
+/// # Panics
+/// The argument is not a number.
 fn argument(name: &str, default: u64) -> u64 {
     let mut args = std::env::args().skip_while(|arg| arg != name).skip(1);
-    args.next().map_or(default, |text| text.parse().unwrap_or_else(|error| panic!("{name}: {error}")))
+    args.next()
+        .map_or(default, |text| text.parse().unwrap_or_else(|error| panic!("{name} {text:?}: {error}")))
 }
 
 fn start_cluster(folder: &Path, agents: usize) -> AgentCluster {
-    let program = std::env::current_exe().expect("this program has a path");
+    let program = std::env::current_exe().expect("the path of this program is known");
     let program = program.with_file_name("../garnetcrank-agent");
     let options = ClusterOptions {
         agents,
@@ -70,13 +74,14 @@
     AgentCluster::start(&program, folder, &options)
 }
 
+/// Injects faults under load and returns the load's report.
 fn run(cluster: &mut AgentCluster, options: &Options, started: Instant) -> Report {
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let load = Load::start(cluster, CLIENTS);
     for round in 0..options.rounds {
         inject_fault(cluster, options.agents, &mut rng);
         std::thread::sleep(Duration::from_millis(rng.u64(..60)));
-        if round % ROUNDS_PER_LINE == ROUNDS_PER_LINE - 1 {
+        if round % ROUNDS_PER_PROGRESS_LINE == ROUNDS_PER_PROGRESS_LINE - 1 {
             let (decisions, seconds) = (load.decisions(), started.elapsed().as_secs());
             println!("{} rounds, {decisions} decisions, {seconds} s", round + 1);
         }
@@ -84,7 +89,7 @@
     load.end(cluster)
 }
 
-/// One fault, most often at the leader, and its end.
+/// Injects one fault, most often at the leader, and ends it after its duration.
 fn inject_fault(cluster: &mut AgentCluster, agents: usize, rng: &mut fastrand::Rng) {
     let victim = cluster.leader().filter(|_| rng.u8(..4) > 0).unwrap_or(rng.usize(..agents));
     let other = rng.usize(..agents);
@@ -102,10 +107,10 @@
     std::thread::sleep(duration);
     cluster.wake(victim);
     cluster.wake(other);
-    for at in 0..agents {
-        cluster.isolate(at, false);
-        if !cluster.is_running(at) {
-            cluster.start_agent(at);
+    for agent in 0..agents {
+        cluster.isolate(agent, false);
+        if !cluster.is_running(agent) {
+            cluster.start_agent(agent);
         }
     }
 }
--- a/crates/agent/examples/throughput/main.rs
+++ b/crates/agent/examples/throughput/main.rs
@@ -1,8 +1,9 @@
-//! Decisions a second and their latency at 3 and 5 real agents with real syncs, and the time without a leader after a
-//! kill and after a freeze.
+//! Measures the rate and the latency of decisions in clusters of 3 and 5 real agents, which sync their stores
+//! to disk, and the time until the next decision after the leader is killed or frozen.
 //!
-//! `cargo run --release --locked -p garnetcrank-agent --example throughput -- [--seconds S] [--times N]`, after
-//! `cargo build --release -p garnetcrank-agent`, prints two tables.
+//! Build the agent first with `cargo build --release -p garnetcrank-agent`. Then run
+//! `cargo run --release --locked -p garnetcrank-agent --example throughput -- [--seconds S] [--times N]`,
+//! which prints two tables.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,10 +15,10 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-/// Pause between two failovers, so that the old leader is back in its place.
+/// Pause between two failovers, in which the old leader rejoins the cluster.
 const RECOVERY_PAUSE: Duration = Duration::from_millis(300);
 
-/// What happens to the leader.
+/// Fault that is injected at the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaderFault {
     Kill,
@@ -25,21 +26,25 @@
 }
 
 fn main() {
-    let program = std::env::current_exe().expect("this program has a path");
+    let program = std::env::current_exe().expect("the path of this program is known");
     let program = program.with_file_name("../garnetcrank-agent");
     measure_throughput(&program, argument("--seconds", 5));
     println!();
     measure_failover(&program, argument("--times", 40));
 }
 
-/// A number from the command line.
+/// Returns a number from the command line.
+///
+/// # Panics
+/// The argument is not a number.
 fn argument(name: &str, default: u64) -> u64 {
     let mut args = std::env::args().skip_while(|arg| arg != name).skip(1);
-    args.next().map_or(default, |text| text.parse().unwrap_or_else(|error| panic!("{name}: {error}")))
+    args.next()
+        .map_or(default, |text| text.parse().unwrap_or_else(|error| panic!("{name} {text:?}: {error}")))
 }
 
-/// The program's own defaults.
-fn options(agents: usize) -> ClusterOptions {
+/// Returns the default settings of the agent for a cluster of this size.
+fn default_options(agents: usize) -> ClusterOptions {
     ClusterOptions {
         agents,
         tick_ms: 20,
@@ -62,10 +67,10 @@
     }
 }
 
-/// Measures one line of the table.
+/// Measures and prints one row of the table.
 fn measure_clients(program: &Path, agents: usize, clients: usize, seconds: u64) {
-    let folder = tempfile::tempdir().expect("a folder");
-    let cluster = AgentCluster::start(program, folder.path(), &options(agents));
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let cluster = AgentCluster::start(program, folder.path(), &default_options(agents));
     let resident_at_rest = max_resident_mib(&cluster);
     let stop = Arc::new(AtomicBool::new(false));
     let started = Instant::now();
@@ -77,9 +82,11 @@
     }
     std::thread::sleep(Duration::from_secs(seconds));
     stop.store(true, Ordering::Relaxed);
-    let mut latencies = Histogram::<u64>::new(3).expect("a histogram");
+    let mut latencies = Histogram::<u64>::new(3).expect("the precision is valid");
     for thread in threads {
-        latencies.add(thread.join().expect("a client")).expect("histograms add");
+        latencies
+            .add(thread.join().expect("the client does not panic"))
+            .expect("the histograms are compatible");
     }
     let rate = latencies.len() as f64 / started.elapsed().as_secs_f64();
     let quantile_ms = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
@@ -92,11 +99,12 @@
     );
 }
 
-/// One client with a session of its own, at one agent, until it is stopped; microseconds of each decision.
+/// Runs one client at one agent, in a session of its own, until it is stopped. Returns the latency of each
+/// decision in microseconds.
 fn run_client(agent: SocketAddr, number: u64, stop: &AtomicBool) -> Histogram<u64> {
     let http = client(Duration::from_secs(10));
-    let mut latencies = Histogram::new(3).expect("a histogram");
-    let (_, opened) = post(&http, agent, "/v1/sessions", &json!({})).expect("a session");
+    let mut latencies = Histogram::new(3).expect("the precision is valid");
+    let (_, opened) = post(&http, agent, "/v1/sessions", &json!({})).expect("the agent opens a session");
     let session: Value = opened["reply"]["Opened"].clone();
     let mut sequence = 0u64;
     while !stop.load(Ordering::Relaxed) {
@@ -105,16 +113,18 @@
         let command = json!({"Decide": {"subject": subject, "value": [1]}});
         let body = json!({"proposal": {"session": session, "sequence": sequence, "command": command}});
         let started = Instant::now();
-        let (_, answer) = post(&http, agent, "/v1/propose", &body).expect("an answer");
-        assert_eq!(answer["reply"]["Decided"]["first"], true, "{answer}");
-        latencies.record(started.elapsed().as_micros() as u64).expect("in range");
+        let (_, response) = post(&http, agent, "/v1/propose", &body).expect("the agent responds");
+        assert_eq!(response["reply"]["Decided"]["first"], true, "{response}");
+        latencies
+            .record(started.elapsed().as_micros() as u64)
+            .expect("the duration is in the range of the histogram");
     }
     latencies
 }
 
-/// Resident memory of the largest agent, in MiB.
+/// Returns the largest resident memory of all agents, in MiB.
 fn max_resident_mib(cluster: &AgentCluster) -> f64 {
-    (0..cluster.len()).map(|at| cluster.resident_kib(at) as f64 / 1024.0).fold(0.0, f64::max)
+    (0..cluster.len()).map(|agent| cluster.resident_kib(agent) as f64 / 1024.0).fold(0.0, f64::max)
 }
 
 fn measure_failover(program: &Path, times: u64) {
@@ -122,21 +132,25 @@
     println!("| --- | --- | --- | --- |");
     for fault in [LeaderFault::Kill, LeaderFault::Freeze] {
         let gaps = measure_gaps(program, fault, times);
-        let what = match fault {
+        let fault_name = match fault {
             LeaderFault::Kill => "killed",
             LeaderFault::Freeze => "frozen",
         };
-        let ms = |micros: u64| micros as f64 / 1e3;
-        println!("| {what} | {times} | {:.0} | {:.0} |", ms(gaps.value_at_quantile(0.5)), ms(gaps.max()));
+        let milliseconds = |microseconds: u64| microseconds as f64 / 1e3;
+        println!(
+            "| {fault_name} | {times} | {:.0} | {:.0} |",
+            milliseconds(gaps.value_at_quantile(0.5)),
+            milliseconds(gaps.max())
+        );
     }
 }
 
-/// Microseconds from each fault of the leader to the next decision.
+/// Measures the time from each fault of the leader to the next decision, in microseconds.
 fn measure_gaps(program: &Path, fault: LeaderFault, times: u64) -> Histogram<u64> {
-    let folder = tempfile::tempdir().expect("a folder");
-    let mut cluster = AgentCluster::start(program, folder.path(), &options(3));
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let mut cluster = AgentCluster::start(program, folder.path(), &default_options(3));
     let http = client(Duration::from_secs(5));
-    let mut gaps = Histogram::<u64>::new(3).expect("a histogram");
+    let mut gaps = Histogram::<u64>::new(3).expect("the precision is valid");
     for number in 0..times {
         let leader = wait_for_leader(&cluster);
         let started = Instant::now();
@@ -146,11 +160,12 @@
         }
         let subject = json!({"space": "gap", "number": number});
         let body = json!({"command": {"Decide": {"subject": subject, "value": []}}, "within_ms": 4000});
-        wait_until("the others decide", || {
-            let answer = post(&http, cluster.local((leader + 1) % 3), "/v1/propose", &body);
-            matches!(answer, Ok((200, answer)) if answer["result"] == "applied")
+        wait_until("the other agents decide", || {
+            let response = post(&http, cluster.local((leader + 1) % 3), "/v1/propose", &body);
+            matches!(response, Ok((200, response)) if response["result"] == "applied")
         });
-        gaps.record(started.elapsed().as_micros() as u64).expect("in range");
+        gaps.record(started.elapsed().as_micros() as u64)
+            .expect("the duration is in the range of the histogram");
         match fault {
             LeaderFault::Kill => cluster.start_agent(leader),
             LeaderFault::Freeze => cluster.wake(leader),
@@ -162,7 +177,7 @@
 
 fn wait_for_leader(cluster: &AgentCluster) -> usize {
     let mut found = None;
-    wait_until("somebody leads", || {
+    wait_until("the cluster has a leader", || {
         found = cluster.leader();
         found.is_some()
     });
--- a/crates/agent/tests/frame_bytes.rs
+++ b/crates/agent/tests/frame_bytes.rs
@@ -1,7 +1,7 @@
-//! Frames between agents keep their bytes, so that an agent of an earlier version understands a later one.
+//! Frames between agents keep their bytes, so that agents of different versions understand each other.
 //!
-//! The bytes were taken down from the code of commit 8a93f45. They hold no names: the order of fields and variants
-//! makes them.
+//! The expected bytes were recorded with the code of commit 8a93f45. They contain no names, so they change if
+//! fields or variants are reordered.
 
 use garnetcrank_agent::peer_protocol::{Frame, Hello, HelloReply, MAGIC, VERSION, decode, encode};
 use garnetcrank_consensus::chunking::Chunk;
@@ -9,7 +9,7 @@
 use garnetcrank_consensus::replicated_state::Member;
 use serde::{Deserialize, Serialize};
 
-/// Asserts what `value` is as a frame, behind its length of four bytes, and that it is read from that.
+/// Asserts that `value` is encoded as a length of four bytes followed by `bytes`, and decoded from `bytes`.
 fn assert_frame<T>(value: &T, bytes: &[u8])
 where
     T: Serialize + for<'a> Deserialize<'a> + PartialEq + std::fmt::Debug,
@@ -17,7 +17,7 @@
     let framed = encode(value);
     assert_eq!(framed[..4], (bytes.len() as u32).to_le_bytes());
     assert_eq!(framed[4..], *bytes);
-    assert_eq!(decode::<T>(bytes).expect("it is read"), *value);
+    assert_eq!(decode::<T>(bytes).expect("the frame can be decoded"), *value);
 }
 
 fn member() -> Member {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_first_frames_of_a_connection_keep_their_bytes() {
+fn hello_frames_keep_their_bytes() {
     let (magic, version) = (MAGIC, VERSION);
     let hello = Hello { magic, version, cluster: "eger".to_owned(), from: member(), to: InstanceId(300) };
     assert_frame(&hello, b"GCAG\x01\x04eger\x09\x04alma\x03h:1\xac\x02");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_frames_behind_them_keep_their_bytes() {
+fn frames_after_the_hello_keep_their_bytes() {
     assert_frame(&Frame::Message(vec![1, 2, 3]), b"\x00\x03\x01\x02\x03");
     let chunk = Chunk { transfer: 5, offset: 6, total_len: 130, bytes: vec![0xfe, 0xff] };
     assert_frame(&Frame::Chunk(chunk), b"\x01\x05\x06\x82\x01\x02\xfe\xff");
--- a/crates/agent/tests/golden_config.rs
+++ b/crates/agent/tests/golden_config.rs
@@ -1,5 +1,6 @@
-//! Golden tests: `agent.json` as operators have it. Each key of this version stays valid, with the same meaning and
-//! default, and a fault names its key. The wording of an error may get better, so only the key is looked for.
+//! Golden tests of `agent.json`: each key of this version stays valid, with the same meaning and default.
+//!
+//! An error names the key at fault. The wording of errors may change, so only the key is checked.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -8,7 +9,7 @@
 use garnetcrank_agent::config::{Config, LogFormat};
 use serde_json::{Value, json};
 
-fn whole() -> Value {
+fn full_config() -> Value {
     json!({
         "name": "n1", "cluster": "fronts", "store": "/var/lib/garnetcrank/n1.redb",
         "peers": "127.0.0.1:7001", "announce": "10.0.0.1:7002",
@@ -20,7 +21,7 @@
 
 #[test]
 fn a_file_with_every_key_gives_each_value() {
-    let config = Config::parse(&whole().to_string()).expect("it is read");
+    let config = Config::parse(&full_config().to_string()).expect("the file is valid");
     assert_eq!(config.name, "n1");
     assert_eq!(config.cluster, "fronts");
     assert_eq!(config.store, Path::new("/var/lib/garnetcrank/n1.redb"));
@@ -43,8 +44,8 @@
 }
 
 #[test]
-fn the_deployed_file_gives_its_values_and_the_defaults() {
-    let config = Config::parse(include_str!("../../../deploy/agent.json")).expect("it is read");
+fn the_deployed_file_gives_its_own_values_and_the_defaults() {
+    let config = Config::parse(include_str!("../../../deploy/agent.json")).expect("the file is valid");
     assert_eq!((config.name.as_str(), config.cluster.as_str()), ("n1", "fronts"));
     assert_eq!(config.store, Path::new("/var/lib/garnetcrank/n1.redb"));
     assert_eq!(config.peer_address, "127.0.0.1:7001".parse().unwrap());
@@ -56,38 +57,39 @@
 }
 
 #[test]
-fn the_smallest_file_is_the_five_keys_without_a_default() {
-    let five = ["name", "cluster", "store", "peers", "local"];
-    let mut small = whole();
-    small.as_object_mut().unwrap().retain(|key, _| five.contains(&key.as_str()));
-    let config = Config::parse(&small.to_string()).expect("it is read");
+fn only_the_five_keys_without_a_default_are_required() {
+    let required = ["name", "cluster", "store", "peers", "local"];
+    let mut minimal = full_config();
+    minimal.as_object_mut().unwrap().retain(|key, _| required.contains(&key.as_str()));
+    let config = Config::parse(&minimal.to_string()).expect("the file is valid");
     assert_eq!((config.log.format, config.log.filter.as_str()), (LogFormat::Text, "info"));
-    for key in five {
-        let mut without = small.clone();
-        without.as_object_mut().unwrap().remove(key);
-        let error = Config::parse(&without.to_string()).expect_err("a key is missing").to_string();
+    for key in required {
+        let mut incomplete = minimal.clone();
+        incomplete.as_object_mut().unwrap().remove(key);
+        let error =
+            Config::parse(&incomplete.to_string()).expect_err("a required key is missing").to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
-    small["log"] = json!({"format": "text"});
-    let config = Config::parse(&small.to_string()).expect("it is read");
+    minimal["log"] = json!({"format": "text"});
+    let config = Config::parse(&minimal.to_string()).expect("the file is valid");
     assert_eq!((config.log.format, config.log.filter.as_str()), (LogFormat::Text, "info"));
 }
 
 #[test]
 fn an_unknown_key_is_an_error_that_names_it() {
-    let mut unknown = whole();
+    let mut unknown = full_config();
     unknown["local_port"] = json!(1);
-    let error = Config::parse(&unknown.to_string()).expect_err("unknown").to_string();
+    let error = Config::parse(&unknown.to_string()).expect_err("the key is unknown").to_string();
     assert!(error.contains("local_port"), "{error}");
-    let mut unknown = whole();
+    let mut unknown = full_config();
     unknown["log"]["colour"] = json!(true);
-    let error = Config::parse(&unknown.to_string()).expect_err("unknown").to_string();
+    let error = Config::parse(&unknown.to_string()).expect_err("the key is unknown").to_string();
     assert!(error.contains("log") && error.contains("colour"), "{error}");
 }
 
 #[test]
-fn a_bad_value_is_an_error_that_names_its_key() {
-    for (key, bad) in [
+fn an_invalid_value_is_an_error_that_names_its_key() {
+    for (key, invalid) in [
         ("name", json!("n 1")),
         ("name", json!("")),
         ("name", json!(1)),
@@ -116,19 +118,19 @@
         ("store_most_mb", json!(7)),
         ("log", json!("json")),
     ] {
-        let mut faulty = whole();
-        faulty[key] = bad.clone();
-        let error = Config::parse(&faulty.to_string()).expect_err("a fault").to_string();
-        assert!(error.contains(key), "{key} {bad}: {error}");
+        let mut config = full_config();
+        config[key] = invalid.clone();
+        let error = Config::parse(&config.to_string()).expect_err("the value is invalid").to_string();
+        assert!(error.contains(key), "{key} {invalid}: {error}");
     }
-    for (key, bad) in [("format", json!("xml")), ("filter", json!(1))] {
-        let mut faulty = whole();
-        faulty["log"][key] = bad;
-        let error = Config::parse(&faulty.to_string()).expect_err("a fault").to_string();
+    for (key, invalid) in [("format", json!("xml")), ("filter", json!(1))] {
+        let mut config = full_config();
+        config["log"][key] = invalid;
+        let error = Config::parse(&config.to_string()).expect_err("the value is invalid").to_string();
         assert!(error.contains(&format!("log.{key}")), "{error}");
     }
-    // The limits themselves are allowed.
-    for (key, good) in [
+    // The limits themselves are valid.
+    for (key, valid) in [
         ("tick_ms", json!(1)),
         ("election_ticks", json!(12)),
         ("life_ms", json!(1200)),
@@ -138,34 +140,35 @@
         ("store_most_mb", json!(8)),
         ("heartbeat_ticks", json!(1)),
     ] {
-        let mut edge = whole();
-        edge[key] = good;
-        Config::parse(&edge.to_string()).expect("a limit is allowed");
+        let mut at_limit = full_config();
+        at_limit[key] = valid;
+        Config::parse(&at_limit.to_string()).expect("a limit is valid");
     }
 }
 
 #[test]
-fn the_program_takes_run_found_and_check_with_a_configuration() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn subcommands_check_found_and_run_read_the_configuration() {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let file = folder.path().join("agent.json");
-    let run = |job: &str| {
+    let run = |subcommand: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_garnetcrank-agent"));
-        let output = command.arg(job).arg("--config").arg(&file).output().expect("it runs");
+        let output =
+            command.arg(subcommand).arg("--config").arg(&file).output().expect("the agent can be started");
         (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned(), output.stderr)
     };
-    let mut config = whole();
+    let mut config = full_config();
     config["store"] = json!(folder.path().join("n1.redb"));
-    std::fs::write(&file, config.to_string()).expect("written");
+    std::fs::write(&file, config.to_string()).expect("the configuration can be written");
     assert_eq!(run("check").0, Some(0));
     let (code, out, _) = run("found");
     assert_eq!(code, Some(0));
     assert!(out.contains("fronts") && out.contains("n1"), "{out}");
-    assert_eq!(run("found").0, Some(1), "a cluster is founded once");
+    assert_eq!(run("found").0, Some(1), "a cluster can be founded only once");
     config["log"]["filter"] = json!("[");
-    std::fs::write(&file, config.to_string()).expect("written");
-    for job in ["check", "found", "run"] {
-        let (code, _, err) = run(job);
+    std::fs::write(&file, config.to_string()).expect("the configuration can be written");
+    for subcommand in ["check", "found", "run"] {
+        let (code, _, err) = run(subcommand);
         let err = String::from_utf8_lossy(&err);
-        assert!(code == Some(2) && err.contains("log.filter"), "{job}: {err}");
+        assert!(code == Some(2) && err.contains("log.filter"), "{subcommand}: {err}");
     }
 }
--- a/crates/agent/tests/golden_http.rs
+++ b/crates/agent/tests/golden_http.rs
@@ -1,6 +1,8 @@
-//! Golden tests: JSON on the agent's local port, each request body and each response key by key. A scripted core takes
-//! the place of the real one, so every answer can be had at will; the routes and what they read and write are real.
-//! Proxies and scripts of operators of other versions speak this: forms may be added, none here may change.
+//! Golden tests of the JSON on the agent's HTTP port: each request body and each response, key by key.
+//!
+//! A scripted engine replaces the real one, so that every response can be produced; the routes and their JSON
+//! are real. Proxies and operators' scripts of other versions use this API: it may be extended, but nothing
+//! here may change.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, sync_channel};
@@ -24,8 +26,8 @@
 use serde_json::{Value, json};
 use tokio::sync::watch;
 
-/// The port with the test as its core.
-struct Port {
+/// HTTP API with the test in place of the engine.
+struct TestServer {
     address: SocketAddr,
     inputs: Arc<Mutex<Receiver<EngineInput>>>,
     published: watch::Sender<PublishedState>,
@@ -34,76 +36,95 @@
     _runtime: tokio::runtime::Runtime,
 }
 
-/// Status, content type and body.
-type Answer = (u16, String, String);
+/// Status code, content type and body.
+type Response = (u16, String, String);
 
-impl Port {
-    fn open() -> Self {
-        Self::open_with_queue(16)
+impl TestServer {
+    fn start() -> Self {
+        Self::start_with_queue(16)
     }
 
-    fn open_with_queue(queue: usize) -> Self {
+    fn start_with_queue(queue: usize) -> Self {
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
         let (engine, inputs) = sync_channel(queue);
         let (published, receiver) = watch::channel(PublishedState::default());
         let counters = Arc::new(Counters::default());
         let api = HttpApi { engine, published: receiver, counters: counters.clone() };
-        let listener = runtime.block_on(tokio::net::TcpListener::bind("127.0.0.1:0")).expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener =
+            runtime.block_on(tokio::net::TcpListener::bind("127.0.0.1:0")).expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         runtime.spawn(async move { axum::serve(listener, routes(api)).await });
         let http = client(Duration::from_secs(20));
         Self { address, inputs: Arc::new(Mutex::new(inputs)), published, counters, http, _runtime: runtime }
     }
 
-    /// A request that the port answers by itself.
-    fn send(&self, method: &str, path: &str, body: &str) -> Answer {
+    /// Sends a request that needs no response of the engine.
+    fn send(&self, method: &str, path: &str, body: &str) -> Response {
         let url = format!("http://{}{path}", self.address);
-        let sent = match method {
+        let result = match method {
             "GET" => self.http.get(&url).call(),
             _ => self.http.post(&url).header("content-type", "application/json").send(body),
         };
-        let mut answer = sent.expect("an answer");
-        let kind = answer.headers().get("content-type").map(|kind| kind.to_str().unwrap().to_owned());
-        let text = answer.body_mut().read_to_string().expect("a text");
-        (answer.status().as_u16(), kind.unwrap_or_default(), text)
+        let mut response = result.expect("the server responds");
+        let content_type = response
+            .headers()
+            .get("content-type")
+            .map(|content_type| content_type.to_str().unwrap().to_owned());
+        let text = response.body_mut().read_to_string().expect("the body is text");
+        (response.status().as_u16(), content_type.unwrap_or_default(), text)
     }
 
-    /// A request that the core answers, by `core`, which must have been asked.
-    fn ask(&self, method: &str, path: &str, body: &str, core: impl FnOnce(EngineRequest) + Send) -> Answer {
+    /// Sends a request that reaches the engine, where `engine` handles it.
+    ///
+    /// # Panics
+    /// The engine receives no request, or `engine` panics.
+    fn send_to_engine(
+        &self,
+        method: &str,
+        path: &str,
+        body: &str,
+        engine: impl FnOnce(EngineRequest) + Send,
+    ) -> Response {
         std::thread::scope(|threads| {
             let inputs = self.inputs.clone();
-            let asked = threads.spawn(move || {
-                let input =
-                    inputs.lock().unwrap().recv_timeout(Duration::from_secs(10)).expect("it is asked");
-                let EngineInput::Request(ask) = input else { panic!("{input:?}") };
-                core(ask);
+            let handler = threads.spawn(move || {
+                let input = inputs
+                    .lock()
+                    .unwrap()
+                    .recv_timeout(Duration::from_secs(10))
+                    .expect("the engine receives a request");
+                let EngineInput::Request(request) = input else { panic!("unexpected input: {input:?}") };
+                engine(request);
             });
-            let answer = self.send(method, path, body);
-            asked.join().expect("the core was asked the right thing");
-            answer
+            let response = self.send(method, path, body);
+            handler.join().expect("the engine receives the expected request");
+            response
         })
     }
 }
 
-/// Status 200 and this very text: keys, their order and all values.
+/// Asserts status code 200 and exactly this JSON: keys, their order and all values.
 #[track_caller]
-fn is_json(answer: Answer, golden: &str) {
-    let wanted = (200, "application/json".to_owned(), golden.to_owned());
-    assert_eq!(answer, wanted);
+fn assert_json(response: Response, golden: &str) {
+    let expected = (200, "application/json".to_owned(), golden.to_owned());
+    assert_eq!(response, expected);
 }
 
-/// The form of every error: one key, `error`, whose text names something.
+/// Asserts the form of every error: one key, `error`, whose text contains `fragment`.
 #[track_caller]
-fn is_fault((status, kind, text): Answer, wanted: u16, names: &str) {
-    assert_eq!((status, kind.as_str()), (wanted, "application/json"), "{text}");
-    let value: Value = serde_json::from_str(&text).expect("JSON");
-    let object = value.as_object().expect("an object");
+fn assert_error((status, content_type, text): Response, expected: u16, fragment: &str) {
+    assert_eq!((status, content_type.as_str()), (expected, "application/json"), "{text}");
+    let value: Value = serde_json::from_str(&text).expect("the body is JSON");
+    let object = value.as_object().expect("the body is an object");
     assert_eq!(object.keys().collect::<Vec<_>>(), ["error"], "{text}");
-    assert!(object["error"].as_str().expect("a text").contains(names), "{text} names {names}");
+    assert!(
+        object["error"].as_str().expect("the error is a text").contains(fragment),
+        "{text} does not contain {fragment:?}"
+    );
 }
 
-fn view() -> MemberView {
+fn member_view() -> MemberView {
     let (id, name, address) = ("00000000000000ab".into(), "n1".into(), "10.0.0.1:7001".into());
     MemberView {
         id,
@@ -115,17 +136,18 @@
     }
 }
 
-fn status(standing: raft_node::NodeRole) -> StatusView {
-    let newcomer = MemberView { role: "none".into(), recently_active: None, matched_index: None, ..view() };
+fn status(node_role: raft_node::NodeRole) -> StatusView {
+    let non_member =
+        MemberView { role: "none".into(), recently_active: None, matched_index: None, ..member_view() };
     StatusView {
         cluster: "fronts".into(),
-        me: view(),
+        me: member_view(),
         version: "0.1.0".into(),
         starts: 3,
         uptime_ms: 4_000,
         node: NodeStatus {
             id: InstanceId(171),
-            role: standing,
+            role: node_role,
             leader: Some(InstanceId(172)),
             term: Term(5),
             committed: Index(18),
@@ -136,7 +158,7 @@
             storage_low: false,
         },
         leader: Some("n2".into()),
-        members: vec![view(), newcomer],
+        members: vec![member_view(), non_member],
         subject_count: 22,
         session_count: 23,
         store_bytes: 24,
@@ -144,16 +166,16 @@
 }
 
 #[test]
-fn health_is_a_text() {
-    let port = Port::open();
-    let wanted = (200, "text/plain; charset=utf-8".to_owned(), "ok\n".to_owned());
-    assert_eq!(port.send("GET", "/healthz", ""), wanted);
+fn health_is_plain_text() {
+    let server = TestServer::start();
+    let expected = (200, "text/plain; charset=utf-8".to_owned(), "ok\n".to_owned());
+    assert_eq!(server.send("GET", "/healthz", ""), expected);
 }
 
 #[test]
 fn status_has_each_key() {
-    let port = Port::open();
-    let golden = |standing: &str| {
+    let server = TestServer::start();
+    let golden = |role: &str| {
         let start = concat!(
             r#"{"cluster":"fronts","#,
             r#""me":{"id":"00000000000000ab","name":"n1","address":"10.0.0.1:7001","part":"voter","living":true,"#,
@@ -167,34 +189,34 @@
             r#"{"id":"00000000000000ab","name":"n1","address":"10.0.0.1:7001","part":"none"}],"#,
             r#""subjects":22,"sessions":23,"store_bytes":24}"#,
         );
-        format!("{start}{standing}{end}")
+        format!("{start}{role}{end}")
     };
-    for (standing, name) in [
+    for (role, name) in [
         (raft_node::NodeRole::Follower, "follower"),
         (raft_node::NodeRole::PreCandidate, "pre_candidate"),
         (raft_node::NodeRole::Candidate, "candidate"),
         (raft_node::NodeRole::Leader, "leader"),
     ] {
-        let answer = port.ask("GET", "/v1/status", "", |ask| {
-            let EngineRequest::Status(reply) = ask else { panic!("{ask:?}") };
-            reply.send(status(standing)).unwrap();
+        let response = server.send_to_engine("GET", "/v1/status", "", |request| {
+            let EngineRequest::Status(reply) = request else { panic!("unexpected request: {request:?}") };
+            reply.send(status(role)).unwrap();
         });
-        is_json(answer, &golden(name));
+        assert_json(response, &golden(name));
     }
-    let answer = port.ask("GET", "/v1/status", "", |ask| {
-        let EngineRequest::Status(reply) = ask else { panic!("{ask:?}") };
+    let response = server.send_to_engine("GET", "/v1/status", "", |request| {
+        let EngineRequest::Status(reply) = request else { panic!("unexpected request: {request:?}") };
         let mut status = status(raft_node::NodeRole::Follower);
         (status.leader, status.node.leader) = (None, None);
         reply.send(status).unwrap();
     });
     let text = golden("follower").replace(r#""leader":172"#, r#""leader":null"#);
-    is_json(answer, &text.replace(r#""leader":"n2""#, r#""leader":null"#));
+    assert_json(response, &text.replace(r#""leader":"n2""#, r#""leader":null"#));
 }
 
 #[test]
-fn counters_have_each_key_with_its_own_figure() {
-    let port = Port::open();
-    let counters = &port.counters;
+fn counters_have_each_key_with_its_own_value() {
+    let server = TestServer::start();
+    let counters = &server.counters;
     let each = [
         &counters.messages_sent,
         &counters.outbound_messages_dropped,
@@ -217,17 +239,17 @@
         &counters.leases_acquired,
         &counters.verdicts_reported,
     ];
-    (1..).zip(each).for_each(|(n, counter)| add(counter, n));
+    (1..).zip(each).for_each(|(value, counter)| add(counter, value));
     let golden = concat!(
         r#"{"applied":17,"busy":16,"commit_us":11,"commits":9,"connected":7,"disconnected":8,"entries":10,"#,
         r#""freezes":14,"granted":19,"hellos_refused":6,"led":13,"overrun":4,"received":3,"requests":15,"#,
         r#""sent":1,"snapshots":12,"unanswered":18,"unreadable":5,"unsent":2,"verdicts":20}"#
     );
-    is_json(port.send("GET", "/v1/counters", ""), golden);
+    assert_json(server.send("GET", "/v1/counters", ""), golden);
 }
 
-/// Each answer to a proposal, and its JSON.
-fn proposed() -> Vec<(ProposeResponse, &'static str)> {
+/// Each response to a proposal, with its JSON.
+fn propose_responses() -> Vec<(ProposeResponse, &'static str)> {
     let applied = |reply| ProposeResponse::Applied { reply };
     vec![
         (applied(Reply::SessionOpened(SessionId(7))), r#"{"result":"applied","reply":{"Opened":7}}"#),
@@ -258,47 +280,56 @@
 }
 
 #[test]
-fn a_session_is_opened_and_a_proposal_answered_in_each_form() {
-    let port = Port::open();
-    for (proposed, golden) in proposed() {
-        let parsed: ProposeResponse = serde_json::from_str(golden).expect("clients read it");
-        assert_eq!(parsed, proposed);
-        let given = proposed.clone();
-        let answer = port.ask("POST", "/v1/sessions?within_ms=700", "", move |ask| {
-            let EngineRequest::OpenSession { timeout_ms: 700, reply } = ask else { panic!("{ask:?}") };
-            reply.send(given).unwrap();
+fn sessions_and_proposals_get_each_response_as_json() {
+    let server = TestServer::start();
+    for (expected, golden) in propose_responses() {
+        let parsed: ProposeResponse = serde_json::from_str(golden).expect("clients can parse the response");
+        assert_eq!(parsed, expected);
+        let sent = expected.clone();
+        let response = server.send_to_engine("POST", "/v1/sessions?within_ms=700", "", move |request| {
+            let EngineRequest::OpenSession { timeout_ms: 700, reply } = request else {
+                panic!("unexpected request: {request:?}")
+            };
+            reply.send(sent).unwrap();
         });
-        is_json(answer, golden);
+        assert_json(response, golden);
         let body = r#"{"command":{"Open":{"nonce":1}}}"#;
-        let answer = port.ask("POST", "/v1/propose", body, move |ask| {
+        let response = server.send_to_engine("POST", "/v1/propose", body, move |request| {
             let EngineRequest::Execute {
                 command: Command::OpenSession { nonce: 1 },
                 timeout_ms: 5_000,
                 reply,
-            } = ask
+            } = request
             else {
-                panic!("{ask:?}")
+                panic!("unexpected request: {request:?}")
             };
-            reply.send(proposed).unwrap();
+            reply.send(expected).unwrap();
         });
-        is_json(answer, golden);
+        assert_json(response, golden);
     }
-    // Without a wait, and with one beyond the limit.
-    for (path, within) in [("/v1/sessions", 5_000), ("/v1/sessions?within_ms=999999", 60_000)] {
-        let answer = port.ask("POST", path, "", move |ask| {
-            let EngineRequest::OpenSession { timeout_ms: wait, reply } = ask else { panic!("{ask:?}") };
-            assert_eq!(wait, within);
+    // Without a timeout the default applies, and one beyond the limit is reduced to it.
+    for (path, expected) in [("/v1/sessions", 5_000), ("/v1/sessions?within_ms=999999", 60_000)] {
+        let response = server.send_to_engine("POST", path, "", move |request| {
+            let EngineRequest::OpenSession { timeout_ms: timeout, reply } = request else {
+                panic!("unexpected request: {request:?}")
+            };
+            assert_eq!(timeout, expected);
             reply.send(ProposeResponse::Busy).unwrap();
         });
-        is_json(answer, r#"{"result":"busy"}"#);
+        assert_json(response, r#"{"result":"busy"}"#);
     }
 }
 
-/// Each command, and its JSON.
+/// Each command, with its JSON.
 fn commands() -> Vec<(Command, &'static str)> {
     let role = || Role("votes".into());
     let order = || Subject::new("orders", 9);
-    let settle = |ran| Command::ResolveOrder { role: role(), epoch: Epoch(4), order: order(), executed: ran };
+    let resolve_order = |was_executed| Command::ResolveOrder {
+        role: role(),
+        epoch: Epoch(4),
+        order: order(),
+        executed: was_executed,
+    };
     let from = InstanceId(11);
     vec![
         (Command::OpenSession { nonce: 77 }, r#"{"Open":{"nonce":77}}"#),
@@ -329,11 +360,11 @@
             r#"{"Hand":{"role":"votes","epoch":4,"order":{"space":"orders","number":9}}}"#,
         ),
         (
-            settle(true),
+            resolve_order(true),
             r#"{"Settle":{"role":"votes","epoch":4,"order":{"space":"orders","number":9},"ran":true}}"#,
         ),
         (
-            settle(false),
+            resolve_order(false),
             r#"{"Settle":{"role":"votes","epoch":4,"order":{"space":"orders","number":9},"ran":false}}"#,
         ),
         (
@@ -352,44 +383,52 @@
 }
 
 #[test]
-fn each_command_is_taken_alone_and_in_a_session() {
-    let port = Port::open();
+fn each_command_is_accepted_alone_and_in_a_session() {
+    let server = TestServer::start();
     for (command, json) in commands() {
-        assert_eq!(serde_json::to_string(&command).unwrap(), json, "as clients write it");
+        assert_eq!(serde_json::to_string(&command).unwrap(), json, "clients serialize it as the golden JSON");
         let body = format!(r#"{{"command":{json},"within_ms":800}}"#);
-        let wanted = command.clone();
-        let answer = port.ask("POST", "/v1/propose", &body, move |ask| {
-            let EngineRequest::Execute { command, timeout_ms: 800, reply } = ask else { panic!("{ask:?}") };
-            assert_eq!(command, wanted);
+        let expected = command.clone();
+        let response = server.send_to_engine("POST", "/v1/propose", &body, move |request| {
+            let EngineRequest::Execute { command, timeout_ms: 800, reply } = request else {
+                panic!("unexpected request: {request:?}")
+            };
+            assert_eq!(command, expected);
             reply.send(ProposeResponse::Busy).unwrap();
         });
-        is_json(answer, r#"{"result":"busy"}"#);
+        assert_json(response, r#"{"result":"busy"}"#);
         let json = format!(r#"{{"session":5,"sequence":6,"command":{json}}}"#);
-        let wanted = Proposal { session: SessionId(5), sequence: Sequence(6), command };
-        assert_eq!(serde_json::to_string(&wanted).unwrap(), json, "as clients write it");
+        let expected = Proposal { session: SessionId(5), sequence: Sequence(6), command };
+        assert_eq!(
+            serde_json::to_string(&expected).unwrap(),
+            json,
+            "clients serialize it as the golden JSON"
+        );
         let body = format!(r#"{{"command":null,"proposal":{json},"within_ms":null}}"#);
-        let answer = port.ask("POST", "/v1/propose", &body, move |ask| {
-            let EngineRequest::Propose { proposal, timeout_ms: 5_000, reply } = ask else {
-                panic!("{ask:?}")
+        let response = server.send_to_engine("POST", "/v1/propose", &body, move |request| {
+            let EngineRequest::Propose { proposal, timeout_ms: 5_000, reply } = request else {
+                panic!("unexpected request: {request:?}")
             };
-            assert_eq!(proposal, wanted);
+            assert_eq!(proposal, expected);
             reply.send(ProposeResponse::Busy).unwrap();
         });
-        is_json(answer, r#"{"result":"busy"}"#);
+        assert_json(response, r#"{"result":"busy"}"#);
     }
 }
 
 #[test]
-fn a_page_of_the_ledger_has_each_key_and_the_options_reach_the_core() {
-    let port = Port::open();
+fn a_page_of_the_ledger_has_each_key_and_the_options_reach_the_engine() {
+    let server = TestServer::start();
     let page = || {
         let views = [
             ("condemned", 42, SubjectState::Decided(vec![1, 255])),
             ("orders", 8, SubjectState::Dispatched(Epoch(3))),
             ("orders", 9, SubjectState::Executed(Epoch(4))),
         ];
-        let view =
-            |(space, number, standing)| SubjectView { subject: Subject::new(space, number), state: standing };
+        let view = |(space, number, subject_state)| SubjectView {
+            subject: Subject::new(space, number),
+            state: subject_state,
+        };
         let next = Some(Subject::new("orders", 9));
         SubjectPage { applied: Index(17), subjects: views.into_iter().map(view).collect(), next }
     };
@@ -400,107 +439,108 @@
         r#"{"subject":{"space":"orders","number":9},"standing":{"Ran":4}}],"#,
         r#""next":{"space":"orders","number":9}}"#
     );
-    assert_eq!(serde_json::from_str::<SubjectPage>(golden).expect("clients read it"), page());
+    assert_eq!(serde_json::from_str::<SubjectPage>(golden).expect("clients can parse the page"), page());
     let path = "/v1/ledger?space=orders&after=orders/7&stale=1&within_ms=900";
-    let answer = port.ask("GET", path, "", |ask| {
+    let response = server.send_to_engine("GET", path, "", |request| {
         let EngineRequest::Read {
             query: StateQuery::Page { after, space },
             consistency: ReadConsistency::Stale,
             timeout_ms: 900,
             reply,
-        } = ask
+        } = request
         else {
-            panic!("{ask:?}")
+            panic!("unexpected request: {request:?}")
         };
         assert_eq!((after, space.as_deref()), (Some(Subject::new("orders", 7)), Some("orders")));
         reply.send(Ok(QueryOutput::Subjects(page()))).unwrap();
     });
-    is_json(answer, golden);
-    let answer = port.ask("GET", "/v1/ledger?stale=0", "", |ask| {
+    assert_json(response, golden);
+    let response = server.send_to_engine("GET", "/v1/ledger?stale=0", "", |request| {
         let EngineRequest::Read {
             query: StateQuery::Page { after: None, space: None },
             consistency: ReadConsistency::Linearizable,
             timeout_ms: 5_000,
             reply,
-        } = ask
+        } = request
         else {
-            panic!("{ask:?}")
+            panic!("unexpected request: {request:?}")
         };
         reply
             .send(Ok(QueryOutput::Subjects(SubjectPage { applied: Index(1), subjects: vec![], next: None })))
             .unwrap();
     });
-    is_json(answer, r#"{"applied":1,"subjects":[],"next":null}"#);
-    let answer = port.ask("GET", "/v1/ledger/condemned/42?stale=1&within_ms=10", "", |ask| {
-        let EngineRequest::Read {
-            query: StateQuery::Subject(subject),
-            consistency: ReadConsistency::Stale,
-            timeout_ms: 10,
-            reply,
-        } = ask
-        else {
-            panic!("{ask:?}")
-        };
-        assert_eq!(subject, Subject::new("condemned", 42));
-        reply.send(Ok(QueryOutput::Subjects(SubjectPage { next: None, ..page() }))).unwrap();
-    });
-    is_json(answer, &golden.replace(r#""next":{"space":"orders","number":9}"#, r#""next":null"#));
-    let answer = port.ask("GET", "/v1/ledger", "", |ask| {
-        let EngineRequest::Read { consistency: ReadConsistency::Linearizable, reply, .. } = ask else {
-            panic!("{ask:?}")
+    assert_json(response, r#"{"applied":1,"subjects":[],"next":null}"#);
+    let response =
+        server.send_to_engine("GET", "/v1/ledger/condemned/42?stale=1&within_ms=10", "", |request| {
+            let EngineRequest::Read {
+                query: StateQuery::Subject(subject),
+                consistency: ReadConsistency::Stale,
+                timeout_ms: 10,
+                reply,
+            } = request
+            else {
+                panic!("unexpected request: {request:?}")
+            };
+            assert_eq!(subject, Subject::new("condemned", 42));
+            reply.send(Ok(QueryOutput::Subjects(SubjectPage { next: None, ..page() }))).unwrap();
+        });
+    assert_json(response, &golden.replace(r#""next":{"space":"orders","number":9}"#, r#""next":null"#));
+    let response = server.send_to_engine("GET", "/v1/ledger", "", |request| {
+        let EngineRequest::Read { consistency: ReadConsistency::Linearizable, reply, .. } = request else {
+            panic!("unexpected request: {request:?}")
         };
         reply.send(Err(QueryError::NoQuorum)).unwrap();
     });
-    is_fault(answer, 503, "no quorum");
-    is_fault(port.send("GET", "/v1/ledger?after=x", ""), 400, "SPACE/NUMBER");
-    is_fault(port.send("GET", "/v1/ledger/condemned/x", ""), 400, "condemned/x");
+    assert_error(response, 503, "no quorum");
+    assert_error(server.send("GET", "/v1/ledger?after=x", ""), 400, "SPACE/NUMBER");
+    assert_error(server.send("GET", "/v1/ledger/condemned/x", ""), 400, "condemned/x");
 }
 
 #[test]
 fn grants_have_each_key() {
-    let port = Port::open();
-    let grant = |holder: Option<&str>| LeaseView {
+    let server = TestServer::start();
+    let lease = |holder: Option<&str>| LeaseView {
         role: "votes".into(),
         holder: holder.map(str::to_owned),
         epoch: Epoch(4),
         renewed_at: Index(99),
     };
-    let answer = port.ask("GET", "/v1/grants?stale=1", "", |ask| {
+    let response = server.send_to_engine("GET", "/v1/grants?stale=1", "", |request| {
         let EngineRequest::Read {
             query: StateQuery::Leases,
             consistency: ReadConsistency::Stale,
             timeout_ms: 5_000,
             reply,
-        } = ask
+        } = request
         else {
-            panic!("{ask:?}")
+            panic!("unexpected request: {request:?}")
         };
-        reply.send(Ok(QueryOutput::Leases(vec![grant(Some("n1")), grant(None)]))).unwrap();
+        reply.send(Ok(QueryOutput::Leases(vec![lease(Some("n1")), lease(None)]))).unwrap();
     });
     let golden = concat!(
         r#"[{"role":"votes","holder":"n1","epoch":4,"renewed":99},"#,
         r#"{"role":"votes","holder":null,"epoch":4,"renewed":99}]"#
     );
-    is_json(answer, golden);
-    let parsed: Vec<LeaseView> = serde_json::from_str(golden).expect("clients read it");
-    assert_eq!(parsed, [grant(Some("n1")), grant(None)]);
-    let answer = port.ask("GET", "/v1/grants", "", |ask| {
+    assert_json(response, golden);
+    let parsed: Vec<LeaseView> = serde_json::from_str(golden).expect("clients can parse the leases");
+    assert_eq!(parsed, [lease(Some("n1")), lease(None)]);
+    let response = server.send_to_engine("GET", "/v1/grants", "", |request| {
         let EngineRequest::Read {
             query: StateQuery::Leases,
             consistency: ReadConsistency::Linearizable,
             timeout_ms: 5_000,
             reply,
-        } = ask
+        } = request
         else {
-            panic!("{ask:?}")
+            panic!("unexpected request: {request:?}")
         };
         reply.send(Err(QueryError::Busy)).unwrap();
     });
-    is_fault(answer, 503, "waits");
+    assert_error(response, 503, "waits");
 }
 
-/// Each answer to what only the leader does, and its JSON.
-fn operated() -> Vec<(OperationResponse, &'static str)> {
+/// Each response to a request that only the leader carries out, with its JSON.
+fn operation_responses() -> Vec<(OperationResponse, &'static str)> {
     vec![
         (OperationResponse::Done, r#"{"result":"done"}"#),
         (
@@ -514,46 +554,59 @@
 }
 
 #[test]
-fn members_transfer_and_snapshot_take_their_bodies_and_answer_in_each_form() {
-    let port = Port::open();
+fn members_transfer_and_snapshot_parse_their_bodies_and_get_each_response_as_json() {
+    let server = TestServer::start();
     let add = MembershipRequest::Add { id: "ab".into(), name: "n4".into(), address: "10.0.0.4:7001".into() };
     let changes = [
         (add, r#"{"add":{"id":"ab","name":"n4","address":"10.0.0.4:7001"}}"#),
         (MembershipRequest::Remove("n3".into()), r#"{"remove":"n3"}"#),
     ];
-    for (operated, golden) in operated() {
-        assert_eq!(serde_json::from_str::<OperationResponse>(golden).expect("clients read it"), operated);
+    for (expected, golden) in operation_responses() {
+        assert_eq!(
+            serde_json::from_str::<OperationResponse>(golden).expect("clients can parse the response"),
+            expected
+        );
         for (change, body) in changes.clone() {
-            assert_eq!(serde_json::to_string(&change).unwrap(), body, "as clients write it");
-            let given = operated.clone();
-            let answer = port.ask("POST", "/v1/members?within_ms=600", body, move |ask| {
-                let EngineRequest::ChangeMembership { request: asked, timeout_ms: 600, reply } = ask else {
-                    panic!("{ask:?}")
+            assert_eq!(
+                serde_json::to_string(&change).unwrap(),
+                body,
+                "clients serialize it as the golden JSON"
+            );
+            let sent = expected.clone();
+            let response = server.send_to_engine("POST", "/v1/members?within_ms=600", body, move |request| {
+                let EngineRequest::ChangeMembership { request: received, timeout_ms: 600, reply } = request
+                else {
+                    panic!("unexpected request: {request:?}")
                 };
-                assert_eq!(asked, change);
-                reply.send(given).unwrap();
+                assert_eq!(received, change);
+                reply.send(sent).unwrap();
             });
-            is_json(answer, golden);
+            assert_json(response, golden);
         }
-        let given = operated.clone();
-        let answer = port.ask("POST", "/v1/transfer", r#"{"to":"n2"}"#, move |ask| {
-            let EngineRequest::TransferLeadership { to, reply } = ask else { panic!("{ask:?}") };
+        let sent = expected.clone();
+        let response = server.send_to_engine("POST", "/v1/transfer", r#"{"to":"n2"}"#, move |request| {
+            let EngineRequest::TransferLeadership { to, reply } = request else {
+                panic!("unexpected request: {request:?}")
+            };
             assert_eq!(to, "n2");
-            reply.send(given).unwrap();
+            reply.send(sent).unwrap();
         });
-        is_json(answer, golden);
+        assert_json(response, golden);
         for body in ["", "{}"] {
-            let given = operated.clone();
-            let answer = port.ask("POST", "/v1/snapshot", body, move |ask| {
-                let EngineRequest::Compact(reply) = ask else { panic!("{ask:?}") };
-                reply.send(given).unwrap();
+            let sent = expected.clone();
+            let response = server.send_to_engine("POST", "/v1/snapshot", body, move |request| {
+                let EngineRequest::Compact(reply) = request else {
+                    panic!("unexpected request: {request:?}")
+                };
+                reply.send(sent).unwrap();
             });
-            is_json(answer, golden);
+            assert_json(response, golden);
         }
     }
 }
 
-const WORDS: [(VerdictKind, &str); 4] = [
+/// Each kind of verdict, with its name in the JSON.
+const VERDICT_KINDS: [(VerdictKind, &str); 4] = [
     (VerdictKind::Abstain, "none"),
     (VerdictKind::Advance, "on"),
     (VerdictKind::Hold, "hold"),
@@ -561,78 +614,87 @@
 ];
 
 #[test]
-fn each_verdict_is_heard_or_not() {
-    let port = Port::open();
-    for (word, name) in WORDS {
-        for heard in [true, false] {
+fn each_verdict_is_accepted_or_not() {
+    let server = TestServer::start();
+    for (verdict_kind, name) in VERDICT_KINDS {
+        for is_accepted in [true, false] {
             let body = format!(r#"{{"front":"f1","opinion":{{"build":42,"stage":3,"word":"{name}"}}}}"#);
-            let wanted = VerdictReport {
+            let expected = VerdictReport {
                 proxy: "f1".into(),
-                verdict: BuildVerdict { build: 42, stage: 3, kind: word },
+                verdict: BuildVerdict { build: 42, stage: 3, kind: verdict_kind },
             };
-            assert_eq!(serde_json::to_string(&wanted).unwrap(), body, "as clients write it");
-            let answer = port.ask("POST", "/v1/verdicts", &body, move |ask| {
-                let EngineRequest::ReportVerdict { report, reply } = ask else { panic!("{ask:?}") };
-                assert_eq!(report, wanted);
-                reply.send(VerdictReceipt { accepted: heard }).unwrap();
+            assert_eq!(
+                serde_json::to_string(&expected).unwrap(),
+                body,
+                "clients serialize it as the golden JSON"
+            );
+            let response = server.send_to_engine("POST", "/v1/verdicts", &body, move |request| {
+                let EngineRequest::ReportVerdict { report, reply } = request else {
+                    panic!("unexpected request: {request:?}")
+                };
+                assert_eq!(report, expected);
+                reply.send(VerdictReceipt { accepted: is_accepted }).unwrap();
             });
-            is_json(answer, &format!(r#"{{"heard":{heard}}}"#));
+            assert_json(response, &format!(r#"{{"heard":{is_accepted}}}"#));
         }
     }
 }
 
 #[test]
-fn a_watch_has_a_line_for_each_state_and_only_the_caster_is_told_to_cast() {
-    // Each watch tells the core twice, when its front comes and when it goes.
-    let port = Port::open_with_queue(64);
-    let opinion = |word| Some(BuildVerdict { build: 42, stage: 3, kind: word });
-    let cast = |opinion| Some(VoteAssignment { epoch: Epoch(4), verdict: opinion });
+fn a_watch_gets_each_state_and_only_the_voting_proxy_gets_the_vote() {
+    // Each watch notifies the engine twice: when its proxy connects and when it disconnects.
+    let server = TestServer::start_with_queue(64);
+    let build_verdict = |verdict_kind| Some(BuildVerdict { build: 42, stage: 3, kind: verdict_kind });
+    let vote_assignment = |cast_verdict| Some(VoteAssignment { epoch: Epoch(4), verdict: cast_verdict });
     let mut lines = vec![
         (Vec::new(), None, false, r#"{"condemned":[],"together":false}"#.to_owned()),
         (vec![41, 42], None, true, r#"{"condemned":[41,42],"together":true}"#.to_owned()),
         (
             vec![],
-            cast(None),
+            vote_assignment(None),
             true,
             r#"{"condemned":[],"cast":{"epoch":4,"opinion":null},"together":true}"#.to_owned(),
         ),
     ];
-    for (word, name) in WORDS {
-        let opinion_json = format!(r#"{{"build":42,"stage":3,"word":"{name}"}}"#);
+    for (verdict_kind, name) in VERDICT_KINDS {
+        let verdict_json = format!(r#"{{"build":42,"stage":3,"word":"{name}"}}"#);
         let line =
-            format!(r#"{{"condemned":[7],"cast":{{"epoch":4,"opinion":{opinion_json}}},"together":true}}"#);
-        lines.push((vec![7], cast(opinion(word)), true, line));
+            format!(r#"{{"condemned":[7],"cast":{{"epoch":4,"opinion":{verdict_json}}},"together":true}}"#);
+        lines.push((vec![7], vote_assignment(build_verdict(verdict_kind)), true, line));
     }
-    for (condemned, cast, together, golden) in lines {
-        let event = WatchEvent { condemned_builds: condemned, vote: cast, quorum_available: together };
-        assert_eq!(serde_json::from_str::<WatchEvent>(&golden).expect("clients read it"), event);
-        port.published.send_replace(PublishedState { event: event.clone(), voting_proxy: Some("f1".into()) });
-        let without = serde_json::to_string(&WatchEvent { vote: None, ..event }).unwrap();
-        assert!(!without.contains("cast"), "{without}");
-        for (front, golden) in [("f1", &golden), ("f2", &without)] {
-            let url = format!("http://{}/v1/watch?front={front}", port.address);
-            let mut answer = port.http.get(&url).call().expect("an answer");
-            assert_eq!(answer.status().as_u16(), 200);
-            assert_eq!(answer.headers()["content-type"], "application/x-ndjson");
+    for (condemned, assignment, has_quorum, golden) in lines {
+        let event =
+            WatchEvent { condemned_builds: condemned, vote: assignment, quorum_available: has_quorum };
+        assert_eq!(serde_json::from_str::<WatchEvent>(&golden).expect("clients can parse the event"), event);
+        server
+            .published
+            .send_replace(PublishedState { event: event.clone(), voting_proxy: Some("f1".into()) });
+        let without_vote = serde_json::to_string(&WatchEvent { vote: None, ..event }).unwrap();
+        assert!(!without_vote.contains("cast"), "{without_vote}");
+        for (proxy, golden) in [("f1", &golden), ("f2", &without_vote)] {
+            let url = format!("http://{}/v1/watch?front={proxy}", server.address);
+            let mut response = server.http.get(&url).call().expect("the server responds");
+            assert_eq!(response.status().as_u16(), 200);
+            assert_eq!(response.headers()["content-type"], "application/x-ndjson");
             let mut line = String::new();
-            let mut reader = std::io::BufReader::new(answer.body_mut().as_reader());
-            std::io::BufRead::read_line(&mut reader, &mut line).expect("a line");
+            let mut reader = std::io::BufReader::new(response.body_mut().as_reader());
+            std::io::BufRead::read_line(&mut reader, &mut line).expect("a line can be read");
             assert_eq!(line, format!("{golden}\n"));
         }
     }
-    let inputs = port.inputs.lock().unwrap();
-    let came = inputs.recv_timeout(Duration::from_secs(10)).expect("a front came");
-    assert!(matches!(&came, EngineInput::ProxyConnected(name) if name == "f1"), "{came:?}");
+    let inputs = server.inputs.lock().unwrap();
+    let input = inputs.recv_timeout(Duration::from_secs(10)).expect("the engine is notified of the proxy");
+    assert!(matches!(&input, EngineInput::ProxyConnected(name) if name == "f1"), "{input:?}");
     drop(inputs);
-    is_fault(port.send("GET", "/v1/watch", ""), 400, "front");
-    is_fault(port.send("GET", "/v1/watch?front=", ""), 400, "front");
-    is_fault(port.send("GET", &format!("/v1/watch?front={}", "x".repeat(65)), ""), 400, "front");
+    assert_error(server.send("GET", "/v1/watch", ""), 400, "front");
+    assert_error(server.send("GET", "/v1/watch?front=", ""), 400, "front");
+    assert_error(server.send("GET", &format!("/v1/watch?front={}", "x".repeat(65)), ""), 400, "front");
 }
 
 #[test]
-fn a_faulty_body_is_an_error_that_names_the_key() {
-    let port = Port::open();
-    for (path, body, names) in [
+fn an_invalid_body_is_an_error_that_names_the_key() {
+    let server = TestServer::start();
+    for (path, body, fragment) in [
         ("/v1/propose", json!({}), "proposal"),
         (
             "/v1/propose",
@@ -661,18 +723,18 @@
         ),
         ("/v1/verdicts", json!({"opinion": {"build": 1, "stage": 0, "word": "on"}}), "front"),
     ] {
-        is_fault(port.send("POST", path, &body.to_string()), 400, names);
+        assert_error(server.send("POST", path, &body.to_string()), 400, fragment);
     }
     for path in ["/v1/propose", "/v1/members", "/v1/transfer", "/v1/verdicts"] {
-        is_fault(port.send("POST", path, "no json"), 400, "");
+        assert_error(server.send("POST", path, "no json"), 400, "");
     }
 }
 
 #[test]
-fn an_unknown_path_a_wrong_method_and_a_long_body_have_their_codes() {
-    let port = Port::open();
-    is_fault(port.send("GET", "/v1/nothing", ""), 404, "no such path");
-    is_fault(port.send("POST", "/", "{}"), 404, "no such path");
+fn an_unknown_path_a_wrong_method_and_a_long_body_have_their_status_codes() {
+    let server = TestServer::start();
+    assert_error(server.send("GET", "/v1/nothing", ""), 404, "no such path");
+    assert_error(server.send("POST", "/", "{}"), 404, "no such path");
     for (method, path) in [
         ("POST", "/healthz"),
         ("POST", "/v1/status"),
@@ -688,23 +750,24 @@
         ("GET", "/v1/verdicts"),
         ("POST", "/v1/watch?front=f"),
     ] {
-        assert_eq!(port.send(method, path, "").0, 405, "{method} {path}");
+        assert_eq!(server.send(method, path, "").0, 405, "{method} {path}");
     }
     let long = format!(r#"{{"to":"{}"}}"#, "x".repeat(64 * 1024));
-    assert_eq!(port.send("POST", "/v1/transfer", &long).0, 413);
-    assert_eq!(port.send("GET", "/v1/ledger?within_ms=soon", "").0, 400);
+    assert_eq!(server.send("POST", "/v1/transfer", &long).0, 413);
+    assert_eq!(server.send("GET", "/v1/ledger?within_ms=soon", "").0, 400);
 }
 
 #[test]
-fn a_core_that_ends_is_busy_or_does_not_answer_is_told() {
-    let port = Port::open();
-    let answer = port.ask("GET", "/v1/status", "", drop);
-    is_fault(answer, 503, "ending");
-    let busy = Port::open_with_queue(0);
-    is_fault(busy.send("GET", "/v1/status", ""), 503, "busy");
-    is_fault(busy.send("GET", "/v1/watch?front=f", ""), 503, "busy");
-    let (sender, held) = std::sync::mpsc::channel();
-    let answer = port.ask("POST", "/v1/sessions?within_ms=0", "", move |ask| sender.send(ask).unwrap());
-    is_fault(answer, 504, "answer");
-    drop(held);
+fn an_engine_that_stops_is_busy_or_does_not_respond_is_an_error() {
+    let server = TestServer::start();
+    let response = server.send_to_engine("GET", "/v1/status", "", drop);
+    assert_error(response, 503, "ending");
+    let busy = TestServer::start_with_queue(0);
+    assert_error(busy.send("GET", "/v1/status", ""), 503, "busy");
+    assert_error(busy.send("GET", "/v1/watch?front=f", ""), 503, "busy");
+    let (sender, receiver) = std::sync::mpsc::channel();
+    let response = server
+        .send_to_engine("POST", "/v1/sessions?within_ms=0", "", move |request| sender.send(request).unwrap());
+    assert_error(response, 504, "answer");
+    drop(receiver);
 }
--- a/crates/agent/tests/stored_data.rs
+++ b/crates/agent/tests/stored_data.rs
@@ -1,8 +1,9 @@
-//! The agent's program goes on from a store that an earlier version wrote, and shows it in the same JSON as ever.
+//! The agent starts from a store that an earlier version wrote, and serves its content in the same JSON.
 //!
-//! The fixture `fixtures/store-8a93f45/alma.redb` was written once by the code of commit 8a93f45 and is never to be
-//! written anew; the tests of the same name in the store's and the agreement's packages read it more closely. Its
-//! only other voter does not run here, so nothing new is decided: all reads are of what is held.
+//! The fixture `fixtures/store-8a93f45/alma.redb` was written once by the code of commit 8a93f45 and must
+//! never be rewritten. Tests of the same name in the packages of the store and of the consensus check its
+//! content in more detail. The only other voter does not run in this test, so no new entry is committed and
+//! all reads are stale.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,9 +13,10 @@
 use garnetcrank_test_support::agent_cluster::{client, get, wait_until};
 use serde_json::{Value, json};
 
+/// Agent that runs on a copy of the fixture.
 struct Agent {
     child: Child,
-    local: SocketAddr,
+    http_address: SocketAddr,
     _folder: tempfile::TempDir,
 }
 
@@ -27,42 +29,43 @@
 
 impl Agent {
     fn start() -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/store-8a93f45/alma.redb");
         let store = folder.path().join("alma.redb");
-        std::fs::copy(fixture, &store).expect("the fixture is copied");
-        // A loopback address of this process's own; the other voter's is one where nobody listens.
+        std::fs::copy(fixture, &store).expect("the fixture can be copied");
+        // A loopback address unique to this process. Nothing listens at the address of the other voter.
         let [_, _, high, low] = std::process::id().to_be_bytes();
-        let at = |port: u16| SocketAddr::from(([127, 1 + high % 250, low, 254], port));
+        let address = |port: u16| SocketAddr::from(([127, 1 + high % 250, low, 254], port));
         let config = folder.path().join("alma.json");
         let text = json!({
-            "name": "alma", "cluster": "eger", "store": store, "peers": at(7001).to_string(),
-            "announce": "127.0.0.1:7101", "local": at(7101).to_string(), "via": {"birs": at(9).to_string()},
+            "name": "alma", "cluster": "eger", "store": store, "peers": address(7001).to_string(),
+            "announce": "127.0.0.1:7101", "local": address(7101).to_string(), "via": {"birs": address(9).to_string()},
         });
-        std::fs::write(&config, text.to_string()).expect("the configuration is written");
+        std::fs::write(&config, text.to_string()).expect("the configuration can be written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_garnetcrank-agent"));
         let child = command.arg("run").arg("--config").arg(&config).stderr(Stdio::null()).spawn();
-        Self { child: child.expect("the agent starts"), local: at(7101), _folder: folder }
+        Self { child: child.expect("the agent can be started"), http_address: address(7101), _folder: folder }
     }
 
+    /// Gets JSON; null if the agent does not respond.
     fn get(&self, path: &str) -> Value {
-        let answer = get(&client(Duration::from_secs(5)), self.local, path);
-        answer.map(|(_, value)| value).unwrap_or_default()
+        let response = get(&client(Duration::from_secs(5)), self.http_address, path);
+        response.map(|(_, value)| value).unwrap_or_default()
     }
 }
 
 #[test]
-fn the_agent_goes_on_from_a_store_of_an_earlier_version() {
+fn a_store_of_an_earlier_version_is_served_in_the_same_json() {
     let agent = Agent::start();
-    wait_until("all that was decided is applied", || agent.get("/v1/status")["node"]["applied"] == 329);
+    wait_until("all committed entries are applied", || agent.get("/v1/status")["node"]["applied"] == 329);
 
     let mut status = agent.get("/v1/status");
-    let running = status.as_object_mut().expect("an object");
-    // These depend on the moment and on the program, not on what is stored.
+    let status_object = status.as_object_mut().expect("the status is an object");
+    // These keys depend on the time and on the program, not on the store.
     for key in ["up_ms", "version", "store_bytes"] {
-        assert!(running.remove(key).is_some(), "{key}");
+        assert!(status_object.remove(key).is_some(), "{key}");
     }
-    let node = running["node"].as_object_mut().expect("an object");
+    let node = status_object["node"].as_object_mut().expect("the node is an object");
     for key in ["standing", "waiting"] {
         assert!(node.remove(key).is_some(), "{key}");
     }
@@ -80,34 +83,34 @@
     });
     assert_eq!(status, expected);
 
-    let grant = |role: &str, holder: Option<&str>, epoch: u64, renewed: u64| json!({"role": role, "holder": holder, "epoch": epoch, "renewed": renewed});
-    let grants = json!([
-        grant("later", Some("alma"), 2, 319),
-        grant("left", None, 2, 129),
-        grant("of-citrom", None, 2, 130),
-        grant("orders", Some("alma"), 2, 125),
-        grant("votes", Some("alma"), 2, 314),
+    let lease = |role: &str, holder: Option<&str>, epoch: u64, renewed: u64| json!({"role": role, "holder": holder, "epoch": epoch, "renewed": renewed});
+    let leases = json!([
+        lease("later", Some("alma"), 2, 319),
+        lease("left", None, 2, 129),
+        lease("of-citrom", None, 2, 130),
+        lease("orders", Some("alma"), 2, 125),
+        lease("votes", Some("alma"), 2, 314),
     ]);
-    assert_eq!(agent.get("/v1/grants?stale=1"), grants);
+    assert_eq!(agent.get("/v1/grants?stale=1"), leases);
 
     let mut subjects: Vec<Value> = Vec::new();
     let mut path = "/v1/ledger?stale=1".to_owned();
     loop {
         let page = agent.get(&path);
         assert_eq!(page["applied"], 329);
-        subjects.extend(page["subjects"].as_array().expect("subjects").iter().cloned());
+        subjects.extend(page["subjects"].as_array().expect("the page has subjects").iter().cloned());
         let next = &page["next"];
         if next.is_null() {
             break;
         }
-        let space = next["space"].as_str().expect("a space");
+        let space = next["space"].as_str().expect("the next subject has a space");
         path = format!("/v1/ledger?stale=1&after={space}/{}", next["number"]);
     }
     let mut expected: Vec<Value> = (1001..=1130)
         .map(|number: u64| {
-            let by: u64 =
+            let decided_by: u64 =
                 if number.is_multiple_of(2) { 0x0a11_ce00_0000_0001 } else { 0x0b0b_0000_0000_0002 };
-            let mut value = by.to_le_bytes()[..(number % 9) as usize].to_vec();
+            let mut value = decided_by.to_le_bytes()[..(number % 9) as usize].to_vec();
             value.push((number % 251) as u8);
             json!({"subject": {"space": "condemned", "number": number}, "standing": {"Decided": value}})
         })
@@ -115,7 +118,7 @@
     expected.push(
         json!({"subject": {"space": "held", "number": u64::MAX}, "standing": {"Decided": [0xde, 0xad]}}),
     );
-    for (number, standing) in [
+    for (number, state) in [
         (6, json!({"Ran": 1})),
         (7, json!({"Handed": 1})),
         (9, json!({"Handed": 2})),
@@ -123,7 +126,7 @@
         (11, json!({"Ran": 2})),
         (12, json!({"Handed": 2})),
     ] {
-        expected.push(json!({"subject": {"space": "order", "number": number}, "standing": standing}));
+        expected.push(json!({"subject": {"space": "order", "number": number}, "standing": state}));
     }
     assert_eq!(subjects, expected);
 }
