--- a/crates/cli/src/command_text.rs
+++ b/crates/cli/src/command_text.rs
@@ -1,7 +1,7 @@
 //! One-line descriptions of replies and of the commands in log entries.
 //!
-//! Commands, replies and fields have the same names as in the JSON of the agent's HTTP port, so that operators
-//! find the same names in both.
+//! Commands, replies and fields have the same names as in the JSON of the agent's HTTP port, so that
+//! operators find the same names in both.
 
 use garnetcrank_consensus::replicated_state::{Command, Reply};
 
