--- a/crates/proxy/tests/proxy/attempts.rs
+++ b/crates/proxy/tests/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what the client is told.
+//! Outcomes of attempts, and the responses that clients get for them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,12 +7,14 @@
     EndpointBehavior, RunningProxy, ScriptedEndpoint, request, wait_until,
 };
 
-use crate::common::{ok, proxy_setup};
+use crate::common::{proxy_setup, respond_ok};
 
 #[test]
-fn each_outcome_of_an_attempt_is_told_apart() {
-    // Where an attempt may have run, a request that must not run twice is failed and never sent again.
-    for (does, status) in [
+fn the_outcome_of_an_attempt_determines_status_and_retries() {
+    // After an attempt that may have run, a non-idempotent request is failed with 502 and never retried. A
+    // response with Not-Started shows that the request has not run: it may be retried, and the client gets
+    // 503 with Retry-After.
+    for (behavior, status) in [
         (EndpointBehavior::Respond(500, "", Vec::new()), 502),
         (EndpointBehavior::Respond(503, "", Vec::new()), 502),
         (EndpointBehavior::Close, 502),
@@ -26,71 +28,78 @@
         (EndpointBehavior::SendRaw(b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello".to_vec()), 502),
         (EndpointBehavior::SendRaw([b"HTTP/1.1 200 OK\r\nX: ".to_vec(), vec![b'y'; 20_000]].concat()), 502),
         (EndpointBehavior::SendRaw(b"HTTP/1.1 103 Early Hints\r\n\r\n".repeat(50)), 502),
-        // Cut short, it would look whole: nothing says how long it is.
+        // Without a length, a truncated response would look complete.
         (EndpointBehavior::SendRawAndClose("HTTP/1.1 200 OK\r\n\r\nhalf an ans"), 502),
         (EndpointBehavior::SendRawAndClose("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf an ans"), 502),
         (EndpointBehavior::Respond(200, "", vec![b'x'; 70_000]), 502),
         (EndpointBehavior::Respond(503, "Not-Started: 1\r\n", Vec::new()), 503),
         (EndpointBehavior::Respond(504, "Not-Started: 1\r\n", Vec::new()), 503),
     ] {
-        let endpoint = ScriptedEndpoint::start(does.clone());
+        let endpoint = ScriptedEndpoint::start(behavior.clone());
         let (_discovery, _controller, setup) = proxy_setup(&[endpoint.address]);
         let proxy = RunningProxy::start(&setup);
-        let answer = proxy.client().exchange(&request("POST", "/pay", 5000, "x")).expect("an answer");
-        assert_eq!(answer.status(), status, "{does:?}");
+        let response =
+            proxy.client().exchange(&request("POST", "/pay", 5000, "x")).expect("the proxy responds");
+        assert_eq!(response.status(), status, "{behavior:?}");
         let sent = endpoint.requests().len();
         let expected = if status == 502 { 1..=1 } else { 1..=3 };
-        assert!(expected.contains(&sent), "sent {sent} times: {does:?}");
-        assert_eq!(answer.header("retry-after").is_some(), status == 503, "{does:?}");
+        assert!(expected.contains(&sent), "{sent} attempts: {behavior:?}");
+        assert_eq!(response.header("retry-after").is_some(), status == 503, "{behavior:?}");
     }
 }
 
 #[test]
-fn an_unreachable_endpoint_never_ran_a_request_which_is_retried_elsewhere() {
-    // Bound and not listening: refused for as long as the test runs, and nobody else's meanwhile.
-    let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-    let dead = held.local_addr().expect("an address").as_socket().expect("with a port");
-    let alive = ScriptedEndpoint::start(ok("yes"));
-    let (_discovery, _controller, setup) = proxy_setup(&[dead, alive.address]);
+fn a_request_to_an_unreachable_endpoint_is_retried_elsewhere() {
+    // A socket that is bound but not listening refuses connections and keeps other processes off its port.
+    let bound_socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("a socket is created");
+    bound_socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a loopback port is free");
+    let unreachable =
+        bound_socket.local_addr().expect("the socket has an address").as_socket().expect("an IP address");
+    let reachable = ScriptedEndpoint::start(respond_ok("yes"));
+    let (_discovery, _controller, setup) = proxy_setup(&[unreachable, reachable.address]);
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
     for _ in 0..20 {
-        assert_eq!(client.exchange(&request("POST", "/pay", 9000, "x")).expect("an answer").status(), 200);
+        assert_eq!(
+            client.exchange(&request("POST", "/pay", 9000, "x")).expect("the proxy responds").status(),
+            200
+        );
     }
-    assert_eq!(alive.requests().len(), 20);
+    assert_eq!(reachable.requests().len(), 20);
 }
 
 #[test]
-fn a_silent_endpoint_leads_to_one_final_answer_in_time() {
+fn a_timed_out_request_is_failed_and_its_late_response_discarded() {
     let endpoint = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _controller, setup) = proxy_setup(&[endpoint.address]);
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
-    let answer = client.exchange(&request("POST", "/pay", 300, "x")).expect("an answer");
-    assert_eq!(answer.status(), 502);
-    // The late response of the first must reach nobody, least of all the next request.
+    let response = client.exchange(&request("POST", "/pay", 300, "x")).expect("the proxy responds");
+    assert_eq!(response.status(), 502);
+    // The late response must reach no client, and must not be taken for the response to the next request.
     endpoint.release();
-    endpoint.set_behavior(ok("the second"));
-    let answer = client.exchange(&request("POST", "/book", 9000, "x")).expect("an answer");
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"the second"[..]));
+    endpoint.set_behavior(respond_ok("the second"));
+    let response = client.exchange(&request("POST", "/book", 9000, "x")).expect("the proxy responds");
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"the second"[..]));
 }
 
 #[test]
-fn a_suspended_process_forwards_a_response_that_arrived_in_time() {
+fn a_resumed_proxy_forwards_a_response_that_arrived_in_time() {
     let endpoint = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
     let (_discovery, _controller, setup) = proxy_setup(&[endpoint.address]);
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
     client.send(&request("POST", "/pay", 1_000, "x"));
-    wait_until("the request at the machine", || endpoint.requests().len() == 1);
+    wait_until("the request reaches the endpoint", || endpoint.requests().len() == 1);
     proxy.signal("STOP");
     endpoint.release();
-    // The response lies unread while the request's time runs out, and both are found in one turn.
+    // The response stays unread until the request's timeout has passed: the proxy finds both in one turn of
+    // its event loop.
     std::thread::sleep(Duration::from_millis(1_200));
     proxy.signal("CONT");
-    let answer = client.read().expect("an answer");
-    assert_eq!((answer.status(), answer.body), (200, b"late".to_vec()));
+    let response = client.read().expect("the proxy responds");
+    assert_eq!((response.status(), response.body), (200, b"late".to_vec()));
     assert_eq!(endpoint.requests().len(), 1);
 }
 
@@ -106,7 +115,7 @@
         for served in 1..=3 {
             assert_eq!((client.get().status(), endpoint.requests().len()), (200, served), "{extra:?}");
         }
-        assert_eq!(endpoint.connections(), 3, "used again after {extra:?}");
+        assert_eq!(endpoint.connection_count(), 3, "connection reused after {extra:?}");
     }
     let interim = format!("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 X\r\n\r\n{good}");
     let endpoint = ScriptedEndpoint::start(EndpointBehavior::SendRaw(interim.into_bytes()));
--- a/crates/proxy/tests/proxy/bad_clients.rs
+++ b/crates/proxy/tests/proxy/bad_clients.rs
@@ -6,22 +6,22 @@
     EndpointBehavior, RunningProxy, ScriptedEndpoint, request, wait_until,
 };
 
-use crate::common::{ok, proxy_setup};
+use crate::common::{proxy_setup, respond_ok};
 
 #[test]
-fn an_invalid_request_gets_an_error_and_a_close_and_reaches_no_endpoint() {
-    let endpoint = ScriptedEndpoint::start(ok("yes"));
+fn an_invalid_request_is_rejected_closes_the_connection_and_reaches_no_endpoint() {
+    let endpoint = ScriptedEndpoint::start(respond_ok("yes"));
     let (_discovery, _controller, setup) = proxy_setup(&[endpoint.address]);
     let proxy = RunningProxy::start(&setup);
-    let good = request("GET", "/look", 1000, "");
-    let long = format!("GET /look HTTP/1.1\r\nHost: x\r\nX: {}\r\n\r\n", "y".repeat(20_000));
+    let valid = request("GET", "/look", 1000, "");
+    let oversized_head = format!("GET /look HTTP/1.1\r\nHost: x\r\nX: {}\r\n\r\n", "y".repeat(20_000));
     for (text, status) in [
         ("nonsense\r\n\r\n".to_owned(), 400),
-        (good.replace("Request-Id", "Other"), 400),
-        (good.replace("/look", "/unheard"), 404),
-        (good.replace("acme", "nobody"), 400),
-        (good.replace("1000", "soon"), 400),
-        (good.replace("Host: service.internal\r\n", ""), 400),
+        (valid.replace("Request-Id", "Other"), 400),
+        (valid.replace("/look", "/unheard"), 404),
+        (valid.replace("acme", "nobody"), 400),
+        (valid.replace("1000", "soon"), 400),
+        (valid.replace("Host: service.internal\r\n", ""), 400),
         (
             request("POST", "/book", 1000, "ab")
                 .replace("Content-Length: 2", "Content-Length: 2\r\nContent-Length: 3"),
@@ -34,17 +34,21 @@
         ),
         (request("POST", "/book", 1000, "ab").replace("Content-Length: 2", "Content-Length: 99999999"), 413),
         (request("POST", "/book", 1000, "ab").replace("Content-Length: 2", "Transfer-Encoding: gzip"), 501),
-        (good.replace("HTTP/1.1", "HTTP/1.0"), 505),
-        (good.replace("GET", "HEAD"), 501),
-        (long, 431),
+        (valid.replace("HTTP/1.1", "HTTP/1.0"), 505),
+        (valid.replace("GET", "HEAD"), 501),
+        (oversized_head, 431),
     ] {
         let mut client = proxy.client();
-        let answer = client.exchange(&text).unwrap_or_else(|| panic!("no answer to {text:?}"));
-        assert_eq!(answer.status(), status, "{text:?}");
-        assert!(client.is_closed(), "still open after {text:?}");
+        let response = client.exchange(&text).unwrap_or_else(|| panic!("no response to {text:?}"));
+        assert_eq!(response.status(), status, "{text:?}");
+        assert!(client.is_closed(), "connection open after {text:?}");
     }
     assert!(endpoint.requests().is_empty());
-    assert_eq!(proxy.client().exchange(&good).expect("an answer").status(), 200, "it serves on");
+    assert_eq!(
+        proxy.client().exchange(&valid).expect("the proxy responds").status(),
+        200,
+        "a valid request after invalid ones"
+    );
 }
 
 #[test]
@@ -52,8 +56,8 @@
     let (_discovery, _controller, setup) = proxy_setup(&[]);
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
-    let answer = client.exchange("POST /book HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf");
-    assert_eq!(answer.expect("an answer").status(), 408);
+    let response = client.exchange("POST /book HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf");
+    assert_eq!(response.expect("the proxy responds").status(), 408);
     assert!(client.is_closed());
 }
 
@@ -64,25 +68,25 @@
     let proxy = RunningProxy::start(&setup);
     let (text, mut first, mut second) = (request("GET", "/look", 9000, ""), proxy.client(), proxy.client());
     first.send(&text);
-    wait_until("the request at the machine", || endpoint.requests().len() == 1);
-    assert_eq!(second.exchange(&text).expect("an answer").status(), 409);
+    wait_until("the request reaches the endpoint", || endpoint.requests().len() == 1);
+    assert_eq!(second.exchange(&text).expect("the proxy responds").status(), 409);
     assert!(second.is_closed());
     endpoint.release();
-    assert_eq!(first.read().expect("an answer").body, b"late");
+    assert_eq!(first.read().expect("the proxy responds").body, b"late");
     assert_eq!(endpoint.requests().len(), 1);
 }
 
 #[test]
-fn a_dripping_client_times_out() {
+fn a_client_that_sends_one_byte_at_a_time_times_out() {
     let (_discovery, _controller, setup) = proxy_setup(&[]);
     let proxy = RunningProxy::start(&setup);
     let mut client = proxy.client();
     client.send("GET /look HTTP/1.1\r\nHost: x\r\nX: ");
-    wait_until("the connection ends", || {
+    wait_until("the connection is closed", || {
         std::thread::sleep(Duration::from_millis(50));
         !client.send("y")
     });
-    wait_until("it is counted as late", || {
+    wait_until("the request is counted as late", || {
         proxy.signal("USR1");
         proxy.log().contains(" bad_late=1 ")
     });
@@ -90,21 +94,21 @@
 
 #[test]
 fn an_oversized_body_is_rejected_while_other_clients_are_served() {
-    let endpoint = ScriptedEndpoint::start(ok("yes"));
+    let endpoint = ScriptedEndpoint::start(respond_ok("yes"));
     let (_discovery, _controller, setup) = proxy_setup(&[endpoint.address]);
     let proxy = RunningProxy::start(&setup);
-    let mut usual = proxy.client();
+    let mut active_client = proxy.client();
     for _ in 0..3 {
         let mut client = proxy.client();
         client.send(
             &request("POST", "/book", 9000, "").replace("Content-Length: 0", "Content-Length: 60000000"),
         );
-        let block = "x".repeat(1_000_000);
-        let taken = (0..60).take_while(|_| client.send(&block)).count();
-        assert!(taken < 60, "all of it was read");
-        assert_eq!(usual.get().status(), 200);
+        let megabyte = "x".repeat(1_000_000);
+        let blocks_sent = (0..60).take_while(|_| client.send(&megabyte)).count();
+        assert!(blocks_sent < 60, "the proxy read the complete body");
+        assert_eq!(active_client.get().status(), 200);
     }
-    wait_until("they are counted as too large", || {
+    wait_until("three requests are counted as too large", || {
         proxy.signal("USR1");
         proxy.log().contains(" bad_large=3 ")
     });
--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -1,4 +1,5 @@
-//! The whole program on loopback, between scripted clients, endpoints, discovery and release controller.
+//! End-to-end tests of the proxy's program on loopback, between scripted clients, endpoints, discovery and
+//! release controller.
 
 mod attempts;
 mod bad_clients;
--- a/crates/test-support/src/agent_cluster.rs
+++ b/crates/test-support/src/agent_cluster.rs
@@ -1,5 +1,5 @@
-//! Real agents as processes on loopback, with a relay for each direction between two, that tests freeze, kill, cut off
-//! and restart.
+//! A cluster of real agent processes on loopback, which tests suspend, kill, isolate and restart. A relay for
+//! each direction between two agents can cut their connection.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -13,29 +13,31 @@
 
 use crate::fault_relay::FaultRelay;
 
-/// Longest wait for a connection.
+/// Maximum wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for an answer of an agent to the cluster's own requests.
+/// Maximum wait for a response to a request of [`AgentCluster`] itself.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
-/// Longest wait in [`wait_until`], and how often the condition is checked meanwhile.
+/// Maximum wait in [`wait_until`].
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two checks in [`wait_until`].
 const WAIT_INTERVAL: Duration = Duration::from_millis(10);
-/// Ports of each agent, on a loopback address of its own.
+/// Port for peers, on the agent's own loopback address.
 const PEER_PORT: u16 = 7001;
+/// Port for HTTP, on the agent's own loopback address.
 const HTTP_PORT: u16 = 7101;
 
-/// How the agents of a test run.
+/// Settings of a test cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterOptions {
     /// Number of agents.
     pub agents: usize,
     /// Length of a tick, in milliseconds.
     pub tick_ms: u64,
-    /// Shortest time without a leader before an election, in ticks.
+    /// Minimum time without a leader before an election, in ticks.
     pub election_ticks: u64,
-    /// How long a lease stays valid without renewal, in milliseconds.
+    /// Time for which a lease stays valid without renewal, in milliseconds.
     pub lease_ttl_ms: u64,
-    /// Applied entries after which the log is compacted.
+    /// Number of applied entries after which the log is compacted.
     pub compact_every: u64,
     /// Whether there is a relay for each direction between two agents, which [`AgentCluster::cut`] needs.
     pub relays: bool,
@@ -55,15 +57,15 @@
 }
 
 struct Agent {
-    /// The process, while it runs.
+    /// The process; none if it was not started or was ended.
     child: Option<Child>,
     config: PathBuf,
     http_address: SocketAddr,
-    /// The relay to each other agent, by that agent's place.
+    /// Relays to the other agents, by their index.
     relays: Vec<Option<FaultRelay>>,
 }
 
-/// Why a request got no usable answer.
+/// Failure to get a usable response.
 #[derive(Debug, thiserror::Error)]
 #[error("{url}: {source}")]
 pub struct RequestError {
@@ -71,15 +73,15 @@
     source: Box<ureq::Error>,
 }
 
-/// A cluster of agents, which end when it is dropped.
+/// A cluster of agents, which are killed when it is dropped.
 pub struct AgentCluster {
     program: PathBuf,
     agents: Vec<Agent>,
     http: ureq::Agent,
 }
 
-/// A loopback address of an agent's own, from this process's id and a count: a free port that the system names may be
-/// given to another process before the agent binds it.
+/// Returns a loopback address that no other agent uses, from the id of this process and a count. A free port
+/// from the system would not do: another process may take it before the agent binds it.
 fn unique_address(port: u16) -> SocketAddr {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
@@ -88,7 +90,7 @@
     SocketAddr::from(([127, 1 + high % 250, low, u8::try_from(count % 256).unwrap_or(0)], port))
 }
 
-/// A client with a time limit for each request. Any status counts as an answer.
+/// Creates an HTTP client with a timeout for each request. No status counts as an error.
 pub fn client(timeout: Duration) -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
@@ -98,10 +100,10 @@
     config.into()
 }
 
-/// Posts JSON; the status and the answer.
+/// Sends a POST request with JSON. Returns the status and the JSON of the response.
 ///
 /// # Errors
-/// No answer, or one that is no JSON.
+/// When there is no response, or its body is not JSON.
 pub fn post(
     http: &ureq::Agent,
     to: SocketAddr,
@@ -110,20 +112,20 @@
 ) -> Result<(u16, Value), RequestError> {
     let url = format!("http://{to}{path}");
     let response = http.post(&url).send_json(body);
-    read_answer(response).map_err(|error| RequestError { url, source: Box::new(error) })
+    read_response(response).map_err(|error| RequestError { url, source: Box::new(error) })
 }
 
-/// Gets JSON; the status and the answer.
+/// Sends a GET request. Returns the status and the JSON of the response.
 ///
 /// # Errors
-/// No answer, or one that is no JSON.
+/// When there is no response, or its body is not JSON.
 pub fn get(http: &ureq::Agent, from: SocketAddr, path: &str) -> Result<(u16, Value), RequestError> {
     let url = format!("http://{from}{path}");
     let response = http.get(&url).call();
-    read_answer(response).map_err(|error| RequestError { url, source: Box::new(error) })
+    read_response(response).map_err(|error| RequestError { url, source: Box::new(error) })
 }
 
-fn read_answer(
+fn read_response(
     response: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
 ) -> Result<(u16, Value), ureq::Error> {
     let mut response = response?;
@@ -131,10 +133,10 @@
     Ok((response.status().as_u16(), value))
 }
 
-/// Waits until a condition holds.
+/// Waits until `condition` holds; `what` names it.
 ///
 /// # Panics
-/// It does not hold within half a minute.
+/// When it does not hold within 30 seconds.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
@@ -145,23 +147,28 @@
 
 impl Agent {
     /// Starts an agent's relays and writes its configuration.
-    fn configure(at: usize, peer_addresses: &[SocketAddr], folder: &Path, options: &ClusterOptions) -> Self {
+    fn configure(
+        index: usize,
+        peer_addresses: &[SocketAddr],
+        folder: &Path,
+        options: &ClusterOptions,
+    ) -> Self {
         let mut relays = Vec::new();
         let mut overrides = serde_json::Map::new();
         for (other, peer_address) in peer_addresses.iter().enumerate() {
-            if !options.relays || other == at {
+            if !options.relays || other == index {
                 relays.push(None);
                 continue;
             }
-            let relay = FaultRelay::start(*peer_address).expect("a relay");
+            let relay = FaultRelay::start(*peer_address).expect("the relay starts");
             overrides.insert(format!("n{other}"), json!(relay.address().to_string()));
             relays.push(Some(relay));
         }
-        let peer_address = peer_addresses[at];
+        let peer_address = peer_addresses[index];
         let http_address = SocketAddr::new(peer_address.ip(), HTTP_PORT);
-        let config = folder.join(format!("n{at}.json"));
+        let config = folder.join(format!("n{index}.json"));
         let text = json!({
-            "name": format!("n{at}"), "cluster": "test", "store": folder.join(format!("n{at}.redb")),
+            "name": format!("n{index}"), "cluster": "test", "store": folder.join(format!("n{index}.redb")),
             "peers": peer_address.to_string(), "local": http_address.to_string(), "via": overrides,
             "tick_ms": options.tick_ms, "election_ticks": options.election_ticks,
             "life_ms": options.lease_ttl_ms, "fold_every": options.compact_every,
@@ -172,144 +179,149 @@
 }
 
 impl AgentCluster {
-    /// Founds a cluster in an empty folder, starts all agents and waits until all of them vote.
+    /// Creates a cluster in an empty folder, starts all agents and waits until all of them are voters.
     ///
     /// # Panics
-    /// It does not come up.
+    /// When the cluster can't be created, or the agents do not become voters in time.
     pub fn start(program: &Path, folder: &Path, options: &ClusterOptions) -> Self {
         let count = options.agents;
         let peer_addresses: Vec<SocketAddr> = (0..count).map(|_| unique_address(PEER_PORT)).collect();
         let mut agents = Vec::new();
-        for at in 0..count {
-            agents.push(Agent::configure(at, &peer_addresses, folder, options));
+        for index in 0..count {
+            agents.push(Agent::configure(index, &peer_addresses, folder, options));
         }
         let mut cluster = Self { program: program.to_owned(), agents, http: client(REQUEST_TIMEOUT) };
-        let founded = cluster.command("found", 0).output().expect("the agent runs");
-        assert!(founded.status.success(), "{founded:?}");
-        for at in 0..count {
-            cluster.start_agent(at);
+        let output = cluster.command("found", 0).output().expect("the agent runs");
+        assert!(output.status.success(), "{output:?}");
+        for index in 0..count {
+            cluster.start_agent(index);
         }
-        for at in 1..count {
-            cluster.add(at);
+        for index in 1..count {
+            cluster.add(index);
         }
-        wait_until("all vote", || (0..count).all(|at| cluster.role(at) == "voter"));
+        wait_until("all agents are voters", || (0..count).all(|index| cluster.role(index) == "voter"));
         cluster
     }
 
-    fn command(&self, job: &str, at: usize) -> Command {
+    fn command(&self, subcommand: &str, index: usize) -> Command {
         let mut command = Command::new(&self.program);
         let log = std::fs::File::options()
             .create(true)
             .append(true)
-            .open(self.agents[at].config.with_extension("log"));
+            .open(self.agents[index].config.with_extension("log"));
         let log = log.map_or(Stdio::null(), Stdio::from);
-        command.arg(job).arg("--config").arg(&self.agents[at].config).stderr(log);
+        command.arg(subcommand).arg("--config").arg(&self.agents[index].config).stderr(log);
         command
     }
 
-    /// Number of agents.
+    /// Returns the number of agents.
     pub fn len(&self) -> usize {
         self.agents.len()
     }
 
-    /// Whether there are no agents.
+    /// Returns whether there are no agents.
     pub fn is_empty(&self) -> bool {
         self.agents.is_empty()
     }
 
-    /// The address of an agent's HTTP port.
-    pub fn local(&self, at: usize) -> SocketAddr {
-        self.agents[at].http_address
+    /// Returns the HTTP address of an agent.
+    pub fn local(&self, index: usize) -> SocketAddr {
+        self.agents[index].http_address
     }
 
     /// Starts an agent.
     ///
     /// # Panics
-    /// It does not start.
-    pub fn start_agent(&mut self, at: usize) {
-        let child = self.command("run", at).spawn().expect("the agent starts");
-        self.agents[at].child = Some(child);
+    /// When its process can't be started.
+    pub fn start_agent(&mut self, index: usize) {
+        let child = self.command("run", index).spawn().expect("the agent starts");
+        self.agents[index].child = Some(child);
     }
 
-    /// Adds an agent that waits to be added to the cluster.
-    pub fn add(&self, at: usize) {
-        let mut me = Value::Null;
-        wait_until("the newcomer answers", || {
-            let answer = get(&self.http, self.local(at), "/v1/status");
-            me = answer.map(|(_, status)| status["me"].clone()).unwrap_or_default();
-            me["part"] == "none"
+    /// Adds a running agent that is not yet a member to the cluster.
+    pub fn add(&self, index: usize) {
+        let mut agent = Value::Null;
+        wait_until("the new agent reports that it is no member", || {
+            let response = get(&self.http, self.local(index), "/v1/status");
+            agent = response.map(|(_, status)| status["me"].clone()).unwrap_or_default();
+            agent["part"] == "none"
         });
-        let change = json!({"add": {"id": me["id"], "name": me["name"], "address": me["address"]}});
-        wait_until("the leader adds it", || self.post_to_leader("/v1/members", &change));
+        let change = json!({"add": {"id": agent["id"], "name": agent["name"], "address": agent["address"]}});
+        wait_until("the leader adds the agent", || self.post_to_leader("/v1/members", &change));
     }
 
-    /// Posts to each agent until the leader has done what is asked. Returns whether it was done.
+    /// Posts to each agent until one reports the request as done. Returns whether one did.
     pub fn post_to_leader(&self, path: &str, body: &Value) -> bool {
-        let done = |at| matches!(post(&self.http, self.local(at), path, body), Ok((200, v)) if v["result"] == "done");
+        let done = |index| {
+            matches!(
+                post(&self.http, self.local(index), path, body),
+                Ok((200, response)) if response["result"] == "done"
+            )
+        };
         (0..self.len()).any(done)
     }
 
-    /// An agent's role: `voter`, `learner` or `none`; empty if it does not answer.
-    pub fn role(&self, at: usize) -> String {
-        let status = self.status(at);
+    /// Returns an agent's role: `voter`, `learner` or `none`; empty if it does not respond.
+    pub fn role(&self, index: usize) -> String {
+        let status = self.status(index);
         status["me"]["part"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// An agent's status; null if it does not answer.
-    pub fn status(&self, at: usize) -> Value {
-        get(&self.http, self.local(at), "/v1/status").map(|(_, status)| status).unwrap_or_default()
+    /// Returns an agent's status; null if it does not respond.
+    pub fn status(&self, index: usize) -> Value {
+        get(&self.http, self.local(index), "/v1/status").map(|(_, status)| status).unwrap_or_default()
     }
 
-    /// The agent that believes that it leads, in the latest term of all that answer.
+    /// Returns the agent with the latest term of those that report themselves as leader.
     pub fn leader(&self) -> Option<usize> {
-        let status = |at| {
-            let node = self.status(at)["node"].clone();
-            (node["standing"] == "leader").then(|| (node["term"].as_u64(), at))
+        let status = |index| {
+            let node = self.status(index)["node"].clone();
+            (node["standing"] == "leader").then(|| (node["term"].as_u64(), index))
         };
-        (0..self.len()).filter_map(status).max().map(|(_, at)| at)
+        (0..self.len()).filter_map(status).max().map(|(_, index)| index)
     }
 
-    fn signal(&self, at: usize, signal: Signal) {
-        if let Some(child) = &self.agents[at].child {
-            // A child that has not been waited for: no other process has its id.
+    fn signal(&self, index: usize, signal: Signal) {
+        if let Some(child) = &self.agents[index].child {
+            // The child has not been waited for, so no other process has its id.
             let sent = kill_process(Pid::from_child(child), signal);
-            sent.expect("a child can be signalled");
+            sent.expect("the child can be signalled");
         }
     }
 
-    /// Stops an agent wherever it is (SIGSTOP).
-    pub fn freeze(&self, at: usize) {
-        self.signal(at, Signal::STOP);
+    /// Suspends an agent at an arbitrary point (SIGSTOP).
+    pub fn freeze(&self, index: usize) {
+        self.signal(index, Signal::STOP);
     }
 
-    /// Resumes a frozen agent (SIGCONT).
-    pub fn wake(&self, at: usize) {
-        self.signal(at, Signal::CONT);
+    /// Resumes a suspended agent (SIGCONT).
+    pub fn wake(&self, index: usize) {
+        self.signal(index, Signal::CONT);
     }
 
     /// Kills an agent (SIGKILL).
-    pub fn kill(&mut self, at: usize) {
-        if let Some(mut child) = self.agents[at].child.take() {
+    pub fn kill(&mut self, index: usize) {
+        if let Some(mut child) = self.agents[index].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Ends an agent as its operator would (SIGTERM). Returns whether it exited with success.
-    pub fn stop(&mut self, at: usize) -> bool {
-        self.signal(at, Signal::TERM);
-        let child = self.agents[at].child.take();
+    /// Stops an agent gracefully (SIGTERM). Returns whether it exited with success.
+    pub fn stop(&mut self, index: usize) -> bool {
+        self.signal(index, Signal::TERM);
+        let child = self.agents[index].child.take();
         child.is_some_and(|mut child| child.wait().is_ok_and(|status| status.success()))
     }
 
-    /// Whether an agent was started and has not been ended since.
-    pub fn is_running(&self, at: usize) -> bool {
-        self.agents[at].child.is_some()
+    /// Returns whether an agent was started and not killed or stopped since.
+    pub fn is_running(&self, index: usize) -> bool {
+        self.agents[index].child.is_some()
     }
 
-    /// Deletes an agent's store, as a lost disk does.
-    pub fn delete_store(&self, at: usize) {
-        let _ = std::fs::remove_file(self.agents[at].config.with_extension("redb"));
+    /// Deletes an agent's store, like the loss of its disk.
+    pub fn delete_store(&self, index: usize) {
+        let _ = std::fs::remove_file(self.agents[index].config.with_extension("redb"));
     }
 
     /// Cuts or heals the connection in one direction.
@@ -320,33 +332,34 @@
     }
 
     /// Cuts or heals the connections between one agent and all others, in both directions.
-    pub fn isolate(&self, at: usize, cut: bool) {
+    pub fn isolate(&self, index: usize, cut: bool) {
         for other in 0..self.len() {
-            self.cut(at, other, cut);
-            self.cut(other, at, cut);
+            self.cut(index, other, cut);
+            self.cut(other, index, cut);
         }
     }
 
-    /// Resident memory of an agent, in KiB; 0 if it does not run.
-    pub fn resident_kib(&self, at: usize) -> u64 {
-        let Some(child) = &self.agents[at].child else { return 0 };
+    /// Returns the resident memory of an agent, in KiB; 0 if it does not run.
+    pub fn resident_kib(&self, index: usize) -> u64 {
+        let Some(child) = &self.agents[index].child else { return 0 };
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
         line.split_whitespace().next().and_then(|kib| kib.parse().ok()).unwrap_or(0)
     }
 
-    /// An agent's log, of all its runs.
-    pub fn log(&self, at: usize) -> String {
-        std::fs::read_to_string(self.agents[at].config.with_extension("log")).unwrap_or_default()
+    /// Returns an agent's log, of all its runs.
+    pub fn log(&self, index: usize) -> String {
+        std::fs::read_to_string(self.agents[index].config.with_extension("log")).unwrap_or_default()
     }
 
-    /// Events of a proxy's watch at an agent, received by a thread until the agent ends or the receiver is dropped.
-    pub fn watch(&self, at: usize, proxy: &str) -> std::sync::mpsc::Receiver<Value> {
+    /// Watches an agent as a proxy does. A thread sends the events to the receiver that is returned, until
+    /// the agent ends or the receiver is dropped.
+    pub fn watch(&self, index: usize, proxy: &str) -> std::sync::mpsc::Receiver<Value> {
         let (events, receiver) = std::sync::mpsc::channel();
-        let url = format!("http://{}/v1/watch?front={proxy}", self.local(at));
+        let url = format!("http://{}/v1/watch?front={proxy}", self.local(index));
         std::thread::spawn(move || {
-            let Ok(mut answer) = ureq::get(&url).call() else { return };
-            for line in BufReader::new(answer.body_mut().as_reader()).lines() {
+            let Ok(mut response) = ureq::get(&url).call() else { return };
+            for line in BufReader::new(response.body_mut().as_reader()).lines() {
                 let Some(event) = line.ok().and_then(|line| serde_json::from_str(&line).ok()) else { return };
                 if events.send(event).is_err() {
                     return;
@@ -359,9 +372,9 @@
 
 impl Drop for AgentCluster {
     fn drop(&mut self) {
-        for at in 0..self.len() {
-            // A frozen process ends by no signal but this one.
-            self.kill(at);
+        for index in 0..self.len() {
+            // SIGKILL is the only signal that ends a suspended process.
+            self.kill(index);
         }
     }
 }
--- a/crates/test-support/src/fault_relay.rs
+++ b/crates/test-support/src/fault_relay.rs
@@ -1,4 +1,5 @@
-//! A relay on loopback between two peers that can be cut: what was on its way is lost, and new connections go nowhere.
+//! A relay on loopback between two peers that can be cut: bytes in transit are lost, and new connections are
+//! closed.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,70 +7,71 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The relay; it ends with the process.
+/// A relay; it runs until the process ends.
 #[derive(Debug, Clone)]
 pub struct FaultRelay {
     address: SocketAddr,
     cut: Arc<AtomicBool>,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    connections: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl FaultRelay {
-    /// A relay to `to`.
+    /// Starts a relay to `to`.
     ///
     /// # Errors
-    /// No address to listen on.
+    /// When it can't listen on a loopback address.
     pub fn start(to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let relay = Self { address: listener.local_addr()?, cut: Arc::default(), open: Arc::default() };
-        let (cut, open) = (relay.cut.clone(), relay.open.clone());
+        let relay =
+            Self { address: listener.local_addr()?, cut: Arc::default(), connections: Arc::default() };
+        let (cut, connections) = (relay.cut.clone(), relay.connections.clone());
         std::thread::spawn(move || {
             for from in listener.incoming().flatten() {
-                let (cut, open) = (cut.clone(), open.clone());
-                std::thread::spawn(move || drop(pass(from, to, &cut, &open)));
+                let (cut, connections) = (cut.clone(), connections.clone());
+                std::thread::spawn(move || drop(relay_connection(from, to, &cut, &connections)));
             }
         });
         Ok(relay)
     }
 
-    /// Where it listens.
+    /// Returns the address on which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Cuts or heals it.
+    /// Cuts the relay, which closes its connections, or lets it accept new ones again.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
         if cut {
-            let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-            for stream in open.drain(..) {
-                // It may be closed already.
+            let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+            for stream in connections.drain(..) {
+                // The connection may be closed already, so an error does not matter.
                 let _ = stream.shutdown(Shutdown::Both);
             }
         }
     }
 }
 
-fn pass(
+fn relay_connection(
     from: TcpStream,
     to: SocketAddr,
     cut: &AtomicBool,
-    open: &Mutex<Vec<TcpStream>>,
+    connections: &Mutex<Vec<TcpStream>>,
 ) -> std::io::Result<()> {
     if cut.load(Ordering::SeqCst) {
         return Ok(());
     }
     let to = TcpStream::connect_timeout(&to, Duration::from_secs(1))?;
     {
-        let mut open = open.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut connections = connections.lock().unwrap_or_else(PoisonError::into_inner);
         if cut.load(Ordering::SeqCst) {
             return Ok(());
         }
-        open.retain(|stream| stream.peer_addr().is_ok());
-        open.extend([from.try_clone()?, to.try_clone()?]);
+        connections.retain(|stream| stream.peer_addr().is_ok());
+        connections.extend([from.try_clone()?, to.try_clone()?]);
     }
-    let (back_from, back_to) = (to.try_clone()?, from.try_clone()?);
-    std::thread::spawn(move || copy(back_from, back_to));
+    let (reverse_from, reverse_to) = (to.try_clone()?, from.try_clone()?);
+    std::thread::spawn(move || copy(reverse_from, reverse_to));
     copy(from, to);
     Ok(())
 }
--- a/crates/test-support/src/faulty_disk.rs
+++ b/crates/test-support/src/faulty_disk.rs
@@ -1,14 +1,16 @@
-//! A disk in memory whose power can be cut at any write or sync, and that can be full, slow to fail or corrupt.
+//! An in-memory disk that can lose power at any write or sync, be full, fail or ignore syncs, or hold corrupt
+//! bytes.
 //!
-//! What was written and not synced is, after a cut, there, gone or torn at sector boundaries: each unsynced
-//! write by itself, as drives with a cache reorder them.
+//! After a power cut each unsynced write is present, lost or torn at sector boundaries, independently of the
+//! others, as drives with a cache reorder writes.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use redb::StorageBackend;
 
-/// Unit in which a write may be torn, in bytes: drives write no more than one sector atomically.
+/// Size of a sector, in bytes; a write may be torn between sectors, as drives write only single sectors
+/// atomically.
 const SECTOR_BYTES: usize = 512;
 
 #[derive(Debug, Clone)]
@@ -18,7 +20,7 @@
 }
 
 impl Operation {
-    fn apply(&self, image: &mut Vec<u8>, torn: Option<&mut fastrand::Rng>) {
+    fn apply(&self, image: &mut Vec<u8>, tear: Option<&mut fastrand::Rng>) {
         match self {
             Operation::SetLen(len) => image.resize(*len, 0),
             Operation::Write { offset, data } => {
@@ -26,7 +28,7 @@
                 if image.len() < end {
                     image.resize(end, 0);
                 }
-                let Some(rng) = torn else {
+                let Some(rng) = tear else {
                     image[*offset..end].copy_from_slice(data);
                     return;
                 };
@@ -43,11 +45,11 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// What survives a power cut for certain.
+    /// Bytes that survive a power cut.
     durable: Vec<u8>,
-    /// What a running program reads.
+    /// Bytes that reads return.
     written: Vec<u8>,
-    /// Operations since the last sync.
+    /// Operations since the last sync, in order.
     unsynced: Vec<Operation>,
     operation_count: u64,
     power_cut_after: Option<u64>,
@@ -58,7 +60,7 @@
 }
 
 impl State {
-    /// Counts an operation, unless the power is cut by then.
+    /// Counts an operation. Fails if the power is cut by then.
     fn begin_operation(&mut self) -> io::Result<()> {
         self.check_power()?;
         self.operation_count += 1;
@@ -69,7 +71,7 @@
     }
 
     fn check_power(&self) -> io::Result<()> {
-        if self.is_off { Err(io::Error::other("the power is cut")) } else { Ok(()) }
+        if self.is_off { Err(io::Error::other("disk has no power")) } else { Ok(()) }
     }
 
     fn apply(&mut self, operation: Operation) {
@@ -78,17 +80,17 @@
     }
 }
 
-/// A disk in memory with faults. Clones are the same disk.
+/// An in-memory disk with faults; clones share its contents.
 #[derive(Debug, Clone, Default)]
 pub struct FaultyDisk(Arc<Mutex<State>>);
 
 impl FaultyDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A disk that holds these bytes.
+    /// Creates a disk that holds `image`, all of it synced.
     pub fn holding(image: Vec<u8>) -> Self {
         Self(Arc::new(Mutex::new(State { written: image.clone(), durable: image, ..State::default() })))
     }
@@ -97,33 +99,34 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Number of writes, changes of length and syncs so far.
+    /// Returns the number of writes, changes of length and syncs so far.
     pub fn operations(&self) -> u64 {
         self.state().operation_count
     }
 
-    /// Cuts the power after this many operations.
+    /// Cuts the power once the disk has counted this many operations.
     pub fn cut_power_after(&self, operations: u64) {
         self.state().power_cut_after = Some(operations);
     }
 
-    /// From now on writes beyond this length fail as on a full device.
+    /// Sets the length beyond which writes fail as on a full device; none for no limit.
     pub fn set_capacity(&self, bytes: Option<usize>) {
         self.state().capacity = bytes;
     }
 
-    /// From now on every sync fails.
+    /// Sets whether syncs fail.
     pub fn fail_syncs(&self, fail: bool) {
         self.state().fail_syncs = fail;
     }
 
-    /// From now on syncs report success and do nothing: a test uses it to show that it would find a loss.
+    /// Sets whether syncs do nothing but report success. A test uses this to show that it would detect a
+    /// loss.
     pub fn ignore_syncs(&self, ignore: bool) {
         self.state().ignore_syncs = ignore;
     }
 
-    /// The disk as it is found after the power cut: the synced bytes, and of each later write all, nothing or some
-    /// sectors, chosen at random from `seed`.
+    /// Returns the disk after the power cut: the synced bytes, and all, none or some sectors of each later
+    /// write, chosen at random from `seed`.
     pub fn after_power_cut(&self, seed: u64) -> FaultyDisk {
         let state = self.state();
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -138,7 +141,7 @@
         FaultyDisk::holding(image)
     }
 
-    /// The bytes as a running program reads them.
+    /// Returns the bytes of the disk, the unsynced ones included.
     pub fn image(&self) -> Vec<u8> {
         self.state().written.clone()
     }
@@ -154,8 +157,8 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let state = self.state();
         state.check_power()?;
-        let from = offset as usize;
-        let bytes = state.written.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let start = offset as usize;
+        let bytes = state.written.get(start..start + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
         Ok(())
     }
@@ -174,7 +177,7 @@
         let mut state = self.state();
         state.begin_operation()?;
         if state.fail_syncs {
-            return Err(io::Error::other("the sync failed"));
+            return Err(io::Error::other("disk failed to sync"));
         }
         if state.ignore_syncs {
             return Ok(());
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins: devices and peers that misbehave on request, for the tests and benches of all packages.
+//! Test doubles for the tests and benches of all packages: scripted peers, faulty devices and load
+//! generators.
 
 pub mod agent_cluster;
 pub mod fault_relay;
--- a/crates/test-support/src/linearizability.rs
+++ b/crates/test-support/src/linearizability.rs
@@ -1,13 +1,14 @@
-//! Histories of operations, and whether they are linearizable: one order of decisions explains all of them.
+//! Histories of operations on subjects, and a check that they are linearizable: that one order explains all
+//! results.
 
 use std::collections::BTreeMap;
 
-/// What a client knows of its operation.
+/// Outcome of an operation as its client knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperationOutcome {
-    /// It has no answer yet.
+    /// No response so far.
     Pending,
-    /// The decided value, or none for a read of an undecided subject; and when the answer arrived.
+    /// The decided value, or none for a read of an undecided subject, and the time of the response.
     Value(Option<Vec<u8>>, u64),
 }
 
@@ -16,100 +17,103 @@
 pub struct Operation {
     /// The subject.
     pub subject: u64,
-    /// The value proposed; none for a read.
+    /// The proposed value; none for a read.
     pub proposed_value: Option<Vec<u8>>,
-    /// When it was first sent.
+    /// Time at which it was first sent.
     pub started_at: u64,
-    /// What the client knows of it.
+    /// The outcome.
     pub outcome: OperationOutcome,
 }
 
 /// All operations of a run.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    /// In the order in which they started.
+    /// The operations, in the order in which they started.
     pub operations: Vec<Operation>,
 }
 
 impl History {
-    fn begin(&mut self, subject: u64, proposes: Option<Vec<u8>>, now: u64) -> usize {
+    fn begin(&mut self, subject: u64, value: Option<Vec<u8>>, now: u64) -> usize {
         self.operations.push(Operation {
             subject,
-            proposed_value: proposes,
+            proposed_value: value,
             started_at: now,
             outcome: OperationOutcome::Pending,
         });
         self.operations.len() - 1
     }
 
-    /// A proposal is sent for the first time.
+    /// Records a proposal that is sent for the first time. Returns its index.
     pub fn begin_decide(&mut self, subject: u64, value: Vec<u8>, now: u64) -> usize {
         self.begin(subject, Some(value), now)
     }
 
-    /// A read is sent for the first time.
+    /// Records a read that is sent for the first time. Returns its index.
     pub fn begin_read(&mut self, subject: u64, now: u64) -> usize {
         self.begin(subject, None, now)
     }
 
-    /// A proposal is answered with the decided value.
-    pub fn end_decide(&mut self, op: usize, value: Vec<u8>, now: u64) {
-        self.operations[op].outcome = OperationOutcome::Value(Some(value), now);
+    /// Records the response to a proposal: the decided value.
+    pub fn end_decide(&mut self, operation: usize, value: Vec<u8>, now: u64) {
+        self.operations[operation].outcome = OperationOutcome::Value(Some(value), now);
     }
 
-    /// A read is answered.
-    pub fn end_read(&mut self, op: usize, value: Option<Vec<u8>>, now: u64) {
-        self.operations[op].outcome = OperationOutcome::Value(value, now);
+    /// Records the response to a read: the decided value, or none.
+    pub fn end_read(&mut self, operation: usize, value: Option<Vec<u8>>, now: u64) {
+        self.operations[operation].outcome = OperationOutcome::Value(value, now);
     }
 
-    /// Subjects with the decision that some client has been answered.
+    /// Returns the subjects and values of all decisions that a client received, once for each response.
     pub fn acknowledged(&self) -> Vec<(u64, Vec<u8>)> {
-        let heard = |op: &Operation| match &op.outcome {
-            OperationOutcome::Value(Some(value), _) => Some((op.subject, value.clone())),
+        let decision = |operation: &Operation| match &operation.outcome {
+            OperationOutcome::Value(Some(value), _) => Some((operation.subject, value.clone())),
             _ => None,
         };
-        self.operations.iter().filter_map(heard).collect()
+        self.operations.iter().filter_map(decision).collect()
     }
 
-    /// A description of each subject whose operations no order of decisions explains.
+    /// Returns a description of each subject whose operations are not linearizable.
     ///
-    /// For a subject that is decided once it is enough to find one moment of decision: inside the interval of a
-    /// proposal of that value, after the beginning of every read that saw nothing, before the end of everything
-    /// that saw the value. (An unanswered proposal's interval has no end.)
+    /// As a subject is decided once, one possible time of its decision suffices: within the interval of a
+    /// proposal of that value, not before the start of any read that returned none, and not after the end of
+    /// any operation that returned the value. The interval of a proposal without a response has no end.
     pub fn not_linearizable(&self) -> Vec<String> {
         let mut subjects: BTreeMap<u64, Vec<&Operation>> = BTreeMap::new();
-        for op in &self.operations {
-            subjects.entry(op.subject).or_default().push(op);
+        for operation in &self.operations {
+            subjects.entry(operation.subject).or_default().push(operation);
         }
-        let bad = |(subject, ops): (u64, Vec<&Operation>)| {
-            explains(&ops).is_err().then(|| format!("subject {subject}: no order explains {ops:?}"))
+        let violation = |(subject, operations): (u64, Vec<&Operation>)| {
+            check_subject(&operations)
+                .is_err()
+                .then(|| format!("subject {subject} is not linearizable: {operations:?}"))
         };
-        subjects.into_iter().filter_map(bad).collect()
+        subjects.into_iter().filter_map(violation).collect()
     }
 }
 
-fn explains(ops: &[&Operation]) -> Result<(), ()> {
+fn check_subject(operations: &[&Operation]) -> Result<(), ()> {
     let mut value = None;
-    let (mut after, mut before) = (0, u64::MAX);
-    for op in ops {
-        match &op.outcome {
-            OperationOutcome::Value(Some(seen), end) => {
-                if *value.get_or_insert(seen) != seen {
+    let (mut earliest, mut latest) = (0, u64::MAX);
+    for operation in operations {
+        match &operation.outcome {
+            OperationOutcome::Value(Some(returned), end) => {
+                if *value.get_or_insert(returned) != returned {
                     return Err(());
                 }
-                before = before.min(*end);
+                latest = latest.min(*end);
             }
-            OperationOutcome::Value(None, _) => after = after.max(op.started_at),
+            OperationOutcome::Value(None, _) => earliest = earliest.max(operation.started_at),
             OperationOutcome::Pending => {}
         }
     }
     let Some(value) = value else { return Ok(()) };
-    let end = |op: &Operation| match op.outcome {
+    let end = |operation: &Operation| match operation.outcome {
         OperationOutcome::Value(_, end) => end,
         OperationOutcome::Pending => u64::MAX,
     };
-    let fits = |op: &&&Operation| {
-        op.proposed_value.as_ref() == Some(value) && op.started_at.max(after) <= end(op).min(before)
+    let can_decide = |operation: &&&Operation| {
+        operation.proposed_value.as_ref() == Some(value)
+            && operation.started_at.max(earliest) <= end(operation).min(latest)
     };
-    ops.iter().any(|op| fits(&op)).then_some(()).ok_or(())
+    operations.iter().any(|operation| can_decide(&operation)).then_some(()).ok_or(())
 }
--- a/crates/test-support/src/load_generator.rs
+++ b/crates/test-support/src/load_generator.rs
@@ -1,4 +1,4 @@
-//! Load on a proxy: endpoints that respond as fast as they can and keep nothing, and clients that send as fast as they
+//! Load on a proxy: endpoints that respond at once and store nothing, and clients that send as fast as they
 //! can or at a steady rate.
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,26 +9,28 @@
 
 use hdrhistogram::Histogram;
 
-use crate::scripted_servers::{ProxySetup, ScriptedStream, list, member, progress, state};
+use crate::scripted_servers::{
+    ProxySetup, ScriptedStream, endpoint_json, endpoint_list_json, rollout_event_json, rollout_state_json,
+};
 
 /// Significant digits of the histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
 /// Maximum wait of a client for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Stack size of a thread, in bytes: there may be a thousand.
+/// Stack size of a thread, in bytes; small, as there may be a thousand threads.
 const STACK_BYTES: usize = 64 * 1024;
 
 fn spawn_detached(run: impl FnOnce() + Send + 'static) {
     let started = std::thread::Builder::new().stack_size(STACK_BYTES).spawn(run);
-    drop(started.expect("a thread"));
+    drop(started.expect("the thread starts"));
 }
 
-/// Reads a head and its body; false at the end of the connection. The head's text is in `head`.
-fn read_message(from: &mut BufReader<TcpStream>, head: &mut String) -> bool {
+/// Reads a message: its head into `head`, its body into nothing. Returns false at the end of the connection.
+fn read_message(input: &mut BufReader<TcpStream>, head: &mut String) -> bool {
     head.clear();
     loop {
         let before = head.len();
-        match from.read_line(head) {
+        match input.read_line(head) {
             Ok(0) | Err(_) => return false,
             Ok(_) if head[before..].trim_end().is_empty() => break,
             Ok(_) => {}
@@ -38,22 +40,24 @@
         let (name, value) = line.split_once(':')?;
         name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse::<u64>().ok())?
     });
-    let rest = length.unwrap_or(0);
-    rest == 0 || std::io::copy(&mut from.by_ref().take(rest), &mut std::io::sink()).is_ok_and(|n| n == rest)
+    let body_length = length.unwrap_or(0);
+    body_length == 0
+        || std::io::copy(&mut input.by_ref().take(body_length), &mut std::io::sink())
+            .is_ok_and(|copied| copied == body_length)
 }
 
-/// Starts an endpoint that answers everything with 200 and a short body.
+/// Starts an endpoint that responds to every request with 200 and a short body. Returns its address.
 pub fn start_endpoint() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     spawn_detached(move || {
         for stream in listener.incoming().flatten() {
             spawn_detached(move || {
                 let _ = stream.set_nodelay(true);
-                let Ok(mut out) = stream.try_clone() else { return };
-                let (mut from, mut head) = (BufReader::new(stream), String::new());
-                while read_message(&mut from, &mut head) {
-                    if out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nanswer").is_err() {
+                let Ok(mut output) = stream.try_clone() else { return };
+                let (mut input, mut head) = (BufReader::new(stream), String::new());
+                while read_message(&mut input, &mut head) {
+                    if output.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nanswer").is_err() {
                         return;
                     }
                 }
@@ -63,79 +67,88 @@
     address
 }
 
-/// Discovery, a release controller and a setup of a proxy for endpoints of a released build.
+/// Starts discovery and a release controller for endpoints of a released build. Returns them with the proxy's
+/// setup.
 pub fn proxy_setup(endpoints: &[SocketAddr]) -> (ScriptedStream, ScriptedStream, ProxySetup) {
-    let members: Vec<String> =
-        endpoints.iter().enumerate().map(|(n, at)| member(&format!("s-{n}"), *at, 4, "Ready")).collect();
-    let cached_list = list(1, true, &members);
-    let rollout = state(4, 1, "COMPLETE", 1.0);
+    let entries: Vec<String> = endpoints
+        .iter()
+        .enumerate()
+        .map(|(number, address)| endpoint_json(&format!("s-{number}"), *address, 4, "Ready"))
+        .collect();
+    let cached_list = endpoint_list_json(1, true, &entries);
+    let rollout = rollout_state_json(4, 1, "COMPLETE", 1.0);
     let discovery = ScriptedStream::start(&cached_list);
-    let controller = ScriptedStream::start(&progress(&rollout));
+    let controller = ScriptedStream::start(&rollout_event_json(&rollout));
     let setup = ProxySetup::new(&cached_list, rollout, &discovery, &controller);
     (discovery, controller, setup)
 }
 
-/// What clients measured.
+/// Measurements of the clients.
 #[derive(Debug)]
 pub struct LoadReport {
-    /// Times of responses with status 200, in microseconds.
-    pub times: Histogram<u64>,
+    /// Latencies of responses with status 200, in microseconds.
+    pub latencies: Histogram<u64>,
     /// Responses with another status.
-    pub others: u64,
+    pub other_statuses: u64,
     /// Requests without a response.
     pub unanswered: u64,
     /// Duration of the run, in seconds.
-    pub seconds: f64,
+    pub duration_seconds: f64,
 }
 
 impl LoadReport {
     fn new() -> Self {
-        let times = Histogram::new(SIGNIFICANT_DIGITS).expect("a histogram");
-        LoadReport { times, others: 0, unanswered: 0, seconds: 0.0 }
+        let latencies = Histogram::new(SIGNIFICANT_DIGITS).expect("the number of digits is valid");
+        LoadReport { latencies, other_statuses: 0, unanswered: 0, duration_seconds: 0.0 }
     }
 
     fn add(&mut self, other: &LoadReport) {
-        self.times.add(&other.times).expect("histograms add");
-        self.others += other.others;
+        self.latencies.add(&other.latencies).expect("the histograms are added");
+        self.other_statuses += other.other_statuses;
         self.unanswered += other.unanswered;
     }
 }
 
-/// Runs `count` clients for a while, each with one connection and one request at a time. `gap`: time between two
-/// requests of one client; none: as fast as it can.
-pub fn run_clients(proxy: SocketAddr, count: usize, gap: Option<Duration>, duration: Duration) -> LoadReport {
+/// Runs `count` clients for a while, each with one connection and one request at a time. A client starts a
+/// request every `interval`, or without one as soon as it has a response.
+pub fn run_clients(
+    proxy: SocketAddr,
+    count: usize,
+    interval: Option<Duration>,
+    duration: Duration,
+) -> LoadReport {
     let stop = Arc::new(AtomicBool::new(false));
     let started = Instant::now();
     let spawn = |number: usize| {
         let stop = stop.clone();
-        // Spread over the first gap, or all would send in step.
-        let delay = gap.map(|gap| gap.mul_f64(number as f64 / count as f64));
-        let client = move || run_client(proxy, gap, delay, &stop);
-        std::thread::Builder::new().stack_size(STACK_BYTES).spawn(client).expect("a thread")
+        // Spreads the clients over the first interval, or all would send at the same moments.
+        let delay = interval.map(|interval| interval.mul_f64(number as f64 / count as f64));
+        let client = move || run_client(proxy, interval, delay, &stop);
+        std::thread::Builder::new().stack_size(STACK_BYTES).spawn(client).expect("the thread starts")
     };
     let threads: Vec<_> = (0..count).map(spawn).collect();
     std::thread::sleep(duration);
     stop.store(true, Ordering::Relaxed);
     let mut report = LoadReport::new();
-    report.seconds = started.elapsed().as_secs_f64();
+    report.duration_seconds = started.elapsed().as_secs_f64();
     for thread in threads {
-        report.add(&thread.join().expect("a client"));
+        report.add(&thread.join().expect("the client does not panic"));
     }
     report
 }
 
-/// One client, until it is stopped or its connection ends.
+/// Runs one client until `stop` is set or the connection ends.
 fn run_client(
     proxy: SocketAddr,
-    gap: Option<Duration>,
+    interval: Option<Duration>,
     delay: Option<Duration>,
     stop: &AtomicBool,
 ) -> LoadReport {
     let mut report = LoadReport::new();
-    let stream = TcpStream::connect(proxy).expect("a connection");
+    let stream = TcpStream::connect(proxy).expect("the proxy accepts a connection");
     let _ = stream.set_nodelay(true);
     let _ = stream.set_read_timeout(Some(RESPONSE_TIMEOUT));
-    let mut output = stream.try_clone().expect("a second handle");
+    let mut output = stream.try_clone().expect("the stream is cloned");
     let mut input = BufReader::new(stream);
     let mut head = String::new();
     if let Some(delay) = delay {
@@ -148,18 +161,18 @@
             break;
         }
         if head.starts_with("HTTP/1.1 200") {
-            report.times.record(sent.elapsed().as_micros() as u64).expect("in range");
+            report.latencies.record(sent.elapsed().as_micros() as u64).expect("the latency is recorded");
         } else {
-            report.others += 1;
+            report.other_statuses += 1;
         }
-        if let Some(gap) = gap {
-            std::thread::sleep(gap.saturating_sub(sent.elapsed()));
+        if let Some(interval) = interval {
+            std::thread::sleep(interval.saturating_sub(sent.elapsed()));
         }
     }
     report
 }
 
-/// A request with an id of its own.
+/// Formats a request with a unique id.
 fn request() -> String {
     static NEXT_ID: AtomicU64 = AtomicU64::new(1 << 40);
     let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
@@ -169,13 +182,13 @@
     )
 }
 
-/// Processor time of a process so far, all threads, in seconds: of user code and of the system for it.
-pub fn processor_time(process: u32) -> f64 {
+/// Returns the processor time of all threads of a process so far, in seconds, user and system.
+pub fn cpu_time_seconds(process: u32) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{process}/task"));
-    let of = |task: std::fs::DirEntry| {
+    let cpu_nanos = |task: std::fs::DirEntry| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
         text.split_whitespace().next()?.parse::<u64>().ok()
     };
-    let nanos: u64 = tasks.into_iter().flatten().flatten().filter_map(of).sum();
-    nanos as f64 / 1e9
+    let total_nanos: u64 = tasks.into_iter().flatten().flatten().filter_map(cpu_nanos).sum();
+    total_nanos as f64 / 1e9
 }
--- a/crates/test-support/src/scripted_servers.rs
+++ b/crates/test-support/src/scripted_servers.rs
@@ -1,5 +1,6 @@
-//! Scripted clients, endpoints, discovery and release controller on loopback, with the real program between them. They
-//! are written from the protocol's specification and wait for conditions, never for exact times.
+//! Scripted clients, endpoints, discovery and release controller on loopback, around a process of the real
+//! proxy. They follow the protocol's specification, not the proxy's code, and wait for conditions, never for
+//! exact times.
 
 mod client;
 mod documents;
@@ -13,24 +14,24 @@
 use std::time::{Duration, Instant};
 
 pub use client::{TestClient, request};
-pub use documents::{list, member, progress, state};
+pub use documents::{endpoint_json, endpoint_list_json, rollout_event_json, rollout_state_json};
 pub use endpoint::{EndpointBehavior, ScriptedEndpoint};
 pub use message::{ReceivedMessage, read_message};
-pub use running_proxy::{RunningProxy, free_address, program};
-pub use setup::{ProxySetup, config_file};
+pub use running_proxy::{RunningProxy, free_address, proxy_executable};
+pub use setup::{ProxySetup, write_config_file};
 pub use stream::ScriptedStream;
 
-/// Maximum wait for any condition: far beyond what a slow host needs.
+/// Maximum wait for any condition; far longer than a slow host needs.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until `condition` holds; `what` names it.
 ///
 /// # Panics
-/// It does not hold in time.
+/// When it does not hold within [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "never came: {what}");
+        assert!(Instant::now() < deadline, "not within {WAIT_TIMEOUT:?}: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/test-support/src/scripted_servers/client.rs
+++ b/crates/test-support/src/scripted_servers/client.rs
@@ -7,15 +7,16 @@
 use super::WAIT_TIMEOUT;
 use super::message::{ReceivedMessage, read_message};
 
-static REQUESTS: AtomicU64 = AtomicU64::new(0);
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(0);
 
-/// The text of a request with an id of its own.
-pub fn request(method: &str, target: &str, wait_ms: u64, body: &str) -> String {
-    let id = REQUESTS.fetch_add(1, Ordering::Relaxed);
-    let length = if method == "GET" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+/// Formats a request with a unique id.
+pub fn request(method: &str, target: &str, timeout_ms: u64, body: &str) -> String {
+    let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
+    let content_length =
+        if method == "GET" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     format!(
         "{method} {target} HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id:016x}\r\nTenant: acme\r\n\
-         Request-Timeout-Ms: {wait_ms}\r\n{length}\r\n{body}"
+         Request-Timeout-Ms: {timeout_ms}\r\n{content_length}\r\n{body}"
     )
 }
 
@@ -25,23 +26,23 @@
 }
 
 impl TestClient {
-    /// A client on an open connection.
-    pub fn on(stream: TcpStream) -> TestClient {
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
+    /// Creates a client for an open connection.
+    pub fn new(stream: TcpStream) -> TestClient {
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
         TestClient { reader: BufReader::new(stream) }
     }
 
-    /// Sends text as it is. Returns whether that was possible.
+    /// Sends text unchanged. Returns whether the connection accepted it.
     pub fn send(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    /// Reads a response; none if the connection ends before one is complete.
+    /// Reads a response. Returns none if the connection ends before the response is complete.
     pub fn read(&mut self) -> Option<ReceivedMessage> {
         read_message(&mut self.reader)
     }
 
-    /// Sends text and reads the response.
+    /// Sends text unchanged and reads the response.
     pub fn exchange(&mut self, text: &str) -> Option<ReceivedMessage> {
         self.send(text);
         self.read()
@@ -49,16 +50,17 @@
 
     /// Sends an idempotent request with a long timeout, and reads the response.
     pub fn get(&mut self) -> ReceivedMessage {
-        self.exchange(&request("GET", "/look", 9000, "")).expect("an answer")
+        self.exchange(&request("GET", "/look", 9000, "")).expect("the proxy responds")
     }
 
-    /// Whether the peer has closed the connection.
+    /// Reads to the end of the connection. Returns false if bytes arrive before it. Errors, the read timeout
+    /// included, count as closed.
     pub fn is_closed(&mut self) -> bool {
-        let mut rest = Vec::new();
-        self.reader.read_to_end(&mut rest).map_or(true, |_| rest.is_empty())
+        let mut remaining = Vec::new();
+        self.reader.read_to_end(&mut remaining).map_or(true, |_| remaining.is_empty())
     }
 
-    /// Reads what arrives next, up to `max` bytes.
+    /// Reads the next bytes that arrive, up to `max`.
     pub fn read_at_most(&mut self, max: usize) -> Vec<u8> {
         let mut bytes = vec![0; max];
         let read = self.reader.read(&mut bytes).unwrap_or(0);
--- a/crates/test-support/src/scripted_servers/documents.rs
+++ b/crates/test-support/src/scripted_servers/documents.rs
@@ -1,27 +1,27 @@
-//! The JSON that discovery and the release controller send.
+//! JSON documents that discovery and the release controller send.
 
 use std::net::SocketAddr;
 
-/// One member of discovery's list, as JSON.
-pub fn member(id: &str, address: SocketAddr, build: u32, phase: &str) -> String {
+/// Formats an endpoint of the endpoint list.
+pub fn endpoint_json(id: &str, address: SocketAddr, build: u32, phase: &str) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{address}","locality":"north","flavor":"box","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0,"build":{build}}}"#
     )
 }
 
-/// A list of discovery, as JSON.
-pub fn list(revision: u64, complete: bool, members: &[String]) -> String {
-    format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
+/// Formats an endpoint list: a snapshot if it is complete, else a delta.
+pub fn endpoint_list_json(revision: u64, complete: bool, endpoints: &[String]) -> String {
+    format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, endpoints.join(","))
 }
 
-/// A rollout state of the release controller, as JSON.
-pub fn state(release: u32, tranche: usize, mode: &str, exposure: f64) -> String {
+/// Formats a rollout state of the release controller.
+pub fn rollout_state_json(release: u32, tranche: usize, mode: &str, exposure: f64) -> String {
     format!(
         r#"{{"release":{release},"tranche":{tranche},"mode":"{mode}","exposure":{exposure},"old_ms":10}}"#
     )
 }
 
-/// The event that carries a rollout state, as JSON.
-pub fn progress(state: &str) -> String {
-    format!(r#"{{"type":"progress","object":{state}}}"#)
+/// Formats the event that carries a rollout state.
+pub fn rollout_event_json(rollout_state: &str) -> String {
+    format!(r#"{{"type":"progress","object":{rollout_state}}}"#)
 }
--- a/crates/test-support/src/scripted_servers/endpoint.rs
+++ b/crates/test-support/src/scripted_servers/endpoint.rs
@@ -1,32 +1,32 @@
-//! An endpoint that answers requests as a script says.
+//! An endpoint whose responses a test controls.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 
 use super::lock;
-use super::message::{ReceivedMessage, answer, read_message};
+use super::message::{ReceivedMessage, read_message, response_bytes};
 
-/// What an endpoint does with a request.
+/// Reaction of an endpoint to a request.
 #[derive(Debug, Clone)]
 pub enum EndpointBehavior {
-    /// Responds with this status, header lines and body.
+    /// A response with this status, header lines and body.
     Respond(u16, &'static str, Vec<u8>),
-    /// Sends nothing.
+    /// No response; the connection stays open.
     Ignore,
-    /// Closes the connection.
+    /// The end of the connection without a response.
     Close,
-    /// Sends these bytes, whatever they are, and keeps the connection open.
+    /// These bytes, valid HTTP or not; the connection stays open.
     SendRaw(Vec<u8>),
-    /// Sends these bytes and closes the connection.
+    /// These bytes, then the end of the connection.
     SendRawAndClose(&'static str),
-    /// Waits for [`ScriptedEndpoint::release`], then responds with 200.
+    /// A response with status 200, after a call of [`ScriptedEndpoint::release`].
     WaitForRelease,
-    /// Streams parts, each once released; then completes the stream, or breaks it off for `false`.
+    /// A streamed response. Each chunk and the end wait for a call of [`ScriptedEndpoint::release`].
     Stream {
-        /// Its chunks.
-        parts: Vec<&'static str>,
-        /// Whether the last chunk is sent; else the connection is closed before it.
+        /// The chunks.
+        chunks: Vec<&'static str>,
+        /// Whether the last, empty chunk is sent; else the connection is closed instead.
         complete: bool,
     },
 }
@@ -35,101 +35,101 @@
 struct Shared {
     behavior: Option<EndpointBehavior>,
     requests: Vec<ReceivedMessage>,
-    released: u64,
-    connections: u64,
+    released_steps: u64,
+    connection_count: u64,
 }
 
 /// A scripted endpoint.
 pub struct ScriptedEndpoint {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<Shared>, Condvar)>,
 }
 
 impl ScriptedEndpoint {
-    /// Starts an endpoint that does so with every request.
+    /// Starts an endpoint that reacts with `behavior` to every request.
     pub fn start(behavior: EndpointBehavior) -> ScriptedEndpoint {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let shared: Arc<(Mutex<Shared>, Condvar)> = Arc::default();
         lock(&shared.0).behavior = Some(behavior);
-        let all = Arc::clone(&shared);
+        let listener_shared = Arc::clone(&shared);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                lock(&all.0).connections += 1;
-                let shared = Arc::clone(&all);
+                lock(&listener_shared.0).connection_count += 1;
+                let shared = Arc::clone(&listener_shared);
                 std::thread::spawn(move || serve(stream, &shared));
             }
         });
         ScriptedEndpoint { address, shared }
     }
 
-    /// Changes what it does with further requests.
+    /// Changes the reaction to further requests.
     pub fn set_behavior(&self, behavior: EndpointBehavior) {
         lock(&self.shared.0).behavior = Some(behavior);
     }
 
-    /// Lets waiting responses continue by one step.
+    /// Releases one more waiting step on every connection, later ones included.
     pub fn release(&self) {
-        lock(&self.shared.0).released += 1;
+        lock(&self.shared.0).released_steps += 1;
         self.shared.1.notify_all();
     }
 
-    /// The complete requests that have arrived.
+    /// Returns the complete requests that have arrived.
     pub fn requests(&self) -> Vec<ReceivedMessage> {
         lock(&self.shared.0).requests.clone()
     }
 
-    /// Number of connections that were made to it.
-    pub fn connections(&self) -> u64 {
-        lock(&self.shared.0).connections
+    /// Returns the number of connections accepted so far.
+    pub fn connection_count(&self) -> u64 {
+        lock(&self.shared.0).connection_count
     }
 }
 
 fn serve(stream: TcpStream, shared: &(Mutex<Shared>, Condvar)) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+    let mut reader = BufReader::new(stream.try_clone().expect("the stream is cloned"));
     let mut stream = stream;
-    let mut released_steps = 0;
+    let mut steps_taken = 0;
     while let Some(message) = read_message(&mut reader) {
         let behavior = {
             let mut shared = lock(&shared.0);
             shared.requests.push(message);
             shared.behavior.clone()
         };
-        let mut wait = || {
+        let mut wait_for_release = || {
             let mut state = lock(&shared.0);
-            while state.released <= released_steps {
+            while state.released_steps <= steps_taken {
                 state = shared.1.wait(state).unwrap_or_else(PoisonError::into_inner);
             }
-            released_steps += 1;
+            steps_taken += 1;
         };
-        let text = match behavior.unwrap_or(EndpointBehavior::Ignore) {
-            EndpointBehavior::Respond(status, lines, body) => answer(status, lines, &body),
+        let response = match behavior.unwrap_or(EndpointBehavior::Ignore) {
+            EndpointBehavior::Respond(status, headers, body) => response_bytes(status, headers, &body),
             EndpointBehavior::Ignore => continue,
             EndpointBehavior::Close => return,
             EndpointBehavior::SendRaw(bytes) => bytes,
-            EndpointBehavior::SendRawAndClose(text) => {
-                let _ = stream.write_all(text.as_bytes());
+            EndpointBehavior::SendRawAndClose(response) => {
+                let _ = stream.write_all(response.as_bytes());
                 return;
             }
             EndpointBehavior::WaitForRelease => {
-                wait();
-                answer(200, "", b"late")
+                wait_for_release();
+                response_bytes(200, "", b"late")
             }
-            EndpointBehavior::Stream { parts, complete } => {
+            EndpointBehavior::Stream { chunks, complete } => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                for part in parts {
-                    wait();
-                    let _ = stream.write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes());
+                for chunk in chunks {
+                    wait_for_release();
+                    let _ = stream.write_all(format!("{:x}\r\n{chunk}\r\n", chunk.len()).as_bytes());
                 }
-                wait();
+                wait_for_release();
                 if !complete {
                     return;
                 }
                 b"0\r\n\r\n".to_vec()
             }
         };
-        if stream.write_all(&text).is_err() {
+        if stream.write_all(&response).is_err() {
             return;
         }
     }
--- a/crates/test-support/src/scripted_servers/running_proxy.rs
+++ b/crates/test-support/src/scripted_servers/running_proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy's program, running.
+//! A running process of the proxy.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,24 +7,25 @@
 use std::sync::{Arc, Mutex};
 
 use super::client::TestClient;
-use super::setup::{ProxySetup, config_file};
+use super::setup::{ProxySetup, write_config_file};
 use super::{lock, wait_until};
 
-/// The proxy's program: beside the folder that the running test, bench or example is in.
+/// Returns the path of the proxy's executable, in the parent of the folder of the running test, bench or
+/// example.
 ///
 /// # Panics
-/// It has not been built.
-pub fn program() -> PathBuf {
-    let me = std::env::current_exe().expect("this program has a path");
-    let folder = me.parent().and_then(Path::parent).expect("a folder two levels up");
+/// When the proxy has not been built.
+pub fn proxy_executable() -> PathBuf {
+    let test = std::env::current_exe().expect("the test has a path");
+    let folder = test.parent().and_then(Path::parent).expect("the test is two folders deep");
     let program = folder.join("garnetcrank-proxy");
     assert!(program.is_file(), "{}: build garnetcrank-proxy first", program.display());
     program
 }
 
-/// The program, running.
+/// A running proxy; it is killed when dropped.
 pub struct RunningProxy {
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     child: Child,
     config: PathBuf,
@@ -32,103 +33,106 @@
 }
 
 impl RunningProxy {
-    /// Starts it, and waits until it serves.
+    /// Starts a proxy and waits until it serves.
     pub fn start(setup: &ProxySetup) -> RunningProxy {
         RunningProxy::start_with(setup, &[])
     }
 
-    /// The same, with further environment variables.
-    pub fn start_with(setup: &ProxySetup, more: &[(&str, &str)]) -> RunningProxy {
+    /// Starts a proxy with further environment variables and waits until it serves.
+    pub fn start_with(setup: &ProxySetup, environment: &[(&str, &str)]) -> RunningProxy {
         loop {
             let address = setup.listen.unwrap_or_else(free_address);
-            let mut running = RunningProxy::spawn(setup, more, address);
-            let mut ended = false;
-            wait_until("a proxy that serves, or ends", || {
-                ended = running.child.try_wait().expect("a child").is_some();
-                // Only once it logs that it listens is it the process that answers there.
-                ended || running.log().contains("serving") && running.is_healthy()
+            let mut running = RunningProxy::spawn(setup, environment, address);
+            let mut exited = false;
+            wait_until("the proxy serves or exits", || {
+                exited = running.child.try_wait().expect("the child process can be polled").is_some();
+                // Until it logs that it serves, another process may be answering at the address.
+                exited || running.log().contains("serving") && running.is_healthy()
             });
-            // The free address is another test's by now: both would talk to that one's proxy.
-            let taken = ended && setup.listen.is_none();
-            if !taken {
+            // Another test's proxy may have taken the free address by now. Clients would reach that proxy
+            // instead.
+            let address_taken = exited && setup.listen.is_none();
+            if !address_taken {
                 return running;
             }
-            wait_until("its last log lines", || !running.log().is_empty());
-            assert!(running.log().contains("Address already in use"), "it ended: {}", running.log());
+            wait_until("the last log lines are read", || !running.log().is_empty());
+            assert!(running.log().contains("Address already in use"), "the proxy exited: {}", running.log());
         }
     }
 
-    fn spawn(setup: &ProxySetup, more: &[(&str, &str)], address: SocketAddr) -> RunningProxy {
-        let config = config_file(&setup.config(address));
-        // All tests of the proxy can be run on several workers as well.
+    fn spawn(setup: &ProxySetup, environment: &[(&str, &str)], address: SocketAddr) -> RunningProxy {
+        let config = write_config_file(&setup.config(address));
+        // FRONT_CORES runs all tests of the proxy with several workers.
         let cores = std::env::var("FRONT_CORES").ok().map(|cores| format!(r#"{{"cores":{cores}}}"#));
-        let feature_file = setup.features.as_ref().or(cores.as_ref()).map(|text| config_file(text));
-        let mut child = Command::new(program())
+        let features_file = setup.features.as_ref().or(cores.as_ref()).map(|text| write_config_file(text));
+        let mut child = Command::new(proxy_executable())
             .env_clear()
             .env("RELAY_CONFIG", &config)
-            .envs(more.iter().copied())
-            .args(feature_file.iter().flat_map(|path| ["--extras".into(), path.clone().into_os_string()]))
+            .envs(environment.iter().copied())
+            .args(features_file.iter().flat_map(|path| ["--extras".into(), path.clone().into_os_string()]))
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
         let log: Arc<Mutex<String>> = Arc::default();
-        let (lines, all) = (child.stderr.take().expect("a pipe"), Arc::clone(&log));
+        let (lines, reader_log) = (child.stderr.take().expect("stderr is piped"), Arc::clone(&log));
         std::thread::spawn(move || {
             for line in BufReader::new(lines).lines().map_while(Result::ok) {
-                lock(&all).push_str(&format!("{line}\n"));
+                lock(&reader_log).push_str(&format!("{line}\n"));
             }
         });
         RunningProxy { address, child, config, log }
     }
 
     fn is_healthy(&self) -> bool {
-        let ask = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+        let health_request = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         let stream = TcpStream::connect(self.address).ok();
-        stream.and_then(|s| TestClient::on(s).exchange(ask)).is_some_and(|a| a.status() == 200)
+        stream
+            .and_then(|stream| TestClient::new(stream).exchange(health_request))
+            .is_some_and(|response| response.status() == 200)
     }
 
-    /// A new connection to it.
+    /// Opens a client connection.
     pub fn client(&self) -> TestClient {
-        TestClient::on(TcpStream::connect(self.address).expect("a connection"))
+        TestClient::new(TcpStream::connect(self.address).expect("the proxy accepts a connection"))
     }
 
-    /// What it has logged so far.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         lock(&self.log).clone()
     }
 
-    /// Replaces its configuration file and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
-        let new = config_file(text);
+        let new = write_config_file(text);
         std::fs::rename(new, &self.config).expect("the file is replaced");
         self.signal("HUP");
     }
 
-    /// Removes its configuration file and sends SIGHUP.
-    pub fn forget_config(&self) {
-        std::fs::remove_file(&self.config).expect("the file is there");
+    /// Removes the configuration file and sends SIGHUP.
+    pub fn remove_config(&self) {
+        std::fs::remove_file(&self.config).expect("the configuration file exists");
         self.signal("HUP");
     }
 
-    /// Its process id.
-    pub fn process(&self) -> u32 {
+    /// Returns the process id.
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal, named without `SIG`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Waits for its exit.
-    pub fn exit(&mut self) -> ExitStatus {
+    /// Waits until the proxy exits.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_until("an exit", || {
-            status = self.child.try_wait().expect("a child");
+        wait_until("the proxy exits", || {
+            status = self.child.try_wait().expect("the child process can be polled");
             status.is_some()
         });
-        status.expect("an exit")
+        status.expect("the proxy exits")
     }
 }
 
@@ -143,7 +147,9 @@
     }
 }
 
-/// An address that is free now.
+/// Returns a loopback address that is free now; another process may take it at any time.
 pub fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("a loopback port is free")
 }
--- a/crates/test-support/src/scripted_servers/setup.rs
+++ b/crates/test-support/src/scripted_servers/setup.rs
@@ -1,4 +1,4 @@
-//! The configuration of a proxy between scripted servers.
+//! Configuration of a proxy between scripted servers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,28 +6,28 @@
 
 use super::stream::ScriptedStream;
 
-/// How a proxy is to be started.
+/// Configuration and features file of a proxy to start.
 pub struct ProxySetup {
-    /// The cached endpoint list that it starts with.
+    /// Cached endpoint list at the start, as JSON.
     pub cached_list: String,
-    /// The rollout state that it starts with.
+    /// Rollout state at the start, as JSON.
     pub rollout: String,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the release controller answers.
+    /// Address of the release controller.
     pub controller: SocketAddr,
-    /// Its limit on descriptors.
-    pub sockets: usize,
-    /// The deployment's settings.
+    /// Limit on descriptors (`limits.sockets`).
+    pub descriptor_limit: usize,
+    /// Settings of the deployment.
     pub settings: serde_json::Value,
-    /// Where it listens; none: at any free address.
+    /// Address on which the proxy listens; none for any free address.
     pub listen: Option<SocketAddr>,
-    /// Text of its features file.
+    /// Text of the features file; none for no such file.
     pub features: Option<String>,
 }
 
 impl ProxySetup {
-    /// A setup with this list and rollout state, and these servers.
+    /// Creates a setup with an endpoint list, a rollout state and the servers.
     pub fn new(
         cached_list: &str,
         rollout: String,
@@ -39,30 +39,36 @@
             rollout,
             discovery: discovery.address,
             controller: controller.address,
-            sockets: 1024,
-            settings: serde_json::from_str(include_str!("../../../proxy/tests/settings.json")).expect("JSON"),
+            descriptor_limit: 1024,
+            settings: serde_json::from_str(include_str!("../../../proxy/tests/settings.json"))
+                .expect("valid JSON"),
             listen: None,
             features: None,
         }
     }
 
-    /// The configuration file's text.
+    /// Formats the configuration file.
     pub fn config(&self, listen: SocketAddr) -> String {
         format!(
             r#"{{"name":"n1","listen":"{listen}","discovery":"{}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":{}}},
             "pipeline":{{"address":"{}","news":{}}},"known":{},"settings":{}}}"#,
-            self.discovery, self.sockets, self.controller, self.rollout, self.cached_list, self.settings
+            self.discovery,
+            self.descriptor_limit,
+            self.controller,
+            self.rollout,
+            self.cached_list,
+            self.settings
         )
     }
 }
 
-static FILES: AtomicU64 = AtomicU64::new(0);
+static NEXT_FILE_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// Writes a configuration file of its own.
-pub fn config_file(text: &str) -> PathBuf {
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+/// Writes a new configuration file. Returns its path.
+pub fn write_config_file(text: &str) -> PathBuf {
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("garnetcrank-{}-{number}.json", std::process::id()));
-    std::fs::write(&path, text).expect("a writable folder");
+    std::fs::write(&path, text).expect("the temporary folder is writable");
     path
 }
--- a/crates/test-support/src/virtual_fleet.rs
+++ b/crates/test-support/src/virtual_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: hundreds of instances that do not communicate, and the work that endpoints in slow
-//! start get from all of them together. No decisions are made here.
+//! A simulation of a fleet in virtual time: hundreds of instances that do not communicate, and the total work
+//! that they send to endpoints in slow start. All decisions are the policy's.
 
 use std::collections::BTreeMap;
 
@@ -21,37 +21,37 @@
 
 const INSTANCES: u32 = 300;
 const ENDPOINTS: usize = 40;
-/// The endpoints that restart at 8 s; the others begin to drain a second later.
+/// Number of endpoints that restart at 8 s; the others start to drain a second later.
 const RESTARTED: usize = 12;
-/// Demand relative to the capacity of all endpoints.
+/// Offered load relative to the capacity of all endpoints.
 const LOAD: f64 = 0.6;
-/// Mean work of a request on a standard core.
+/// Mean work of a request, in microseconds on a standard core.
 const WORK: f64 = 60.0 * MS as f64;
 const LATENCY_OBJECTIVE: Micros = 400 * MS;
 const BUILD: Build = Build(7);
 
-/// What is known of a request's work.
+/// Quality of the work hints of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hints {
-    /// Off by up to two fifths.
+pub enum WorkHints {
+    /// Hints that are wrong by up to 40 %.
     Rough,
-    /// Nothing.
+    /// No hints.
     Absent,
 }
 
-/// A fleet of endpoints with one core each, and what happens to it.
+/// Parameters of a fleet of endpoints with one core each.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetPlan {
-    /// Speed of the core, over a standard one.
-    pub speed: f64,
-    /// Work of a new connection; every request takes one.
-    pub handshake: Micros,
-    /// What is known of work.
-    pub hints: Hints,
-    /// How long after their start the endpoints stay unknown to all instances.
-    pub hidden_for: Micros,
-    /// Share of the instances that are killed at 9.5 s and restart without state.
-    pub killed_share: f64,
+    /// Speed of a core, relative to a standard one.
+    pub core_speed: f64,
+    /// Work of a new connection, in microseconds; every request opens one.
+    pub handshake_work: Micros,
+    /// Work hints of the requests.
+    pub hints: WorkHints,
+    /// Time after 8 s for which the restarted endpoints stay unknown to all instances.
+    pub discovery_delay: Micros,
+    /// Probability that an instance is killed at 9.5 s and restarts without state.
+    pub kill_probability: f64,
     /// Seed of all random draws.
     pub seed: u64,
 }
@@ -59,26 +59,26 @@
 impl Default for FleetPlan {
     fn default() -> Self {
         FleetPlan {
-            speed: 1.0,
-            handshake: 0,
-            hints: Hints::Rough,
-            hidden_for: 500 * MS,
-            killed_share: 0.0,
+            core_speed: 1.0,
+            handshake_work: 0,
+            hints: WorkHints::Rough,
+            discovery_delay: 500 * MS,
+            kill_probability: 0.0,
             seed: 1,
         }
     }
 }
 
-/// The load that a simulation came to.
+/// Results of a simulation.
 #[derive(Debug)]
 pub struct FleetLoad {
-    /// The most work that any endpoint in slow start got in an overload window, relative to its capacity.
+    /// Maximum work of any endpoint in slow start in an overload window, relative to its capacity.
     pub worst_overload: f64,
-    /// Share of the requests that were forwarded.
-    pub sent: f64,
+    /// Share of the requests that were forwarded, from 0 to 1.
+    pub forwarded_share: f64,
 }
 
-fn settings(index: u32) -> Config {
+fn config(index: u32) -> Config {
     Config {
         instance_count: INSTANCES,
         instance_index: index,
@@ -112,133 +112,138 @@
     }
 }
 
-/// A drawn value of an exponential distribution.
-fn drawn(rng: &mut Rng, mean: f64) -> f64 {
+/// Draws a value of an exponential distribution.
+fn draw_exponential(rng: &mut Rng, mean: f64) -> f64 {
     -(1.0 - rng.f64()).ln() * mean
 }
 
-/// The simulation under way.
-struct World {
+/// State of a running simulation.
+struct Simulation {
     plan: FleetPlan,
     rng: Rng,
     policies: Vec<Policy>,
-    /// The endpoint records at first, of those that restart, and of the others while they drain.
+    /// Records of all endpoints at the start.
     initial_records: Vec<EndpointRecord>,
+    /// Records of the restarted endpoints.
     restarted: Vec<EndpointRecord>,
+    /// Records of the other endpoints while they drain.
     draining: Vec<EndpointRecord>,
-    /// Outcomes under way, by time and request, with the instance.
-    due: BTreeMap<(Micros, u32), (usize, AttemptResult)>,
-    /// Work that each restarted endpoint received.
+    /// Future results of attempts with their instance, by time and request.
+    pending_results: BTreeMap<(Micros, u32), (usize, AttemptResult)>,
+    /// Times and amounts of work that each restarted endpoint received.
     received_work: Vec<Vec<(Micros, f64)>>,
     requests: u32,
-    sent: u32,
-    out: Vec<Action>,
+    forwarded_count: u32,
+    actions: Vec<Action>,
 }
 
-/// Simulates 14 s: after 8 quiet ones endpoints restart while the others drain.
+/// Simulates 14 s: at 8 s some endpoints restart, at 9 s the others start to drain.
 pub fn simulate(plan: FleetPlan) -> FleetLoad {
     let mut rng = Rng::with_seed(plan.seed);
-    let policies: Vec<Policy> = (0..INSTANCES).map(|i| Policy::new(rng.u64(..), settings(i))).collect();
-    // Some instances see several times the mean.
-    let skew: Vec<f64> = policies.iter().map(|_| 0.2 + drawn(&mut rng, 0.8)).collect();
-    let entry = |n| EndpointRecord {
-        endpoint: EndpointId(n),
+    let policies: Vec<Policy> = (0..INSTANCES).map(|index| Policy::new(rng.u64(..), config(index))).collect();
+    // Some instances get several times the mean rate of requests.
+    let rate_factor: Vec<f64> = policies.iter().map(|_| 0.2 + draw_exponential(&mut rng, 0.8)).collect();
+    let record = |number| EndpointRecord {
+        endpoint: EndpointId(number),
         build: BUILD,
         rating: 1.0,
         ..EndpointRecord::default()
     };
-    let initial_records: Vec<EndpointRecord> = (0..ENDPOINTS as u32).map(entry).collect();
-    let mut started_at =
-        |e: &EndpointRecord| EndpointRecord { started: Some(START + 8 * SECOND + rng.u64(..200 * MS)), ..*e };
+    let initial_records: Vec<EndpointRecord> = (0..ENDPOINTS as u32).map(record).collect();
+    let mut started_at = |record: &EndpointRecord| EndpointRecord {
+        started: Some(START + 8 * SECOND + rng.u64(..200 * MS)),
+        ..*record
+    };
     let restarted = initial_records[..RESTARTED].iter().map(&mut started_at).collect();
-    let drain = |e: &EndpointRecord| EndpointRecord { status: EndpointStatus::Draining, ..*e };
+    let drain = |record: &EndpointRecord| EndpointRecord { status: EndpointStatus::Draining, ..*record };
     let draining = initial_records[RESTARTED..].iter().map(drain).collect();
     let received_work = vec![Vec::new(); RESTARTED];
-    let (due, out, requests, sent) = (BTreeMap::new(), Vec::new(), 0, 0);
-    let mut world = World {
+    let (pending_results, actions, requests, forwarded_count) = (BTreeMap::new(), Vec::new(), 0, 0);
+    let mut simulation = Simulation {
         plan,
         rng,
         policies,
         initial_records,
         restarted,
         draining,
-        due,
+        pending_results,
         received_work,
         requests,
-        sent,
-        out,
+        forwarded_count,
+        actions,
     };
-    (0..world.policies.len())
-        .for_each(|instance| world.start_instance(START, instance, world.initial_records.clone()));
-    let requests = LOAD * ENDPOINTS as f64 * plan.speed / (WORK / SECOND as f64);
+    (0..simulation.policies.len())
+        .for_each(|instance| simulation.start_instance(START, instance, simulation.initial_records.clone()));
+    let requests = LOAD * ENDPOINTS as f64 * plan.core_speed / (WORK / SECOND as f64);
     let requests_per_step = requests / f64::from(INSTANCES) * STEP as f64 / SECOND as f64;
     for now in (START..START + RUN).step_by(STEP as usize).map(|step_start| step_start + STEP) {
-        (0..world.policies.len()).for_each(|instance| world.deliver_updates(now, instance));
-        world.deliver_outcomes(now);
-        for (instance, skew) in skew.iter().enumerate() {
-            let mut come = skew * requests_per_step;
-            while world.rng.f64() < come {
-                come -= 1.0;
-                world.request(now, instance);
+        (0..simulation.policies.len()).for_each(|instance| simulation.deliver_updates(now, instance));
+        simulation.deliver_outcomes(now);
+        for (instance, rate_factor) in rate_factor.iter().enumerate() {
+            let mut expected_requests = rate_factor * requests_per_step;
+            while simulation.rng.f64() < expected_requests {
+                expected_requests -= 1.0;
+                simulation.request(now, instance);
             }
         }
     }
     FleetLoad {
-        worst_overload: world.worst_overload(),
-        sent: f64::from(world.sent) / f64::from(world.requests),
+        worst_overload: simulation.worst_overload(),
+        forwarded_share: f64::from(simulation.forwarded_count) / f64::from(simulation.requests),
     }
 }
 
-impl World {
+impl Simulation {
     fn deliver(&mut self, now: Micros, instance: usize, event: Event) {
-        self.out.clear();
-        self.policies[instance].handle(now, event, &mut self.out);
+        self.actions.clear();
+        self.policies[instance].handle(now, event, &mut self.actions);
     }
 
-    /// Notifies an instance of what it knows at its start.
-    fn start_instance(&mut self, now: Micros, instance: usize, entries: Vec<EndpointRecord>) {
+    /// Delivers to an instance the cached endpoint list and the rollout state of its start.
+    fn start_instance(&mut self, now: Micros, instance: usize, records: Vec<EndpointRecord>) {
         self.deliver(
             now,
             instance,
-            Event::EndpointsUpdated(EndpointUpdate::Snapshot { endpoints: entries, cached: true }),
+            Event::EndpointsUpdated(EndpointUpdate::Snapshot { endpoints: records, cached: true }),
         );
-        let stage = RolloutStatus {
+        let rollout = RolloutStatus {
             build: BUILD,
             stage: 2,
             phase: RolloutPhase::Released,
             exposure_cap: 1.0,
             age: 0,
         };
-        self.deliver(now, instance, Event::RolloutUpdated(stage));
+        self.deliver(now, instance, Event::RolloutUpdated(rollout));
     }
 
-    /// Delivers the updates that are due; they reach each instance at its own time.
+    /// Delivers the updates that are due; their delay depends on the instance.
     fn deliver_updates(&mut self, now: Micros, instance: usize) {
-        let at = now - START;
-        let late = (instance as Micros * 7_919) % 300 * MS / STEP * STEP;
-        if at == 7_500 * MS + late {
-            let away = |e: &EndpointRecord| EndpointRecord { status: EndpointStatus::Removed, ..*e };
-            let away = self.initial_records[..RESTARTED].iter().map(away).collect();
-            self.deliver(now, instance, Event::EndpointsUpdated(EndpointUpdate::Delta(away)));
+        let elapsed = now - START;
+        let delay = (instance as Micros * 7_919) % 300 * MS / STEP * STEP;
+        if elapsed == 7_500 * MS + delay {
+            let removed =
+                |record: &EndpointRecord| EndpointRecord { status: EndpointStatus::Removed, ..*record };
+            let removed = self.initial_records[..RESTARTED].iter().map(removed).collect();
+            self.deliver(now, instance, Event::EndpointsUpdated(EndpointUpdate::Delta(removed)));
         }
-        if at == 8 * SECOND + self.plan.hidden_for + late {
+        if elapsed == 8 * SECOND + self.plan.discovery_delay + delay {
             self.deliver(
                 now,
                 instance,
                 Event::EndpointsUpdated(EndpointUpdate::Delta(self.restarted.clone())),
             );
         }
-        if at == 9 * SECOND + late {
+        if elapsed == 9 * SECOND + delay {
             self.deliver(
                 now,
                 instance,
                 Event::EndpointsUpdated(EndpointUpdate::Delta(self.draining.clone())),
             );
         }
-        if at == 9_500 * MS && self.rng.f64() < self.plan.killed_share {
-            self.policies[instance] = Policy::new(self.rng.u64(..), settings(instance as u32));
+        if elapsed == 9_500 * MS && self.rng.f64() < self.plan.kill_probability {
+            self.policies[instance] = Policy::new(self.rng.u64(..), config(instance as u32));
             self.start_instance(now, instance, [&self.restarted[..], &self.draining].concat());
-            self.due.retain(|_, (whose, _)| *whose != instance);
+            self.pending_results.retain(|_, (owner, _)| *owner != instance);
         }
         if (now / STEP + instance as u64).is_multiple_of(STEPS_PER_TIMER) {
             self.deliver(now, instance, Event::Timer(0));
@@ -246,7 +251,7 @@
     }
 
     fn deliver_outcomes(&mut self, now: Micros) {
-        while let Some(first) = self.due.first_entry().filter(|first| first.key().0 <= now) {
+        while let Some(first) = self.pending_results.first_entry().filter(|first| first.key().0 <= now) {
             let (instance, result) = first.remove();
             self.deliver(now, instance, Event::AttemptCompleted(result));
         }
@@ -255,24 +260,24 @@
     fn request(&mut self, now: Micros, instance: usize) {
         self.requests += 1;
         let id = RequestId(self.requests);
-        let work = drawn(&mut self.rng, WORK);
-        let rough = (work * (0.6 + 0.8 * self.rng.f64())) as Micros;
-        let hint = (self.plan.hints == Hints::Rough).then_some(rough.max(1));
+        let work = draw_exponential(&mut self.rng, WORK);
+        let rough_hint = (work * (0.6 + 0.8 * self.rng.f64())) as Micros;
+        let hint = (self.plan.hints == WorkHints::Rough).then_some(rough_hint.max(1));
         let (class, deadline) = (ClassId(0), now + SECOND);
         let request =
             Request { id, class, tenant: None, key: None, deadline, work_hint: hint, is_retry: false };
         self.deliver(now, instance, Event::Request(request));
-        let forwarded = self.out.iter().find_map(|action| match action {
+        let forwarded = self.actions.iter().find_map(|action| match action {
             Action::Forward { endpoint, .. } => Some(*endpoint),
             _ => None,
         });
         let Some(endpoint) = forwarded else { return };
-        self.sent += 1;
-        let work = work + self.plan.handshake as f64;
+        self.forwarded_count += 1;
+        let work = work + self.plan.handshake_work as f64;
         if let Some(received_work) = self.received_work.get_mut(endpoint.0 as usize) {
             received_work.push((now, work));
         }
-        let latency = (work / self.plan.speed * (1.0 + 0.3 * self.rng.f64())) as Micros;
+        let latency = (work / self.plan.core_speed * (1.0 + 0.3 * self.rng.f64())) as Micros;
         let outcome = if latency < LATENCY_OBJECTIVE { Outcome::Success } else { Outcome::TimedOut };
         let latency = latency.min(LATENCY_OBJECTIVE);
         let result = AttemptResult {
@@ -283,11 +288,11 @@
             request_finished: true,
             load_report: Vec::new(),
         };
-        self.due.insert((now + latency, id.0), (instance, result));
+        self.pending_results.insert((now + latency, id.0), (instance, result));
     }
 
-    /// The most work that any endpoint got in an overload window while in slow start, relative to its capacity at the
-    /// window's end.
+    /// Returns the maximum work of any endpoint in an overload window while in slow start, relative to its
+    /// capacity at the end of the window.
     fn worst_overload(&self) -> f64 {
         let Config {
             slow_start_initial: initial,
@@ -295,23 +300,26 @@
             overload_multiple: multiple,
             overload_window: window,
             ..
-        } = settings(0);
-        let of_each = self.restarted.iter().zip(&self.received_work).flat_map(|(entry, received_work)| {
-            let started_at = entry.started.unwrap_or_default();
-            let in_slow_start: Vec<_> = received_work
+        } = config(0);
+        let overloads = self.restarted.iter().zip(&self.received_work).flat_map(|(record, received_work)| {
+            let started_at = record.started.unwrap_or_default();
+            let work_in_slow_start: Vec<_> = received_work
                 .iter()
-                .filter(|(at, _)| *at > started_at && *at < started_at + duration)
+                .filter(|(time, _)| *time > started_at && *time < started_at + duration)
                 .collect();
-            let ratios = (0..in_slow_start.len()).map(move |last| {
-                let at = in_slow_start[last].0;
-                let within = in_slow_start[..=last].iter().rev().take_while(|(t, _)| t + window >= at);
-                let progress = (at - started_at) as f64 / duration as f64;
+            let ratios = (0..work_in_slow_start.len()).map(move |last| {
+                let window_end = work_in_slow_start[last].0;
+                let window_work = work_in_slow_start[..=last]
+                    .iter()
+                    .rev()
+                    .take_while(|(time, _)| time + window >= window_end);
+                let progress = (window_end - started_at) as f64 / duration as f64;
                 let share = initial + (1.0 - initial) * progress;
-                let capacity = multiple * share * self.plan.speed * window as f64;
-                within.map(|(_, work)| work).sum::<f64>() / capacity
+                let capacity = multiple * share * self.plan.core_speed * window as f64;
+                window_work.map(|(_, work)| work).sum::<f64>() / capacity
             });
             ratios.collect::<Vec<_>>()
         });
-        of_each.fold(0.0, f64::max)
+        overloads.fold(0.0, f64::max)
     }
 }
