--- a/crates/test-support/src/agent_cluster.rs
+++ b/crates/test-support/src/agent_cluster.rs
@@ -80,8 +80,8 @@
     http: ureq::Agent,
 }
 
-/// Returns a loopback address that no other agent uses, from the id of this process and a count. A free port
-/// from the system would not do: another process may take it before the agent binds it.
+/// Returns a loopback address for one agent, from the id of this process and a count. A free port from the
+/// system would not do: another process may take it before the agent binds it.
 fn unique_address(port: u16) -> SocketAddr {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
