--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,73 +1,74 @@
-//! What is stored, and a change of it.
+//! The stored types, and the batch that changes them atomically.
 
 use serde::{Deserialize, Serialize};
 
-/// Raft's hard state: what an instance must not forget between two messages.
+/// Raft hard state, which an instance must persist before it sends messages that depend on it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term that it has seen.
+    /// Latest term that the instance has seen.
     pub term: u64,
-    /// The instance that it voted for in that term; 0: none.
+    /// Id of the instance that received its vote in that term; 0 if it has not voted.
     pub vote: u64,
-    /// The last index that it knows to be committed.
+    /// Highest log index known to be committed.
     pub commit: u64,
 }
 
-/// One entry of the log.
+/// Log entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its index in the log, from 1.
+    /// Position in the log, starting at 1.
     pub index: u64,
-    /// The term in which it was proposed.
+    /// Term in which the entry was proposed.
     pub term: u64,
-    /// The kind of its content; the caller defines the numbers.
+    /// Kind of the content; the caller defines the values.
     pub kind: u8,
-    /// The caller's bytes.
+    /// Content, in the caller's encoding.
     pub data: Vec<u8>,
-    /// More of the caller's bytes, such as the context of a change of membership.
+    /// Additional content in the caller's encoding, such as the context of a membership change.
     pub context: Vec<u8>,
 }
 
-/// The state up to an index.
+/// Snapshot of the replicated state at a log index.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The last index that it covers.
+    /// Last log index that the snapshot covers.
     pub index: u64,
-    /// The term of that entry.
+    /// Term of the entry at that index.
     pub term: u64,
-    /// The members at that index, in the caller's encoding.
+    /// Members at that index, in the caller's encoding.
     pub members: Vec<u8>,
-    /// The state, in the caller's encoding.
+    /// State at that index, in the caller's encoding.
     pub data: Vec<u8>,
 }
 
-/// The instance that owns a store. Fixed when the store is created.
+/// Identity of the instance that owns a store. It is fixed when the store is created.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The cluster's name.
+    /// Name of the cluster.
     pub cluster: String,
-    /// The instance's name.
+    /// Name of the instance.
     pub name: String,
-    /// The instance's id, drawn when the file was created: a file that is created again is another instance.
+    /// Random id of the instance, generated when the file is created: a recreated file is a different
+    /// instance.
     pub id: u64,
 }
 
-/// A change that happens completely or not at all.
+/// Set of changes that is applied atomically.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// A new hard state.
+    /// New hard state.
     pub hard_state: Option<HardState>,
-    /// A snapshot that replaces the stored one and all entries up to its index. Entries beyond it are kept only
-    /// where the log continues it.
+    /// Snapshot that replaces the stored one and all entries up to its index. Entries after that index are
+    /// kept only if the stored log contains the snapshot's last entry, with the same term.
     pub snapshot: Option<Snapshot>,
-    /// Entries to append, in order; stored entries from the first one's index on are replaced.
+    /// Entries to append, in order. They replace all stored entries from the index of the first one on.
     pub entries: Vec<Record>,
-    /// Keys of other subsystems, each with its new value or none to remove it.
+    /// Changes to the keys of other subsystems: `Some` sets the key's value, `None` removes the key.
     pub keys: Vec<(String, Option<Vec<u8>>)>,
 }
 
 impl Batch {
-    /// Whether it changes nothing.
+    /// Returns whether the batch contains no change.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
--- a/crates/store/src/checksum.rs
+++ b/crates/store/src/checksum.rs
@@ -1,19 +1,19 @@
-//! Checksummed values: a checksum over the table, the key and the bytes, so that neither a flipped bit nor a value in
-//! the place of another one is ever served.
+//! Checksums of stored values. A checksum covers the table name, the key and the bytes, so that it detects
+//! both flipped bits and a value that is stored under another value's key.
 
 use std::fmt;
 
-/// Length of the checksum in front of each value, in bytes.
+/// Length of the checksum that precedes each value, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// A value that is not what was written, and where it is.
+/// Corrupt or missing value, with its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CorruptValue {
-    /// The table.
+    /// Name of the table.
     pub table: &'static str,
-    /// The key in it.
+    /// Key in the table.
     pub key: String,
-    /// What is wrong.
+    /// Kind of the corruption.
     pub corruption: Corruption,
 }
 
@@ -29,52 +29,52 @@
     }
 }
 
-/// In which way a value is not what was written.
+/// Kind of corruption of a value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
-    /// The file's pages, in redb's words.
+    /// The file's pages are corrupt; the text is redb's message.
     #[error("{0}")]
     Pages(String),
     /// The file's pages are so inconsistent that redb panicked.
-    #[error("the pages contradict themselves")]
+    #[error("the pages are inconsistent")]
     InconsistentPages,
-    /// Too short for a checksum.
-    #[error("{length} bytes, shorter than a checksum")]
+    /// The value is shorter than a checksum.
+    #[error("the value is shorter than its checksum: {length} bytes")]
     TooShort {
-        /// Its length, in bytes.
+        /// Length of the value, in bytes.
         length: usize,
     },
-    /// The checksum is another one.
-    #[error("the checksum over {length} bytes does not match")]
+    /// The stored checksum differs from the computed one.
+    #[error("checksum mismatch over {length} bytes")]
     ChecksumMismatch {
-        /// Length of the value without its checksum, in bytes.
+        /// Length of the value without the checksum, in bytes.
         length: usize,
     },
     /// The bytes can't be decoded.
     #[error("{0}")]
     Undecodable(#[from] postcard::Error),
-    /// The schema version has another length than four bytes.
-    #[error("not four bytes")]
-    SchemaLength,
-    /// A value that each store has is missing.
+    /// The schema version is not four bytes long.
+    #[error("the schema version is not four bytes long")]
+    SchemaVersionLength,
+    /// A value that every store has is missing.
     #[error("missing")]
     Missing,
-    /// A value is missing between others.
-    #[error("missing between others")]
-    MissingBetweenOthers,
-    /// An entry with another index than its place.
-    #[error("it holds entry {index}")]
-    WrongEntry {
-        /// The index that it has.
+    /// A value is missing from a sequence of consecutive keys.
+    #[error("missing from a consecutive sequence")]
+    MissingFromSequence,
+    /// A log entry is stored under the key of another index.
+    #[error("the stored entry has index {index}")]
+    EntryIndexMismatch {
+        /// Index in the entry.
         index: u64,
     },
-    /// A snapshot whose chunks don't have the length that was written.
-    #[error("{found} bytes, {written} were written")]
-    SnapshotLength {
-        /// Their length, in bytes.
+    /// The total length of a snapshot's chunks differs from the length in its header.
+    #[error("the snapshot has {found} bytes, expected {expected}")]
+    SnapshotLengthMismatch {
+        /// Total length of the chunks, in bytes.
         found: u64,
-        /// The length that was written, in bytes.
-        written: u64,
+        /// Length in the header, in bytes.
+        expected: u64,
     },
 }
 
@@ -88,22 +88,22 @@
     hasher.finalize().to_le_bytes()
 }
 
-/// The bytes with their checksum in front.
-pub(crate) fn add_checksum(table: &str, key: &[u8], bytes: &[u8]) -> Vec<u8> {
+/// Returns the bytes, preceded by their checksum.
+pub(crate) fn prepend_checksum(table: &str, key: &[u8], bytes: &[u8]) -> Vec<u8> {
     let mut checksummed = Vec::with_capacity(CHECKSUM_BYTES + bytes.len());
     checksummed.extend_from_slice(&checksum(table, key, bytes));
     checksummed.extend_from_slice(bytes);
     checksummed
 }
 
-/// The bytes without their checksum, if it matches. `shown_key` is the key in an error.
+/// Verifies the checksum and returns the bytes without it. `display_key` is the key that an error reports.
 pub(crate) fn verify_checksum<'a>(
     table: &'static str,
     key: &[u8],
-    shown_key: &str,
+    display_key: &str,
     checksummed: &'a [u8],
 ) -> Result<&'a [u8], CorruptValue> {
-    let corrupt = |corruption| CorruptValue { table, key: shown_key.to_owned(), corruption };
+    let corrupt = |corruption| CorruptValue { table, key: display_key.to_owned(), corruption };
     let Some((stored, bytes)) = checksummed.split_at_checked(CHECKSUM_BYTES) else {
         return Err(corrupt(Corruption::TooShort { length: checksummed.len() }));
     };
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a store can't go on.
+//! Errors of the store.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,123 +6,130 @@
 use crate::batch::Identity;
 use crate::checksum::{CorruptValue, Corruption};
 
-/// In an error: the place of what concerns the whole file.
+/// Table name that errors report if the corruption is not in a single table.
 const FILE_TABLE: &str = "file";
+/// Key that errors report if the corruption is in the pages of the file.
 const PAGES_KEY: &str = "pages";
 
-/// Why a store can't go on.
+/// Error of a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Bytes that are not what was written. They are never served.
-    #[error("corrupt: {0}")]
+    /// A stored value is corrupt. Its bytes are never returned to a caller.
+    #[error("corrupt value {0}")]
     Corrupt(#[from] CorruptValue),
-    /// The file has a schema version that this program can't read.
-    #[error("the file has layout {found}, this program knows up to {known}: use the program that wrote it")]
+    /// The file has a schema version that this program does not support.
+    #[error(
+        "unsupported schema version {found}: this program supports versions up to {supported}, \
+         use the program version that wrote the file"
+    )]
     UnsupportedSchema {
-        /// The file's version.
+        /// Schema version of the file.
         found: u32,
-        /// The latest version that this program can read.
-        known: u32,
+        /// Latest schema version that this program supports.
+        supported: u32,
     },
     /// The file belongs to another instance.
-    #[error("the store belongs to {}, not to {}", describe(found), describe(wanted))]
+    #[error("the store belongs to {}, not to {}", describe_owner(found), describe_owner(expected))]
     WrongOwner {
-        /// The file's owner.
+        /// Owner of the file.
         found: Box<Identity>,
-        /// The instance that opens it.
-        wanted: Box<Identity>,
+        /// Instance that tried to open the file.
+        expected: Box<Identity>,
     },
-    /// A batch that does not follow what is stored. Nothing was changed.
-    #[error("a batch out of order: {0}")]
+    /// The batch does not continue the stored log. Nothing was changed.
+    #[error("batch does not continue the stored log: {0}")]
     OutOfOrder(#[from] BatchOrderError),
-    /// The device is full; nothing of the batch was stored and nothing that was stored is lost.
+    /// The device is full. No part of the batch was stored, and no stored data is lost.
     #[error("the device is full: {0}")]
     DeviceFull(#[source] io::Error),
     /// The file does not exist.
     #[error("{}: no such file", path.display())]
     NotFound {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The file exists and nothing was ever written to it.
-    #[error("no store: nothing was ever written")]
+    /// The file exists, but no store was ever written to it.
+    #[error("the file contains no store: nothing was ever written to it")]
     Empty,
     /// Another process has the file open.
     #[error("the store is in use by another process")]
     InUse,
-    /// The file or its folder can't be opened or synced.
-    #[error("the store has ended: {}: {source}", path.display())]
+    /// The file or its directory can't be opened or synced.
+    #[error("cannot open or sync {}: {source}", path.display())]
     File {
-        /// The file or the folder.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The device failed: the instance has to end and to recover from the file.
-    #[error("the store has ended: {0}")]
+    /// The device or redb failed. The store must be opened again, which recovers it from the file.
+    #[error("the store has failed: {0}")]
     Device(#[source] Box<redb::Error>),
-    /// An earlier call failed and ended the store.
-    #[error("the store has ended before: {reason}")]
+    /// An earlier commit failed, so the store accepts no more commits until it is opened again.
+    #[error("the store accepts no commits after an earlier failure: {reason}")]
     Failed {
-        /// The earlier call's error.
+        /// Text of the earlier error.
         reason: String,
     },
 }
 
-/// In which way a batch does not follow what is stored.
+/// Reason why a batch does not continue the stored log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BatchOrderError {
-    /// A snapshot older than the stored one.
-    #[error("a snapshot of {index} behind {stored}")]
+    /// The snapshot is older than the stored one.
+    #[error("the snapshot's index {index} is below the stored snapshot's index {stored}")]
     OldSnapshot {
-        /// The last index that it covers.
+        /// Last index that the new snapshot covers.
         index: u64,
-        /// The last index that the stored one covers.
+        /// Last index that the stored snapshot covers.
         stored: u64,
     },
-    /// The first entry leaves a gap, or lies behind the snapshot.
-    #[error("entry {index} after {last}, snapshot {snapshot}")]
-    Gap {
-        /// The entry's index.
+    /// The first entry leaves a gap after the last stored index, or the snapshot covers it already.
+    #[error(
+        "the first entry has index {index}: an index above the snapshot's {snapshot} \
+         and at most one above the log's last index {last} is required"
+    )]
+    FirstIndexOutOfRange {
+        /// Index of the first entry.
         index: u64,
-        /// The last index stored.
+        /// Last index of the log.
         last: u64,
-        /// The last index that the snapshot covers.
+        /// Last index that the snapshot covers.
         snapshot: u64,
     },
-    /// Entries of the batch that don't follow one another.
-    #[error("entry {index} in place of {expected}")]
+    /// The indexes of the batch's entries are not consecutive.
+    #[error("an entry has index {index}, expected {expected}")]
     NotConsecutive {
-        /// The entry's index.
+        /// Index of the entry.
         index: u64,
-        /// The index that it should have.
+        /// Index that would be consecutive.
         expected: u64,
     },
 }
 
 impl StoreError {
-    /// An error about the file's pages.
-    pub(crate) fn pages(corruption: Corruption) -> Self {
+    /// Returns an error that reports corrupt pages of the file.
+    pub(crate) fn corrupt_pages(corruption: Corruption) -> Self {
         CorruptValue { table: FILE_TABLE, key: PAGES_KEY.to_owned(), corruption }.into()
     }
 }
 
-fn describe(identity: &Identity) -> String {
+fn describe_owner(identity: &Identity) -> String {
     format!("{} ({:016x}) of cluster {}", identity.name, identity.id, identity.cluster)
 }
 
 impl From<redb::Error> for StoreError {
     fn from(error: redb::Error) -> Self {
         match error {
-            redb::Error::Io(source) if is_full(&source) => Self::DeviceFull(source),
-            redb::Error::Corrupted(what) => Self::pages(Corruption::Pages(what)),
+            redb::Error::Io(source) if is_out_of_space(&source) => Self::DeviceFull(source),
+            redb::Error::Corrupted(message) => Self::corrupt_pages(Corruption::Pages(message)),
             redb::Error::DatabaseAlreadyOpen => Self::InUse,
             other => Self::Device(Box::new(other)),
         }
     }
 }
 
-fn is_full(error: &io::Error) -> bool {
+fn is_out_of_space(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,17 +1,19 @@
-//! State that survives crashes: one file with an append log, the Raft hard state (term, vote, commit), the latest
-//! snapshot and a key space for other subsystems.
+//! Crash-safe storage in one file: the Raft log, the Raft hard state (term, vote, commit), the latest
+//! snapshot and a key-value space for other subsystems.
 //!
-//! Every change goes in as one [`Batch`]: after a crash at any write either all of it is there or nothing, and what
-//! [`Store::commit`] has acknowledged is there. The pages and their atomic commit are redb's; the schema with its
-//! version and upgrades, checksummed values, recovery, scrubbing and compaction are ours.
+//! Changes are written as a [`Batch`], which is atomic and durable: a crash at any write leaves either all of
+//! the batch or none of it, and every batch that [`Store::commit`] has acknowledged survives. redb provides
+//! the pages and their atomic commit; this crate adds a versioned schema with upgrades, checksummed values,
+//! recovery, scrubbing and compaction.
 //!
-//! A commit that fails ends the store: a sync that failed once may have dropped the pages it was to write, and a
-//! second sync would then report success for bytes that are lost.
+//! After a failed commit the store accepts no more commits: the operating system may drop dirty pages when a
+//! sync fails, and a second sync would then report success although their bytes are lost.
 //!
-//! - `batch`: [`Batch`] and what it consists of;
-//! - `store`: [`Store`]: opening, commits, loading, keys, scrubbing;
-//! - `schema`: tables, their version and upgrades from older ones;
-//! - `checksum`, `codec`: values as bytes; `synced_device`: what redb writes to;
+//! - `batch`: [`Batch`] and the types of its fields;
+//! - `store`: [`Store`], with opening, commits, loading, key lookups and scrubbing;
+//! - `schema`: the tables, the schema version and upgrades from older versions;
+//! - `checksum`, `codec`: the byte encoding of stored values;
+//! - `synced_device`: the storage backend that redb writes to;
 //! - `error`: [`StoreError`].
 
 #![warn(
--- a/crates/store/src/store/commit.rs
+++ b/crates/store/src/store/commit.rs
@@ -1,35 +1,38 @@
-//! Commits: a batch is checked against what is stored and written in one transaction.
+//! Commits. A batch is validated against the stored log and written in one transaction.
 
 use redb::{ReadableDatabase, ReadableTable, WriteTransaction};
 
 use super::{LogEnd, Store};
 use crate::batch::{Batch, Record, Snapshot};
-use crate::codec::{SnapshotHeader, decode_record, encode_chunk, encode_key_value, encode_record, put_meta};
+use crate::codec::{SnapshotHeader, decode_entry, encode_chunk, encode_entry, encode_key_value, write_meta};
 use crate::error::{BatchOrderError, StoreError};
 use crate::schema::{CHUNKS, HARD_STATE_KEY, KEYS, LOG, SNAPSHOT_KEY};
 
-/// Largest chunk of a snapshot in one value, in bytes.
+/// Maximum size of a snapshot chunk, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
-/// Fewest entries behind the snapshot that a commit of entries removes; more with more entries in it. Removing all
-/// of them with the snapshot itself delayed a busy instance by a quarter of a second at 10,000 entries.
-const MIN_REMOVED_ENTRIES: usize = 16;
-/// Entries removed for each entry written, so that the old ones are gone before long.
-const REMOVED_PER_ENTRY: usize = 3;
+/// Base limit for the number of entries covered by the snapshot that a commit of entries removes;
+/// [`COMPACTED_PER_WRITTEN_ENTRY`] adds to it. The removal is spread over several commits because removing
+/// all covered entries with the snapshot itself delayed a busy instance by 250 ms at 10,000 entries.
+const BASE_COMPACTED_ENTRIES: usize = 16;
+/// Increase of the limit for each entry that the commit writes. The value is above 1 so that covered entries
+/// are removed soon, even while the log grows.
+const COMPACTED_PER_WRITTEN_ENTRY: usize = 3;
 
 impl Store {
-    /// Makes a change durable: when this returns, all of `batch` survives any crash.
+    /// Writes a batch atomically. Once this returns `Ok`, the batch is durable.
     ///
     /// # Errors
-    /// [`StoreError::OutOfOrder`] for a batch that does not follow what is stored, with nothing changed. After any other
-    /// error the store has ended and every later call fails: the caller recovers by opening the file again.
+    /// Returns [`StoreError::OutOfOrder`] if the batch does not continue the stored log; nothing is changed
+    /// then. If writing the batch fails, every later commit fails as well: the caller recovers by opening the
+    /// file again.
     pub fn commit(&mut self, batch: &Batch) -> Result<(), StoreError> {
         if let Some(reason) = &self.failure {
             return Err(StoreError::Failed { reason: reason.clone() });
         }
-        let end = self.end_after(batch)?;
-        match self.write(batch, end) {
+        let log_end = self.validate_batch(batch)?;
+        match self.write(batch, log_end) {
             Ok(()) => {
-                self.end = end;
+                self.log_end = log_end;
                 Ok(())
             }
             Err(error) => {
@@ -39,47 +42,52 @@
         }
     }
 
-    /// Where the log ends after the batch, if the batch follows what is stored.
-    fn end_after(&self, batch: &Batch) -> Result<LogEnd, StoreError> {
-        let mut end = self.end;
+    /// Validates a batch against the stored log. Returns the end of the log after the batch.
+    fn validate_batch(&self, batch: &Batch) -> Result<LogEnd, StoreError> {
+        let mut log_end = self.log_end;
         if let Some(snapshot) = &batch.snapshot {
-            end = self.end_after_snapshot(snapshot)?;
+            log_end = self.validate_snapshot(snapshot)?;
         }
         if let Some(first) = batch.entries.first() {
-            if first.index <= end.snapshot || first.index > end.last + 1 {
-                let (index, last, snapshot) = (first.index, end.last, end.snapshot);
-                return Err(BatchOrderError::Gap { index, last, snapshot }.into());
+            if first.index <= log_end.snapshot_index || first.index > log_end.last_index + 1 {
+                let (index, last, snapshot) = (first.index, log_end.last_index, log_end.snapshot_index);
+                return Err(BatchOrderError::FirstIndexOutOfRange { index, last, snapshot }.into());
             }
-            for (expected, record) in (first.index..).zip(&batch.entries) {
-                if record.index != expected {
-                    return Err(BatchOrderError::NotConsecutive { index: record.index, expected }.into());
+            for (expected, entry) in (first.index..).zip(&batch.entries) {
+                if entry.index != expected {
+                    return Err(BatchOrderError::NotConsecutive { index: entry.index, expected }.into());
                 }
-                end.last = expected;
+                log_end.last_index = expected;
             }
         }
-        Ok(end)
+        Ok(log_end)
     }
 
-    fn end_after_snapshot(&self, snapshot: &Snapshot) -> Result<LogEnd, StoreError> {
+    /// Validates a snapshot against the stored one. Returns the end of the log after the snapshot.
+    fn validate_snapshot(&self, snapshot: &Snapshot) -> Result<LogEnd, StoreError> {
         let index = snapshot.index;
-        if index < self.end.snapshot {
-            return Err(BatchOrderError::OldSnapshot { index, stored: self.end.snapshot }.into());
+        if index < self.log_end.snapshot_index {
+            return Err(BatchOrderError::OldSnapshot { index, stored: self.log_end.snapshot_index }.into());
         }
         let txn = self.db.begin_read()?;
-        let last = if log_continues(&txn.open_table(LOG)?, snapshot)? { self.end.last } else { index };
-        Ok(LogEnd { last, snapshot: index })
+        let last_index = if contains_last_entry(&txn.open_table(LOG)?, snapshot)? {
+            self.log_end.last_index
+        } else {
+            index
+        };
+        Ok(LogEnd { last_index, snapshot_index: index })
     }
 
-    fn write(&self, batch: &Batch, end: LogEnd) -> Result<(), StoreError> {
+    fn write(&self, batch: &Batch, log_end: LogEnd) -> Result<(), StoreError> {
         let txn = self.db.begin_write()?;
         if let Some(snapshot) = &batch.snapshot {
             write_snapshot(&txn, snapshot)?;
         }
-        if let Some(hard) = &batch.hard_state {
-            put_meta(&txn, HARD_STATE_KEY, hard)?;
+        if let Some(hard_state) = &batch.hard_state {
+            write_meta(&txn, HARD_STATE_KEY, hard_state)?;
         }
         if !batch.entries.is_empty() {
-            write_entries(&txn, &batch.entries, end.snapshot)?;
+            write_entries(&txn, &batch.entries, log_end.snapshot_index)?;
         }
         if !batch.keys.is_empty() {
             write_keys(&txn, &batch.keys)?;
@@ -89,25 +97,27 @@
     }
 }
 
-/// Whether the stored log is of the same history as the snapshot.
-fn log_continues(
+/// Returns whether the log contains the snapshot's last entry, with the same term: only then do the entries
+/// after it belong to the history of the snapshot.
+fn contains_last_entry(
     log: &impl ReadableTable<u64, &'static [u8]>,
     snapshot: &Snapshot,
 ) -> Result<bool, StoreError> {
     match log.get(snapshot.index)? {
-        Some(stored) => Ok(decode_record(snapshot.index, stored.value())?.term == snapshot.term),
+        Some(stored) => Ok(decode_entry(snapshot.index, stored.value())?.term == snapshot.term),
         None => Ok(false),
     }
 }
 
 fn write_snapshot(txn: &WriteTransaction, snapshot: &Snapshot) -> Result<(), StoreError> {
     let mut log = txn.open_table(LOG)?;
-    // Entries behind the snapshot stay only where the log continues it: else they belong to a history that the
-    // snapshot has replaced.
-    if !log_continues(&log, snapshot)? {
+    // If the log does not contain the snapshot's last entry, the entries after it belong to a history that
+    // the snapshot replaces.
+    if !contains_last_entry(&log, snapshot)? {
         log.retain_in(snapshot.index.., |_, _| false)?;
     }
-    // Entries that the snapshot covers are not read any more; later commits remove them, a few at a time.
+    // Entries covered by the snapshot are no longer read. Later commits remove them, a limited number at a
+    // time.
     let mut chunks = txn.open_table(CHUNKS)?;
     chunks.retain(|_, _| false)?;
     let mut chunk_count = 0u64;
@@ -122,23 +132,26 @@
         chunk_count,
         data_bytes: snapshot.data.len() as u64,
     };
-    put_meta(txn, SNAPSHOT_KEY, &header)
+    write_meta(txn, SNAPSHOT_KEY, &header)
 }
 
-/// Writes entries, of which there is at least one, and removes some that the snapshot covers.
-fn write_entries(txn: &WriteTransaction, entries: &[Record], snapshot: u64) -> Result<(), StoreError> {
-    let first = entries[0].index;
+/// Writes at least one entry, and removes a limited number of entries that the snapshot covers.
+///
+/// # Panics
+/// Panics if `entries` is empty.
+fn write_entries(txn: &WriteTransaction, entries: &[Record], snapshot_index: u64) -> Result<(), StoreError> {
+    let first_index = entries[0].index;
     let mut log = txn.open_table(LOG)?;
-    // Most appends replace nothing, and asking for the last index costs less than an empty range.
-    if log.last()?.is_some_and(|(last, _)| last.value() >= first) {
-        log.retain_in(first.., |_, _| false)?;
+    // Most appends replace no entry, and reading the last index is cheaper than removing an empty range.
+    if log.last()?.is_some_and(|(last_index, _)| last_index.value() >= first_index) {
+        log.retain_in(first_index.., |_, _| false)?;
     }
-    for record in entries {
-        log.insert(record.index, encode_record(record).as_slice())?;
+    for entry in entries {
+        log.insert(entry.index, encode_entry(entry).as_slice())?;
     }
-    // Faster than entries are written, so that the removal comes to an end.
-    for _ in 0..MIN_REMOVED_ENTRIES + REMOVED_PER_ENTRY * entries.len() {
-        if log.first()?.is_none_or(|(first, _)| first.value() > snapshot) {
+    // More entries are removed than written, so that the removal completes.
+    for _ in 0..BASE_COMPACTED_ENTRIES + COMPACTED_PER_WRITTEN_ENTRY * entries.len() {
+        if log.first()?.is_none_or(|(index, _)| index.value() > snapshot_index) {
             break;
         }
         log.pop_first()?;
--- a/crates/store/src/store/keys.rs
+++ b/crates/store/src/store/keys.rs
@@ -1,4 +1,4 @@
-//! The key space of other subsystems.
+//! Lookups in the key space of other subsystems.
 
 use redb::ReadableDatabase;
 
@@ -8,31 +8,31 @@
 use crate::schema::KEYS;
 
 impl Store {
-    /// A key's value.
+    /// Returns the value of a key, or `None` if the key does not exist.
     ///
     /// # Errors
-    /// Corrupt bytes, or a device that fails.
+    /// Returns an error if the value is corrupt or the device fails.
     pub fn key(&self, key: &str) -> Result<Option<Vec<u8>>, StoreError> {
         let keys = self.db.begin_read()?.open_table(KEYS)?;
         let Some(stored) = keys.get(key)? else { return Ok(None) };
         Ok(Some(decode_key_value(key, stored.value())?.to_vec()))
     }
 
-    /// All keys that start with `prefix`, with their values, in order.
+    /// Returns all keys that start with `prefix`, with their values, in key order.
     ///
     /// # Errors
-    /// Corrupt bytes, or a device that fails.
+    /// Returns an error if a value is corrupt or the device fails.
     pub fn keys_with_prefix(&self, prefix: &str) -> Result<Vec<(String, Vec<u8>)>, StoreError> {
         let keys = self.db.begin_read()?.open_table(KEYS)?;
-        let mut found = Vec::new();
+        let mut pairs = Vec::new();
         for item in keys.range(prefix..)? {
             let (key, stored) = item?;
             let key = key.value();
             if !key.starts_with(prefix) {
                 break;
             }
-            found.push((key.to_owned(), decode_key_value(key, stored.value())?.to_vec()));
+            pairs.push((key.to_owned(), decode_key_value(key, stored.value())?.to_vec()));
         }
-        Ok(found)
+        Ok(pairs)
     }
 }
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The store: `open` makes or recovers it, `commit` writes to it, `load` and `keys` read it, `scrub` checks and
-//! measures it.
+//! The store. `open` creates or recovers it, `commit` writes to it, `load` and `keys` read from it, and
+//! `scrub` verifies it and reports its size.
 
 use redb::Database;
 
@@ -15,42 +15,43 @@
 pub use load::Loaded;
 pub use scrub::{Scrub, Usage};
 
-/// A file that one process at a time has open.
+/// Store in a file that only one process at a time can open.
 #[derive(Debug)]
 pub struct Store {
     db: Database,
     identity: Identity,
+    /// Number of times that the owner has opened the store.
     starts: u64,
-    end: LogEnd,
-    /// The error that ended the store, if it has ended.
+    log_end: LogEnd,
+    /// Text of the error of the commit that failed, if one has: no more commits are accepted then.
     failure: Option<String>,
 }
 
-/// Where the log ends, so that an append need not look at it.
+/// End of the log, cached so that an append is validated without a read of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LogEnd {
-    /// The last index stored.
-    last: u64,
-    /// The last index that the snapshot covers.
-    snapshot: u64,
+    /// Last index of the log; the snapshot's index if no entry follows it.
+    last_index: u64,
+    /// Last index that the snapshot covers; 0 if there is none.
+    snapshot_index: u64,
 }
 
 impl Store {
-    /// The instance that owns the store.
+    /// Returns the identity of the owner.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// How often the owner has opened the store, this time included.
+    /// Returns the number of times that the owner has opened the store, including this one.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
-    /// Gives unused space at the end of the file back to the system; takes longer the more pages there are. Returns
-    /// whether the file got shorter.
+    /// Returns unused space of the file to the file system. The duration grows with the number of pages.
+    /// Returns whether the file was compacted.
     ///
     /// # Errors
-    /// The device failed.
+    /// Returns an error if the device fails.
     pub fn shrink(&mut self) -> Result<bool, StoreError> {
         Ok(self.db.compact()?)
     }
--- a/crates/store/src/store/scrub.rs
+++ b/crates/store/src/store/scrub.rs
@@ -1,25 +1,25 @@
-//! Scrubbing and usage: whether everything stored can still be read, and how much it is.
+//! Verification of all stored values, and the size of the store.
 
 use redb::{ReadableDatabase, ReadableTable, ReadableTableMetadata};
 use serde::Serialize;
 
 use super::Store;
 use crate::checksum::CorruptValue;
-use crate::codec::{decode_chunk, decode_key_value, decode_record, verify_meta};
+use crate::codec::{decode_chunk, decode_entry, decode_key_value, verify_meta};
 use crate::error::StoreError;
 use crate::schema::{CHUNKS, KEYS, LOG, META, SCHEMA_KEY};
 
-/// What a scrub found.
+/// Result of a scrub.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Scrub {
-    /// Number of values that are what was written.
+    /// Number of values that were verified successfully.
     pub sound: u64,
-    /// Values that are not what was written.
+    /// Corrupt values.
     pub corrupt: Vec<CorruptValue>,
 }
 
 impl Scrub {
-    fn record<T>(&mut self, value: Result<T, CorruptValue>) {
+    fn add_result<T>(&mut self, value: Result<T, CorruptValue>) {
         match value {
             Ok(_) => self.sound += 1,
             Err(corrupt) => self.corrupt.push(corrupt),
@@ -27,54 +27,54 @@
     }
 }
 
-/// How much is stored.
+/// Size of the stored data.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Usage {
-    /// Length of the file's used pages, in bytes.
+    /// Space that the tables use in the file, in bytes.
     pub bytes: u64,
-    /// Number of entries behind the snapshot.
+    /// Number of log entries after the snapshot.
     pub entries: u64,
-    /// Index of the first of them, if any.
+    /// Index of the first entry after the snapshot, if there is one.
     pub first: Option<u64>,
-    /// Index of the last of them, if any.
+    /// Index of the last entry after the snapshot, if there is one.
     pub last: Option<u64>,
-    /// Number of keys of other subsystems.
+    /// Number of keys in the key space of other subsystems.
     pub keys: u64,
 }
 
 impl Store {
-    /// Reads everything that is stored and names whatever is not what was written.
+    /// Reads and verifies all stored values. The schema version is skipped because it has no checksum.
     ///
     /// # Errors
-    /// A device that fails; corrupt values are in the report.
+    /// Returns an error if the device fails. Corrupt values are not an error but part of the result.
     pub fn scrub(&self) -> Result<Scrub, StoreError> {
         let txn = self.db.begin_read()?;
         let mut report = Scrub::default();
         for item in txn.open_table(META)?.iter()? {
             let (key, stored) = item?;
             if key.value() != SCHEMA_KEY {
-                report.record(verify_meta(key.value(), stored.value()));
+                report.add_result(verify_meta(key.value(), stored.value()));
             }
         }
         for item in txn.open_table(LOG)?.iter()? {
             let (index, stored) = item?;
-            report.record(decode_record(index.value(), stored.value()));
+            report.add_result(decode_entry(index.value(), stored.value()));
         }
         for item in txn.open_table(CHUNKS)?.iter()? {
             let (number, stored) = item?;
-            report.record(decode_chunk(number.value(), stored.value()));
+            report.add_result(decode_chunk(number.value(), stored.value()));
         }
         for item in txn.open_table(KEYS)?.iter()? {
             let (key, stored) = item?;
-            report.record(decode_key_value(key.value(), stored.value()));
+            report.add_result(decode_key_value(key.value(), stored.value()));
         }
         Ok(report)
     }
 
-    /// How much is stored.
+    /// Returns the size of the stored data.
     ///
     /// # Errors
-    /// A device that fails.
+    /// Returns an error if the device fails.
     pub fn usage(&self) -> Result<Usage, StoreError> {
         let txn = self.db.begin_read()?;
         let log = txn.open_table(LOG)?;
@@ -85,9 +85,9 @@
         for stats in [log.stats()?, chunks.stats()?, keys.stats()?, meta.stats()?] {
             bytes += stats.stored_bytes() + stats.metadata_bytes() + stats.fragmented_bytes();
         }
-        let behind_snapshot = || log.range(self.end.snapshot + 1..);
-        let first = behind_snapshot()?.next().transpose()?.map(|(index, _)| index.value());
-        let last = behind_snapshot()?.next_back().transpose()?.map(|(index, _)| index.value());
+        let entries_after_snapshot = || log.range(self.log_end.snapshot_index + 1..);
+        let first = entries_after_snapshot()?.next().transpose()?.map(|(index, _)| index.value());
+        let last = entries_after_snapshot()?.next_back().transpose()?.map(|(index, _)| index.value());
         let entries = match (first, last) {
             (Some(first), Some(last)) => last - first + 1,
             _ => 0,
--- a/crates/store/src/synced_device.rs
+++ b/crates/store/src/synced_device.rs
@@ -1,11 +1,12 @@
-//! The device under redb's pages. A new length is made durable before anything is written that relies on it.
+//! Storage backend that makes a change of the file's length durable before any write that depends on it.
 
 use std::io;
 
 use redb::StorageBackend;
 
-/// Syncs after each change of length. Without that a crash can leave a header that refers to pages beyond the file's
-/// end, since a file system may write the header's block before the new length; the pages can't be opened then.
+/// Storage backend that syncs after each change of length. Without this sync a file system may write the
+/// header's block before the new length: after a crash the header could then refer to pages beyond the end of
+/// the file, and redb could not open it.
 #[derive(Debug)]
 pub(crate) struct SyncedDevice<B>(pub(crate) B);
 
