--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,4 +1,5 @@
-//! Random batches and restarts against a model that keeps everything in a vector.
+//! Compares a store with an in-memory model over random batches and restarts. Guards against stored data that
+//! is lost, stale or altered when appends, overwrites and snapshots interleave.
 
 use garnetcrank_store::{Batch, HardState, Identity, Record, Snapshot, Store};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
@@ -6,29 +7,31 @@
 use proptest::test_runner::RngSeed;
 
 #[derive(Debug, Clone)]
-enum Step {
-    /// So many entries, after going back by so many.
+enum Operation {
+    /// Appends `count` entries in place of the last `overlap` stored entries.
     Append {
-        back: u64,
+        overlap: u64,
         count: u64,
     },
-    /// A snapshot so far behind (or beyond) the last entry.
+    /// Writes a snapshot of `bytes` bytes at `distance` before the last index, or after it if negative.
     Snapshot {
-        behind: i64,
+        distance: i64,
         bytes: usize,
     },
-    Hard(u64),
+    /// Writes a hard state with this vote.
+    HardState(u64),
+    /// Sets a key to a value, or removes it.
     Key(u8, Option<u8>),
     Restart,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        (0u64..5, 1u64..6).prop_map(|(back, count)| Step::Append { back, count }),
-        (-3i64..6, 0usize..200_000).prop_map(|(behind, bytes)| Step::Snapshot { behind, bytes }),
-        any::<u64>().prop_map(Step::Hard),
-        (0u8..4, any::<Option<u8>>()).prop_map(|(key, value)| Step::Key(key, value)),
-        Just(Step::Restart),
+        (0u64..5, 1u64..6).prop_map(|(overlap, count)| Operation::Append { overlap, count }),
+        (-3i64..6, 0usize..200_000).prop_map(|(distance, bytes)| Operation::Snapshot { distance, bytes }),
+        any::<u64>().prop_map(Operation::HardState),
+        (0u8..4, any::<Option<u8>>()).prop_map(|(key, value)| Operation::Key(key, value)),
+        Just(Operation::Restart),
     ]
 }
 
@@ -41,41 +44,47 @@
     })]
 
     #[test]
-    fn what_is_read_back_is_what_was_written(steps in prop::collection::vec(step(), 1..30)) {
-        let me = Identity { cluster: "c".into(), name: "n".into(), id: 1 };
+    fn the_loaded_state_matches_the_model(operations in prop::collection::vec(operation(), 1..30)) {
+        let identity = Identity { cluster: "c".into(), name: "n".into(), id: 1 };
         let mut disk = FaultyDisk::new();
-        let mut store = Store::open_on(disk.clone(), &me).unwrap();
-        let (mut hard, mut snapshot, mut log) = (HardState::default(), None::<Snapshot>, Vec::<Record>::new());
+        let mut store = Store::open_on(disk.clone(), &identity).unwrap();
+        let (mut hard_state, mut snapshot, mut log) =
+            (HardState::default(), None::<Snapshot>, Vec::<Record>::new());
         let mut keys = std::collections::BTreeMap::new();
         let (mut term, mut starts) = (1, 1);
-        for step in steps {
+        for operation in operations {
             term += 1;
-            let covered = snapshot.as_ref().map_or(0, |s| s.index);
-            let last = log.last().map_or(covered, |r| r.index);
-            match step {
-                Step::Append { back, count } => {
-                    let first = (last + 1).saturating_sub(back).max(covered + 1);
-                    let entries: Vec<Record> = (first..first + count)
+            let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+            let last_index = log.last().map_or(snapshot_index, |entry| entry.index);
+            match operation {
+                Operation::Append { overlap, count } => {
+                    let first_index = (last_index + 1).saturating_sub(overlap).max(snapshot_index + 1);
+                    let entries: Vec<Record> = (first_index..first_index + count)
                         .map(|index| Record { index, term, kind: 1, data: vec![term as u8; 9], context: vec![] })
                         .collect();
-                    log.retain(|r| r.index < first);
+                    log.retain(|entry| entry.index < first_index);
                     log.extend(entries.clone());
                     store.commit(&Batch { entries, ..Batch::default() }).unwrap();
                 }
-                Step::Snapshot { behind, bytes } => {
-                    let index = last.saturating_add_signed(-behind).max(covered);
-                    let held = log.iter().find(|r| r.index == index).map(|r| r.term);
-                    let of = Snapshot { index, term: held.unwrap_or(term), members: vec![9], data: vec![term as u8; bytes] };
-                    log.retain(|r| held.is_some() && r.index > index);
-                    snapshot = Some(of.clone());
-                    store.commit(&Batch { snapshot: Some(of), ..Batch::default() }).unwrap();
+                Operation::Snapshot { distance, bytes } => {
+                    let index = last_index.saturating_add_signed(-distance).max(snapshot_index);
+                    let stored_term = log.iter().find(|entry| entry.index == index).map(|entry| entry.term);
+                    let new_snapshot = Snapshot {
+                        index,
+                        term: stored_term.unwrap_or(term),
+                        members: vec![9],
+                        data: vec![term as u8; bytes],
+                    };
+                    log.retain(|entry| stored_term.is_some() && entry.index > index);
+                    snapshot = Some(new_snapshot.clone());
+                    store.commit(&Batch { snapshot: Some(new_snapshot), ..Batch::default() }).unwrap();
                 }
-                Step::Hard(vote) => {
-                    hard = HardState { term, vote, commit: last };
-                    store.commit(&Batch { hard_state: Some(hard), ..Batch::default() }).unwrap();
+                Operation::HardState(vote) => {
+                    hard_state = HardState { term, vote, commit: last_index };
+                    store.commit(&Batch { hard_state: Some(hard_state), ..Batch::default() }).unwrap();
                 }
-                Step::Key(key, value) => {
-                    let value = value.map(|v| vec![v; 3]);
+                Operation::Key(key, value) => {
+                    let value = value.map(|byte| vec![byte; 3]);
                     let change = (format!("k/{key}"), value.clone());
                     match value {
                         Some(value) => drop(keys.insert(change.0.clone(), value)),
@@ -83,17 +92,17 @@
                     }
                     store.commit(&Batch { keys: vec![change], ..Batch::default() }).unwrap();
                 }
-                Step::Restart => {
+                Operation::Restart => {
                     drop(store);
                     disk = FaultyDisk::holding(disk.image());
-                    store = Store::open_on(disk.clone(), &me).unwrap();
+                    store = Store::open_on(disk.clone(), &identity).unwrap();
                     starts += 1;
                     prop_assert_eq!(store.starts(), starts);
                 }
             }
         }
         let loaded = store.load().unwrap();
-        prop_assert_eq!(loaded.hard_state, hard);
+        prop_assert_eq!(loaded.hard_state, hard_state);
         prop_assert_eq!(loaded.snapshot, snapshot);
         prop_assert_eq!(loaded.entries, log);
         prop_assert_eq!(store.keys_with_prefix("k/").unwrap(), keys.into_iter().collect::<Vec<_>>());
