--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,36 +1,36 @@
-//! The body of a message: delimited by its length, by chunks or by the end of the connection.
+//! Reading of message bodies, delimited by a length, by chunks or by the end of the connection.
 
 use crate::error::MessageError;
 use crate::headers::Headers;
 use crate::ring::Ring;
 
-/// Maximum length of a line that gives a chunk's size, and of a trailer line, in bytes.
+/// Maximum length of a chunk size line and of a trailer line, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 512;
 /// Maximum number of trailer lines after the last chunk.
 const MAX_TRAILERS: usize = 32;
 
-/// How the end of a body is recognised, and how far reading is.
+/// Framing of a body, and the position of the reader in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// So many bytes are left.
+    /// Number of bytes left of a body with a known length.
     Length(usize),
-    /// The line with a chunk's size is next.
+    /// The next line is a chunk size.
     ChunkSize,
-    /// So many bytes of a chunk are left.
+    /// Number of bytes left of the current chunk.
     ChunkData(usize),
-    /// The line end behind a chunk is next.
+    /// The line end after a chunk's data is next.
     ChunkEnd,
-    /// A trailer line is next; so many were read.
+    /// The next line is a trailer line. The value is the number of those read before.
     Trailers(usize),
-    /// The body ends with the connection.
+    /// The end of the connection ends the body.
     UntilClose,
-    /// The body has ended.
+    /// The body is complete.
     Ended,
 }
 
-/// What one step of reading comes to.
-enum Step {
-    /// There may be more to read.
+/// Result of reading one element of a body.
+enum ReadStatus {
+    /// The ring may hold more elements of the body.
     Continue,
     /// More bytes are needed.
     NeedsMore,
@@ -39,8 +39,8 @@
 }
 
 impl Framing {
-    /// The framing that the headers announce; none: they announce no body.
-    pub(crate) fn of(headers: &Headers) -> Result<Option<Framing>, MessageError> {
+    /// Returns the framing that the headers announce, or `None` if they announce no body.
+    pub(crate) fn from_headers(headers: &Headers) -> Result<Option<Framing>, MessageError> {
         let mut lengths = headers.values("content-length");
         let length = lengths.next();
         if lengths.next().is_some() {
@@ -48,7 +48,7 @@
         }
         let mut encodings = headers.values("transfer-encoding");
         let Some(encoding) = encodings.next() else {
-            return length.map(Self::of_length).transpose();
+            return length.map(Self::from_content_length).transpose();
         };
         if length.is_some() {
             return Err(MessageError::Malformed("Content-Length beside Transfer-Encoding"));
@@ -59,16 +59,17 @@
         Ok(Some(Framing::ChunkSize))
     }
 
-    fn of_length(value: &[u8]) -> Result<Framing, MessageError> {
+    fn from_content_length(value: &[u8]) -> Result<Framing, MessageError> {
         let digits = std::str::from_utf8(value.trim_ascii())
             .ok()
             .filter(|digits| !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit()))
             .ok_or(MessageError::Malformed("Content-Length is no number"))?;
-        // Digits that are no usize are a number beyond every bound.
+        // A number that overflows `usize` exceeds every body limit.
         digits.parse().map(Framing::Length).map_err(|_| MessageError::BodyTooLarge)
     }
 
-    /// Moves body bytes from `ring` to `to`, which takes `max` bytes in all. Returns whether the body has ended.
+    /// Moves body bytes from `ring` to `to`, up to a total length of `max` bytes. Returns whether the body is
+    /// complete.
     pub(crate) fn read(
         &mut self,
         ring: &mut Ring,
@@ -76,30 +77,35 @@
         max: usize,
     ) -> Result<bool, MessageError> {
         loop {
-            match self.step(ring, to, max)? {
-                Step::Continue => {}
-                Step::NeedsMore => return Ok(false),
-                Step::Ended => return Ok(true),
+            match self.read_element(ring, to, max)? {
+                ReadStatus::Continue => {}
+                ReadStatus::NeedsMore => return Ok(false),
+                ReadStatus::Ended => return Ok(true),
             }
         }
     }
 
-    fn step(&mut self, ring: &mut Ring, to: &mut Vec<u8>, max: usize) -> Result<Step, MessageError> {
+    fn read_element(
+        &mut self,
+        ring: &mut Ring,
+        to: &mut Vec<u8>,
+        max: usize,
+    ) -> Result<ReadStatus, MessageError> {
         let room = max.saturating_sub(to.len());
         match self {
-            Framing::Ended | Framing::Length(0) => Ok(Step::Ended),
+            Framing::Ended | Framing::Length(0) => Ok(ReadStatus::Ended),
             Framing::ChunkData(0) => {
                 *self = Framing::ChunkEnd;
-                Ok(Step::Continue)
+                Ok(ReadStatus::Continue)
             }
             Framing::Length(left) | Framing::ChunkData(left) => {
                 let moved = ring.take((*left).min(room), to);
                 *left -= moved;
-                Ok(if moved == 0 { Step::NeedsMore } else { Step::Continue })
+                Ok(if moved == 0 { ReadStatus::NeedsMore } else { ReadStatus::Continue })
             }
             Framing::UntilClose => {
                 ring.take(room, to);
-                Ok(Step::NeedsMore)
+                Ok(ReadStatus::NeedsMore)
             }
             Framing::ChunkEnd => self.read_chunk_end(ring),
             Framing::ChunkSize => self.read_chunk_size(ring),
@@ -107,41 +113,41 @@
         }
     }
 
-    fn read_chunk_end(&mut self, ring: &mut Ring) -> Result<Step, MessageError> {
+    fn read_chunk_end(&mut self, ring: &mut Ring) -> Result<ReadStatus, MessageError> {
         match ring.contiguous() {
             [b'\r', b'\n', ..] => {
                 ring.consume(2);
                 *self = Framing::ChunkSize;
-                Ok(Step::Continue)
+                Ok(ReadStatus::Continue)
             }
-            [] | [b'\r'] => Ok(Step::NeedsMore),
+            [] | [b'\r'] => Ok(ReadStatus::NeedsMore),
             _ => Err(MessageError::Malformed("a chunk is longer than it says")),
         }
     }
 
-    fn read_chunk_size(&mut self, ring: &mut Ring) -> Result<Step, MessageError> {
+    fn read_chunk_size(&mut self, ring: &mut Ring) -> Result<ReadStatus, MessageError> {
         match httparse::parse_chunk_size(ring.contiguous()) {
             Ok(httparse::Status::Complete((line_bytes, size))) => {
                 ring.consume(line_bytes);
                 let size =
                     usize::try_from(size).map_err(|_| MessageError::Malformed("a chunk's size is absurd"))?;
                 *self = if size == 0 { Framing::Trailers(0) } else { Framing::ChunkData(size) };
-                Ok(Step::Continue)
+                Ok(ReadStatus::Continue)
             }
-            Ok(httparse::Status::Partial) if ring.len() <= MAX_CHUNK_LINE_BYTES => Ok(Step::NeedsMore),
+            Ok(httparse::Status::Partial) if ring.len() <= MAX_CHUNK_LINE_BYTES => Ok(ReadStatus::NeedsMore),
             _ => Err(MessageError::Malformed("a chunk's size can't be read")),
         }
     }
 
-    /// Reads and drops one trailer line; an empty one ends the body.
-    fn read_trailer(&mut self, ring: &mut Ring) -> Result<Step, MessageError> {
-        let Framing::Trailers(read) = self else { return Ok(Step::NeedsMore) };
+    /// Reads and drops one trailer line. An empty line ends the body.
+    fn read_trailer(&mut self, ring: &mut Ring) -> Result<ReadStatus, MessageError> {
+        let Framing::Trailers(read) = self else { return Ok(ReadStatus::NeedsMore) };
         let bytes = ring.contiguous();
         let Some(line_end) = bytes.iter().position(|byte| *byte == b'\n') else {
             if ring.len() > MAX_CHUNK_LINE_BYTES {
                 return Err(MessageError::Malformed("a trailer line is too long"));
             }
-            return Ok(Step::NeedsMore);
+            return Ok(ReadStatus::NeedsMore);
         };
         let is_empty = matches!(&bytes[..line_end], [] | [b'\r']);
         ring.consume(line_end + 1);
@@ -151,6 +157,6 @@
         } else if *read > MAX_TRAILERS {
             return Err(MessageError::Malformed("too many trailer lines"));
         }
-        Ok(Step::Continue)
+        Ok(ReadStatus::Continue)
     }
 }
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -1,18 +1,18 @@
-//! Writing of messages.
+//! Writing of requests and responses.
 
 use crate::ring::{Ring, RingFull};
 
-/// Usual size of a request's head, in bytes: what is reserved before it is written.
+/// Usual size of a request head, in bytes, for which memory is reserved before the head is written.
 const REQUEST_HEAD_BYTES: usize = 512;
-/// Usual size of a response's head, in bytes.
+/// Usual size of a response head, in bytes, for which memory is reserved before the head is written.
 const RESPONSE_HEAD_BYTES: usize = 256;
-/// Methods whose requests usually have no body: an empty one is not announced.
+/// Methods whose requests usually have no body. For these an empty body is written without `Content-Length`.
 const METHODS_WITHOUT_BODY: [&str; 4] = ["GET", "HEAD", "DELETE", "OPTIONS"];
 
-/// Appends a request to `ring`, complete or not at all.
+/// Appends a complete request to `ring`.
 ///
 /// # Errors
-/// The ring has too little room.
+/// The request does not fit; nothing has been appended then.
 pub fn write_request<'a>(
     ring: &mut Ring,
     method: &str,
@@ -33,11 +33,11 @@
     ring.push(&text)
 }
 
-/// Appends a response to `ring`, complete or not at all. Without a body only the head is written, for a body that is
-/// sent in chunks afterwards.
+/// Appends a complete response to `ring`. If `body` is `None`, only the head is written, and the body is to
+/// be sent in chunks afterwards.
 ///
 /// # Errors
-/// The ring has too little room.
+/// The response does not fit; nothing has been appended then.
 pub fn write_response<'a>(
     ring: &mut Ring,
     status: u16,
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a message is rejected.
+//! Errors of reading messages.
 
-/// Why a message can't be read.
+/// Reason why a message is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// It breaks the grammar or contradicts itself.
+    /// A message with invalid syntax or contradictory headers.
     #[error("{0}")]
     Malformed(&'static str),
-    /// Its body is larger than allowed.
+    /// A body or line that is larger than allowed.
     #[error("body too large")]
     BodyTooLarge,
-    /// Its head is larger than allowed.
+    /// A head that is larger than allowed or has too many header lines.
     #[error("head too large")]
     HeadTooLarge,
-    /// It asks for a feature that is not implemented.
+    /// A message that needs a feature that is not implemented.
     #[error("{0}")]
     Unsupported(&'static str),
-    /// Not HTTP/1.1.
+    /// A version other than HTTP/1.1.
     #[error("not HTTP/1.1")]
     Version,
-    /// The connection ended before the message did.
+    /// A message that was incomplete when the connection ended.
     #[error("ended in the midst of a message")]
     Truncated,
 }
 
 impl MessageError {
-    /// The status code for a client that sent such a request.
+    /// Returns the status code of the error response if the message is a request.
     pub fn status(self) -> u16 {
         match self {
             MessageError::Malformed(_) | MessageError::Truncated => 400,
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,27 +1,27 @@
-//! The head of a message: its start line and headers, parsed by httparse.
+//! Reading of message heads, which are the start line and the headers. They are parsed by httparse.
 
 use crate::error::MessageError;
 use crate::ring::Ring;
 
-/// Maximum size of a head, in bytes: some kilobytes are common, more is a mistake or an attack.
+/// Maximum size of a head, in bytes. Some kilobytes are common; a larger head is an error or an attack.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of header lines.
 pub(crate) const MAX_HEADERS: usize = 64;
 
-/// How far the reading of a message is.
+/// Result of reading a message from the bytes that have arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Parsed<T> {
     /// More bytes are needed.
     Incomplete,
-    /// The message is complete.
+    /// The complete message.
     Complete(T),
 }
 
-/// A head that was parsed.
+/// A parsed head.
 pub(crate) struct ParsedHead<T> {
-    /// Its size in bytes.
+    /// Size of the head, in bytes.
     pub(crate) len: usize,
-    /// Its content.
+    /// Message without its body, as built from the head.
     pub(crate) content: T,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Takes a head from the ring once it is complete.
+/// Removes a head from the ring once it is complete, and returns its content.
 pub(crate) fn take_head<T>(
     ring: &mut Ring,
     parse: impl FnOnce(&[u8]) -> Result<Option<ParsedHead<T>>, MessageError>,
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,8 +1,9 @@
-//! Header lines of a message.
+//! Headers of a message.
 
 use crate::error::MessageError;
 
-/// Headers that concern a single connection, and those that give a message's framing. A proxy does not forward them.
+/// Headers that apply to a single connection, or that give the framing of a message. A proxy does not forward
+/// them.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -16,7 +17,7 @@
     "expect",
 ];
 
-/// Header lines in the order in which they came. Names are compared without regard to case.
+/// Header lines in the order of the message. Names are compared case-insensitively.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, Vec<u8>)>);
 
@@ -25,20 +26,20 @@
         Headers(lines.iter().map(|line| (line.name.to_owned(), line.value.to_vec())).collect())
     }
 
-    /// All lines.
+    /// Iterates over all header lines.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.0.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    /// All values of one header, as they came.
+    /// Iterates over all values of a header, without splitting or trimming them.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter().filter(move |(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The value of a header that may occur once.
+    /// Returns the trimmed value of a header that may occur only once, or `None` without one.
     ///
     /// # Errors
-    /// It occurs more than once, or its value is not UTF-8.
+    /// The header occurs more than once, or its value is not UTF-8.
     pub fn single_value<'a>(&'a self, name: &'a str) -> Result<Option<&'a str>, MessageError> {
         let mut values = self.values(name);
         let Some(value) = values.next() else { return Ok(None) };
@@ -51,14 +52,14 @@
         }
     }
 
-    /// Whether a header that is a comma-separated list contains `token`.
+    /// Returns whether a header with comma-separated values contains `token`, compared case-insensitively.
     pub fn contains_token(&self, name: &str, token: &str) -> bool {
         let mut tokens = self.values(name).flat_map(|value| value.split(|byte| *byte == b','));
         tokens.any(|candidate| candidate.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// The lines that a proxy forwards: neither hop-by-hop headers nor those that `Connection` names. Length and
-    /// framing are left out too, as they are written anew.
+    /// Iterates over the header lines that a proxy forwards. Left out are hop-by-hop headers, those that
+    /// `Connection` names, and those for length and framing, which are generated when the message is written.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.iter().filter(|(name, _)| {
             let is_hop_by_hop = HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop));
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 messages, read from and written to bounded ring buffers. No sockets, no clock.
+//! HTTP/1.1 messages, read from and written to bounded ring buffers. The crate uses neither sockets nor a
+//! clock.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests, read one after another from a connection.
+//! Reading of requests.
 
 use crate::body::Framing;
 use crate::error::MessageError;
@@ -9,15 +9,15 @@
 /// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The method, as it came.
+    /// Method, as received.
     pub method: String,
-    /// Path and query, as they came.
+    /// Path and query, as received.
     pub target: String,
     /// Header lines.
     pub headers: Headers,
-    /// The body; empty without one.
+    /// Body, which is empty if there is none.
     pub body: Vec<u8>,
-    /// The client keeps the connection open after the response.
+    /// Whether the client keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
@@ -28,35 +28,35 @@
     framing: Framing,
 }
 
-/// Reads requests one after another from a connection's ring.
+/// Reads consecutive requests from the input buffer of a connection.
 #[derive(Debug)]
 pub struct RequestReader {
     max_body_bytes: usize,
     partial: Option<PartialRequest>,
-    /// The client waits for an interim response before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     wants_continue: bool,
 }
 
 impl RequestReader {
-    /// A reader that accepts bodies of up to `max_body_bytes`.
+    /// Creates a reader that accepts bodies of up to `max_body_bytes`.
     pub fn new(max_body_bytes: usize) -> Self {
         RequestReader { max_body_bytes, partial: None, wants_continue: false }
     }
 
-    /// Whether a request has been read in part.
+    /// Returns whether the head of a request has been read but not its complete body.
     pub fn is_partial(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// Whether an interim response (`100 Continue`) is due. Asking resets it.
+    /// Returns whether an interim response (`100 Continue`) is due, and resets this.
     pub fn take_continue(&mut self) -> bool {
         std::mem::take(&mut self.wants_continue)
     }
 
-    /// Reads what the ring holds of the next request.
+    /// Reads the next request, as far as the ring holds it.
     ///
     /// # Errors
-    /// The request is rejected; the connection is of no further use then.
+    /// The request is rejected; nothing more can be read from the connection then.
     pub fn read(&mut self, ring: &mut Ring) -> Result<Parsed<Request>, MessageError> {
         if self.partial.is_none() {
             let Some(head) = request_head(ring)? else { return Ok(Parsed::Incomplete) };
@@ -65,7 +65,7 @@
         let Some(PartialRequest { request, framing }) = &mut self.partial else {
             return Ok(Parsed::Incomplete);
         };
-        // One byte more than allowed is read, so that a body at the limit is told from one beyond it.
+        // Reading one byte more than allowed distinguishes a body at the limit from one beyond it.
         let is_complete = framing.read(ring, &mut request.body, self.max_body_bytes + 1)?;
         if request.body.len() > self.max_body_bytes {
             return Err(MessageError::BodyTooLarge);
@@ -78,7 +78,7 @@
     }
 
     fn begin(&mut self, request: Request, ring: &Ring) -> Result<(), MessageError> {
-        let framing = Framing::of(&request.headers)?.unwrap_or(Framing::Ended);
+        let framing = Framing::from_headers(&request.headers)?.unwrap_or(Framing::Ended);
         if matches!(framing, Framing::Length(length) if length > self.max_body_bytes) {
             return Err(MessageError::BodyTooLarge);
         }
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses, held until they are complete or taken as they come.
+//! Reading of responses, buffered until complete or streamed.
 
 use crate::body::Framing;
 use crate::error::MessageError;
@@ -6,19 +6,20 @@
 use crate::headers::Headers;
 use crate::ring::Ring;
 
-/// Maximum number of interim responses before the final one; a peer that sends more never comes to it.
+/// Maximum number of interim responses before the final one. A peer that sends more is assumed to never send
+/// the final one.
 const MAX_INTERIM_RESPONSES: usize = 16;
 
-/// A response: complete, or as far as it has come.
+/// A response, complete or as far as it has been read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
     /// Header lines.
     pub headers: Headers,
-    /// The body, or the part of it that was not taken yet.
+    /// Body, or its part that has been read and not been taken yet.
     pub body: Vec<u8>,
-    /// The connection can be used again.
+    /// Whether the connection can be used for another request.
     pub keep_alive: bool,
 }
 
@@ -29,16 +30,16 @@
     framing: Framing,
 }
 
-/// What becomes of the body while it is read.
+/// Handling of the body while it is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BodyMode {
-    /// It is held until it is complete.
+    /// The body is held until it is complete.
     Buffered,
-    /// It is taken part by part.
+    /// The body is taken in parts while it arrives.
     Streamed,
 }
 
-/// Reads one response from a connection's ring.
+/// Reads one response from the input buffer of a connection.
 #[derive(Debug)]
 pub struct ResponseReader {
     max_body_bytes: usize,
@@ -48,13 +49,14 @@
 }
 
 impl ResponseReader {
-    /// A reader of a response that is held until it is complete, with a body of up to `max_body_bytes`. A response with
-    /// status 200 must give its length: where the end of the connection delimits it, a truncated one looks complete.
+    /// Creates a reader that holds the response until it is complete, with a body of up to `max_body_bytes`.
+    /// A response with status 200 must be delimited by a length or chunks: if the end of the connection
+    /// delimits it, a truncated response looks complete.
     pub fn buffered(max_body_bytes: usize) -> Self {
         Self::new(max_body_bytes, BodyMode::Buffered)
     }
 
-    /// A reader of a response of any length whose body is taken as it comes, at most `max_body_bytes` at once.
+    /// Creates a reader for a response of any length, whose body is taken in parts of up to `max_body_bytes`.
     pub fn streamed(max_body_bytes: usize) -> Self {
         Self::new(max_body_bytes, BodyMode::Streamed)
     }
@@ -63,12 +65,12 @@
         ResponseReader { max_body_bytes, mode, interim_responses: 0, partial: None }
     }
 
-    /// The response as far as it has come; none before its head is complete.
+    /// Returns the response as far as it has been read, or `None` before its head is complete.
     pub fn partial_response(&self) -> Option<&Response> {
         self.partial.as_ref().map(|partial| &partial.response)
     }
 
-    /// Takes the part of the body that has come.
+    /// Takes the part of the body that has been read and not been taken yet.
     pub fn take_body(&mut self) -> Vec<u8> {
         match &mut self.partial {
             Some(partial) => std::mem::take(&mut partial.response.body),
@@ -76,10 +78,10 @@
         }
     }
 
-    /// Reads what the ring holds of the response. `ended`: nothing more will come.
+    /// Reads the response, as far as the ring holds it. `ended` tells that no more input will arrive.
     ///
     /// # Errors
-    /// The response is rejected; the connection is of no further use then.
+    /// The response is rejected; nothing more can be read from the connection then.
     pub fn read(&mut self, ring: &mut Ring, ended: bool) -> Result<Parsed<Response>, MessageError> {
         if self.partial.is_none() {
             self.partial = self.read_head(ring)?;
@@ -88,7 +90,7 @@
             return if ended { Err(MessageError::Truncated) } else { Ok(Parsed::Incomplete) };
         };
         let is_buffered = self.mode == BodyMode::Buffered;
-        // One byte more than allowed is read, so that a body at the limit is told from one beyond it.
+        // Reading one byte more than allowed distinguishes a body at the limit from one beyond it.
         let read_limit = self.max_body_bytes + usize::from(is_buffered);
         let mut is_complete = framing.read(ring, &mut response.body, read_limit)?;
         if is_buffered && response.body.len() > self.max_body_bytes {
@@ -106,7 +108,7 @@
         Ok(self.partial.take().map_or(Parsed::Incomplete, |partial| Parsed::Complete(partial.response)))
     }
 
-    /// Reads the head of the final response; interim responses before it are skipped.
+    /// Reads the head of the final response, and skips interim responses before it.
     fn read_head(&mut self, ring: &mut Ring) -> Result<Option<PartialResponse>, MessageError> {
         while let Some(head) = response_head(ring)? {
             if head.status == 101 {
@@ -126,7 +128,7 @@
     fn begin(&self, head: Response) -> Result<PartialResponse, MessageError> {
         let framing = match head.status {
             204 | 304 => Framing::Ended,
-            _ => Framing::of(&head.headers)?.unwrap_or(Framing::UntilClose),
+            _ => Framing::from_headers(&head.headers)?.unwrap_or(Framing::UntilClose),
         };
         let is_buffered = self.mode == BodyMode::Buffered;
         if is_buffered && matches!(framing, Framing::Length(length) if length > self.max_body_bytes) {
--- a/crates/http/src/ring.rs
+++ b/crates/http/src/ring.rs
@@ -1,4 +1,4 @@
-//! A bounded ring buffer of bytes, one for each direction of a connection.
+//! Bounded ring buffer of bytes. A connection has one for each direction.
 
 #[cfg(test)]
 mod tests;
@@ -7,22 +7,22 @@
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
 
-/// Maximum number of bytes in one read; larger reads gain nothing on messages of some kilobytes.
+/// Maximum number of bytes of one read. Larger reads have no benefit for messages of some kilobytes.
 const MAX_READ_BYTES: usize = 16 * 1024;
-/// Capacity beyond which an emptied ring releases its memory, in bytes.
+/// Capacity above which an empty ring releases its memory, in bytes.
 const MAX_EMPTY_CAPACITY: usize = 8 * 1024;
 
 thread_local! {
-    /// Where a read puts its bytes before their number is known: zeroed once, not at each read.
+    /// Buffer into which [`Ring::fill`] reads, shared so that it is zeroed once and not for each read.
     static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; MAX_READ_BYTES].into_boxed_slice());
 }
 
-/// The ring has too little room for what was to be added; nothing was added.
+/// Error for bytes that do not fit into the ring, of which none have been added.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the ring buffer has too little room")]
+#[error("not enough free space in the ring buffer")]
 pub struct RingFull;
 
-/// Bytes in order, up to a fixed number. Memory grows as needed.
+/// Queue of bytes with a maximum length. Memory is allocated as needed.
 #[derive(Debug)]
 pub struct Ring {
     bytes: VecDeque<u8>,
@@ -30,45 +30,46 @@
 }
 
 impl Ring {
-    /// An empty ring for `max_bytes`.
+    /// Creates an empty ring for up to `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         Ring { bytes: VecDeque::new(), max_bytes }
     }
 
-    /// Number of bytes in the ring.
+    /// Returns the number of bytes in the ring.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether the ring is empty.
+    /// Returns whether the ring is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Number of bytes that can be added.
+    /// Returns the number of bytes that can be added.
     pub fn free_bytes(&self) -> usize {
         self.max_bytes - self.bytes.len()
     }
 
-    /// Allocated memory, in bytes.
+    /// Returns the size of the allocated memory, in bytes.
     pub fn capacity(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Adds all of `more`, or nothing.
+    /// Appends all of `bytes`.
     ///
     /// # Errors
-    /// There is too little room.
-    pub fn push(&mut self, more: &[u8]) -> Result<(), RingFull> {
-        if more.len() > self.free_bytes() {
+    /// The bytes do not fit; nothing has been appended then.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), RingFull> {
+        if bytes.len() > self.free_bytes() {
             return Err(RingFull);
         }
-        self.bytes.extend(more);
+        self.bytes.extend(bytes);
         Ok(())
     }
 
-    /// Reads once from `from`, as much as there is room for. Returns the number of bytes read, which is 0 at the end of
-    /// the input and without room: check [`Ring::free_bytes`] first.
+    /// Reads once from `from`, up to the free space of the ring. Returns the number of bytes read, which is 0
+    /// both at the end of the input and if the ring is full. Check [`Ring::free_bytes`] first to tell the two
+    /// apart.
     ///
     /// # Errors
     /// The read failed.
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Writes once to `to`, from the front of the ring, and removes what was written. Returns the number of bytes.
+    /// Writes once from the front of the ring to `to`, and removes the written bytes. Returns their number.
     ///
     /// # Errors
     /// The write failed.
@@ -91,12 +92,12 @@
         Ok(written)
     }
 
-    /// All bytes as one slice.
+    /// Returns all bytes as one slice, for which wrapped content is moved.
     pub fn contiguous(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
-    /// Removes `count` bytes from the front, or as many as there are.
+    /// Removes up to `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
         if self.bytes.is_empty() && self.bytes.capacity() > MAX_EMPTY_CAPACITY {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Moves up to `count` bytes from the front to the end of `to`. Returns the number moved.
+    /// Moves up to `count` bytes from the front to the end of `to`. Returns the number of moved bytes.
     pub fn take(&mut self, count: usize, to: &mut Vec<u8>) -> usize {
         let count = count.min(self.bytes.len());
         let (first, second) = self.bytes.as_slices();
--- a/crates/http/src/stream.rs
+++ b/crates/http/src/stream.rs
@@ -1,37 +1,38 @@
-//! A response that stays open and carries one text a line.
+//! Reading of a long-lived response whose body is a sequence of lines.
 
 use crate::error::MessageError;
 use crate::head::Parsed;
 use crate::response::ResponseReader;
 use crate::ring::Ring;
 
-/// Maximum number of body bytes taken at once.
+/// Maximum number of body bytes that are taken at once.
 const READ_BYTES: usize = 64 * 1024;
 
-/// Reads the lines of a response that stays open.
+/// Reads the lines of a long-lived response.
 #[derive(Debug)]
 pub struct StreamReader {
     reader: ResponseReader,
     max_line_bytes: usize,
-    /// The line that is incomplete.
+    /// Start of the current, incomplete line.
     line: Vec<u8>,
 }
 
 impl StreamReader {
-    /// A reader for lines of up to `max_line_bytes`.
+    /// Creates a reader for lines of up to `max_line_bytes`, line end included.
     pub fn new(max_line_bytes: usize) -> Self {
         StreamReader { reader: ResponseReader::streamed(READ_BYTES), max_line_bytes, line: Vec::new() }
     }
 
-    /// The status code, once known.
+    /// Returns the status code, or `None` before the head of the response is complete.
     pub fn status(&self) -> Option<u16> {
         self.reader.partial_response().map(|response| response.status)
     }
 
-    /// Adds the lines that are complete to `lines`, without their line ends. Returns whether the response has ended.
+    /// Adds the complete lines to `lines`, without their line ends. `ended` tells that no more input will
+    /// arrive. Returns whether the response has ended.
     ///
     /// # Errors
-    /// The response is rejected. Lines that were complete before that are in `lines`.
+    /// The response is rejected, or a line is too long. Lines that were complete before are in `lines`.
     pub fn read(
         &mut self,
         ring: &mut Ring,
@@ -39,7 +40,7 @@
         lines: &mut Vec<Vec<u8>>,
     ) -> Result<bool, MessageError> {
         loop {
-            let before = ring.len();
+            let length_before = ring.len();
             let (body, is_complete) = match self.reader.read(ring, ended) {
                 Ok(Parsed::Complete(response)) => (response.body, Ok(true)),
                 Ok(Parsed::Incomplete) => (self.reader.take_body(), Ok(false)),
@@ -49,7 +50,7 @@
             if is_complete? {
                 return Ok(true);
             }
-            if ring.len() == before {
+            if ring.len() == length_before {
                 return Ok(false);
             }
         }
