--- a/crates/proxy/src/classify.rs
+++ b/crates/proxy/src/classify.rs
@@ -1,4 +1,4 @@
-//! What a client's request means at this deployment, from its path and headers.
+//! Classification of requests: class, tenant, timeout and work hint, from path and headers.
 
 #[cfg(test)]
 mod tests;
@@ -9,68 +9,69 @@
 
 use crate::clock::MS;
 
-/// Maximum time that a client may say it waits, in milliseconds; more is a mistake in the unit.
+/// Maximum timeout that a client may state, in milliseconds. A larger value is taken for a wrong unit.
 const MAX_TIMEOUT_MS: u64 = 24 * 3600 * 1000;
-/// Maximum estimate of a request's work, in microseconds; more is a mistake in the unit.
-const MAX_WORK_HINT: f64 = 3.6e9;
-/// Methods that are not forwarded: a response to them is framed unlike others, or is none that an endpoint makes.
+/// Maximum work hint that a client may state, in microseconds. A larger value is taken for a wrong unit.
+const MAX_WORK_HINT_US: f64 = 3.6e9;
+/// Methods that are not forwarded. Responses to them are framed differently, or do not come from an endpoint
+/// at all.
 const UNSUPPORTED_METHODS: [&str; 3] = ["HEAD", "CONNECT", "TRACE"];
 
-/// A request in the policy's terms.
+/// Properties of a request that the policy needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Classification {
-    /// Its class.
+    /// Class of the request.
     pub(crate) class: ClassId,
-    /// Its tenant, at deployments with tenants.
+    /// Tenant of the request, at deployments with tenants.
     pub(crate) tenant: Option<TenantId>,
-    /// How long the client waits, from when it sent the request.
+    /// Time that the client waits for a response, counted from when it sent the request.
     pub(crate) timeout: Micros,
-    /// Expected work, where the client states it.
+    /// Expected work, if the client states it.
     pub(crate) work_hint: Option<Micros>,
-    /// The client sends the request again.
+    /// Whether the request is a retry by the client.
     pub(crate) is_retry: bool,
 }
 
-/// Why a request means nothing at this deployment. The message is the body of the answer.
+/// Reason why a request cannot be classified. The message is the body of the error response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ClassifyError {
-    /// A header occurs more than once, or is not text.
+    /// A header that may occur only once is repeated, or its value is not UTF-8.
     #[error("a header that may stand once stands twice, or is not text")]
     Header(#[source] MessageError),
-    /// The method is not forwarded.
+    /// A method that is not forwarded.
     #[error("a method that is not passed on")]
     Method,
-    /// The path names no class.
+    /// A path that does not start with the name of a class.
     #[error("no such class of request")]
     UnknownClass,
-    /// There is no `Request-Id`.
+    /// A missing or empty `Request-Id`.
     #[error("Request-Id is missing")]
     NoRequestId,
-    /// There is no `Tenant`.
+    /// A missing `Tenant`.
     #[error("Tenant is missing")]
     NoTenant,
-    /// The tenant is not one of the settings'.
+    /// A tenant that is not in the settings.
     #[error("no such tenant")]
     UnknownTenant,
-    /// There is no `Request-Timeout-Ms`.
+    /// A missing `Request-Timeout-Ms`.
     #[error("Request-Timeout-Ms is missing")]
     NoTimeout,
-    /// The timeout is no number, or too large.
+    /// A timeout that is not a non-negative integer, or is larger than 24 h.
     #[error("Request-Timeout-Ms is no sensible number of milliseconds")]
     InvalidTimeout,
-    /// The work hint is no number, or out of range.
+    /// A work hint that is not a number, or is out of range.
     #[error("Work-Hint is no sensible number of microseconds")]
     InvalidWorkHint,
-    /// The retry mark is neither 0 nor 1.
+    /// A `Client-Retry` header that is neither 0 nor 1.
     #[error("Client-Retry is neither 0 nor 1")]
-    InvalidRetryMark,
+    InvalidClientRetry,
 }
 
 impl ClassifyError {
-    /// The status code of the answer.
+    /// Returns the status code of the error response.
     pub(crate) fn status(self) -> u16 {
         match self {
-            ClassifyError::Header(bad) => bad.status(),
+            ClassifyError::Header(error) => error.status(),
             ClassifyError::Method => 501,
             ClassifyError::UnknownClass => 404,
             _ => 400,
@@ -78,11 +79,11 @@
     }
 }
 
-/// Classifies a request. Faults are looked for in the order method, class, `Request-Id`, tenant, timeout, work hint and
-/// retry mark.
+/// Classifies a request. The order of the checks is method, class, `Request-Id`, tenant, timeout, work hint
+/// and `Client-Retry`.
 ///
 /// # Errors
-/// The first fault found.
+/// Returns the error of the first check that fails.
 pub(crate) fn classify(settings: &Settings, request: &Request) -> Result<Classification, ClassifyError> {
     if UNSUPPORTED_METHODS.contains(&request.method.as_str()) {
         return Err(ClassifyError::Method);
@@ -93,13 +94,13 @@
         return Err(ClassifyError::NoRequestId);
     }
     let tenant = tenant(settings, headers)?;
-    // No client waits longer than its class does, whatever it names: a place is reserved for so long.
+    // The timeout is limited to the deadline of the class, as capacity is reserved for that long.
     let timeout = timeout(headers)?.min(settings.config.classes[class.0].deadline);
     let work_hint = work_hint(headers)?;
     let is_retry = match header(headers, "client-retry")? {
         None | Some("0") => false,
         Some("1") => true,
-        Some(_) => return Err(ClassifyError::InvalidRetryMark),
+        Some(_) => return Err(ClassifyError::InvalidClientRetry),
     };
     Ok(Classification { class, tenant, timeout, work_hint, is_retry })
 }
@@ -108,11 +109,11 @@
     headers.single_value(name).map_err(ClassifyError::Header)
 }
 
-/// The first part of the path names the class.
+/// Returns the class named by the first segment of the path.
 fn class(settings: &Settings, target: &str) -> Result<ClassId, ClassifyError> {
     let path = target.strip_prefix('/').unwrap_or_default();
-    let first_part = path.split(['/', '?']).next().unwrap_or_default();
-    let position = settings.classes.iter().position(|name| name == first_part);
+    let first_segment = path.split(['/', '?']).next().unwrap_or_default();
+    let position = settings.classes.iter().position(|name| name == first_segment);
     position.map(ClassId).ok_or(ClassifyError::UnknownClass)
 }
 
@@ -135,11 +136,11 @@
     }
 }
 
-/// A hint of 0 is none.
+/// Returns the work hint, or `None` if there is none or it is 0.
 fn work_hint(headers: &Headers) -> Result<Option<Micros>, ClassifyError> {
     let Some(text) = header(headers, "work-hint")? else { return Ok(None) };
     match text.parse::<f64>() {
-        Ok(hint) if (0.0..=MAX_WORK_HINT).contains(&hint) => {
+        Ok(hint) if (0.0..=MAX_WORK_HINT_US).contains(&hint) => {
             Ok(Some(hint.round() as Micros).filter(|hint| *hint > 0))
         }
         _ => Err(ClassifyError::InvalidWorkHint),
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -12,26 +12,28 @@
 
 use crate::readiness::{Handle, Source};
 
-/// Size of the buffer into which bytes are read that are dropped.
+/// Size of the buffer for reading input that is dropped, in bytes.
 const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A connection and the bytes waiting in both directions. It is registered once, edge-triggered, and unregistered when
-/// dropped.
+/// A TCP connection with its input and output buffers. It is registered once with the event loop,
+/// edge-triggered, and unregistered when dropped.
 pub(crate) struct Connection {
     stream: Rc<TcpStream>,
     handle: Handle,
     token: RegistrationToken,
-    /// Bytes that have arrived.
+    /// Bytes that were received and are not parsed yet.
     pub(crate) input: Ring,
-    /// Bytes to be sent.
+    /// Bytes that are not sent yet.
     pub(crate) output: Ring,
+    /// Whether there may be unread input in the socket's buffer.
     readable: bool,
-    ended: bool,
+    /// Whether no more input can be read: the peer closed its sending direction or the connection is lost.
+    read_closed: bool,
 }
 
 impl Connection {
-    /// Takes over a stream that is established or being established. The rings hold up to `input_bytes` and
-    /// `output_bytes`.
+    /// Takes over a stream that is established or being established, and registers it with the event loop.
+    /// The buffers hold up to `input_bytes` and `output_bytes`.
     ///
     /// # Errors
     /// The stream could not be configured or registered.
@@ -59,24 +61,25 @@
             input: Ring::new(input_bytes),
             output: Ring::new(output_bytes),
             readable: false,
-            ended: false,
+            read_closed: false,
         })
     }
 
-    /// Starts to connect, without waiting.
+    /// Starts to connect without blocking. [`Connection::connected`] tells whether the connection is
+    /// established.
     ///
     /// # Errors
-    /// The connection could not even be started.
+    /// The connection attempt failed immediately, or the stream could not be configured or registered.
     pub(crate) fn connect(
         handle: &Handle,
-        to: SocketAddr,
+        address: SocketAddr,
         source: Source,
         input_bytes: usize,
         output_bytes: usize,
     ) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM, None)?;
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
-        if let Err(error) = socket.connect(&to.into())
+        if let Err(error) = socket.connect(&address.into())
             && Errno::from_io_error(&error) != Some(Errno::INPROGRESS)
         {
             return Err(error);
@@ -84,20 +87,20 @@
         Connection::adopt(handle, socket.into(), source, input_bytes, output_bytes)
     }
 
-    /// Takes in what the event loop has reported.
+    /// Records readiness that the event loop reported.
     pub(crate) fn update_readiness(&mut self, readiness: Readiness) {
         self.readable |= readiness.readable || readiness.error;
     }
 
-    /// Makes the next read look for bytes that the event loop has not reported yet.
+    /// Makes the next read try the socket even though the event loop has not reported it as readable.
     pub(crate) fn poll_readable(&mut self) {
         self.readable = true;
     }
 
-    /// Whether the connection is established.
+    /// Returns whether the connection is established.
     ///
     /// # Errors
-    /// It never will be.
+    /// The connection could not be established.
     pub(crate) fn connected(&self) -> io::Result<bool> {
         match self.stream.take_error()? {
             Some(error) => Err(error),
@@ -105,45 +108,47 @@
         }
     }
 
-    /// Reads once, as much as the ring has room for. Returns whether nothing more will arrive. A message that is
-    /// complete after it needs no second read to learn that nothing else has arrived.
+    /// Reads at most once, up to the free space of the input buffer. Returns whether no more input can be
+    /// read. It does not read until the socket is empty, as a message that is complete after one read needs
+    /// no second one.
     pub(crate) fn fill(&mut self) -> bool {
-        if self.readable && !self.ended && self.input.free_bytes() > 0 {
+        if self.readable && !self.read_closed && self.input.free_bytes() > 0 {
             match self.input.fill(&mut &*self.stream) {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.read_closed = true,
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.ended = true,
+                Err(_) => self.read_closed = true,
             }
         }
-        self.ended
+        self.read_closed
     }
 
-    /// Reads and drops up to `max` bytes, those in the ring included. Returns how many, and whether nothing more will
-    /// arrive.
+    /// Drops the input buffer and reads and drops further input, until at least `max` bytes have been dropped
+    /// or nothing more is available. Returns the number of dropped bytes, and whether no more input can be
+    /// read.
     pub(crate) fn discard(&mut self, max: usize) -> (usize, bool) {
         let mut buffer = [0; DISCARD_BUFFER_BYTES];
         let mut dropped = self.input.len();
         self.input.consume(usize::MAX);
-        while self.readable && !self.ended && dropped < max {
+        while self.readable && !self.read_closed && dropped < max {
             match (&*self.stream).read(&mut buffer) {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.read_closed = true,
                 Ok(read) => dropped += read,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.ended = true,
+                Err(_) => self.read_closed = true,
             }
         }
-        (dropped, self.ended)
+        (dropped, self.read_closed)
     }
 
-    /// Whether there may be more to read, and the ring has room for it.
+    /// Returns whether more input may be available and the input buffer has space for it.
     pub(crate) fn more_to_read(&self) -> bool {
-        self.readable && !self.ended && self.input.free_bytes() > 0
+        self.readable && !self.read_closed && self.input.free_bytes() > 0
     }
 
-    /// Sends what is waiting, as much as the peer takes. Returns whether all of it was sent.
+    /// Sends as much of the output buffer as possible without blocking. Returns whether all of it was sent.
     ///
     /// # Errors
     /// The connection is lost.
@@ -160,16 +165,17 @@
         Ok(true)
     }
 
-    /// Whether the connection is open and nothing has arrived on it that was not read.
+    /// Returns whether the connection is open and has no unread input, neither in the input buffer nor in the
+    /// socket's.
     pub(crate) fn is_quiet(&self) -> bool {
         let peeked = self.stream.peek(&mut [0]);
-        let nothing_arrived = matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        nothing_arrived && !self.ended && self.input.is_empty()
+        let nothing_unread = matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+        nothing_unread && !self.read_closed && self.input.is_empty()
     }
 
-    /// Ends the sending direction.
+    /// Shuts down the sending direction.
     pub(crate) fn shutdown_write(&self) {
-        // A peer that has disconnected does not need it.
+        // Errors are ignored: the shutdown only fails if the connection is already lost.
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 }
--- a/crates/proxy/src/downstream.rs
+++ b/crates/proxy/src/downstream.rs
@@ -1,4 +1,4 @@
-//! Connections from clients: requests read completely, responses written.
+//! Client connections of a worker: accepts them, reads complete requests and writes responses.
 
 mod client;
 mod event;
@@ -21,16 +21,18 @@
 use client::{Client, ClientState, Progress};
 pub(crate) use event::{BadRequest, DownstreamEvent};
 
-/// Connections that may wait to be accepted; a restart of another proxy sends its clients here at once.
+/// Maximum number of connections that wait to be accepted. When another proxy restarts, all of its clients
+/// may connect here at the same time.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Capacity for what has arrived and is not parsed yet, in bytes: a head, and what a client sends too early.
+/// Capacity of a client's input buffer, in bytes: a request head and pipelined bytes that are not parsed yet.
 const INPUT_RING_BYTES: usize = 32 * 1024;
-/// Capacity for a response with its head, and for parts of a stream ahead of a slow client, in bytes.
+/// Capacity of a client's output buffer, in bytes: a response with its head, or the parts of a streamed
+/// response that a slow client has not taken yet.
 const OUTPUT_RING_BYTES: usize = 2 * MAX_BODY_BYTES + 64 * 1024;
-/// Bytes waiting for a client above which no more of its streamed response is read.
+/// Number of unsent bytes above which reading of the client's streamed response is paused.
 const MAX_STREAM_BACKLOG_BYTES: usize = MAX_BODY_BYTES;
 
-/// The listening socket and its place in the event loop.
+/// The listening socket and its registration with the event loop.
 struct Listener {
     socket: TcpListener,
     token: RegistrationToken,
@@ -41,21 +43,22 @@
     handle: Handle,
     listener: Option<Listener>,
     clients: FxHashMap<ConnId, Client>,
-    /// Every response is the last one of its connection.
+    /// Whether every response closes its connection, as during shutdown.
     pub(crate) closing: bool,
-    /// Descriptors are short, or other clients wait for one: a response closes its connection.
+    /// Whether every response closes its connection because file descriptors are scarce or other clients wait
+    /// for one.
     pub(crate) crowded: bool,
-    /// Connections may wait to be accepted.
+    /// Whether connections may be waiting to be accepted.
     pub(crate) waiting: bool,
-    /// Connections closed because nothing arrived on them.
+    /// Number of connections closed because they were idle for too long.
     pub(crate) idle_closed: u64,
 }
 
 impl Downstream {
-    /// Listens. The address can be taken again at once after a restart.
+    /// Binds to `address` and listens. `SO_REUSEADDR` is set, so that a restarted process can bind at once.
     ///
     /// # Errors
-    /// The address is taken or not this host's.
+    /// The address is in use or does not belong to this host.
     pub(crate) fn listen(handle: &Handle, address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -65,10 +68,10 @@
         Downstream::with_listener(handle, socket.into())
     }
 
-    /// Clients of a socket that listens already, perhaps on other workers as well.
+    /// Accepts clients from a socket that already listens, and that other workers may share.
     ///
     /// # Errors
-    /// The socket could not be registered with the event loop.
+    /// The socket could not be duplicated or registered with the event loop.
     pub(crate) fn with_listener(handle: &Handle, socket: TcpListener) -> io::Result<Self> {
         let source = Generic::new(socket.try_clone()?, Interest::READ, Mode::Edge);
         let on_ready = |readiness, _: &mut _, inputs: &mut TurnInputs| {
@@ -88,28 +91,29 @@
         })
     }
 
-    /// Whether it still listens.
+    /// Returns whether the listening socket is open.
     pub(crate) fn is_listening(&self) -> bool {
         self.listener.is_some()
     }
 
-    /// The listening socket, for another worker.
+    /// Duplicates the listening socket for another worker.
     ///
     /// # Errors
-    /// It no longer listens, or descriptors are short.
+    /// The listening socket is closed, or no file descriptor is available.
     pub(crate) fn listener(&self) -> io::Result<TcpListener> {
         match &self.listener {
             Some(listener) => listener.socket.try_clone(),
-            None => Err(io::Error::other("nothing listens")),
+            None => Err(io::Error::other("the listening socket is closed")),
         }
     }
 
-    /// Number of clients that are connected.
+    /// Returns the number of connected clients.
     pub(crate) fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// Accepts one client. Returns whether another may wait; if none does, [`Downstream::waiting`] is reset.
+    /// Accepts one client. Returns whether another may be waiting; if none is, [`Downstream::waiting`] is
+    /// reset.
     pub(crate) fn accept(&mut self, ids: &mut ConnIds, now: Micros) -> bool {
         let Some(listener) = &self.listener else {
             self.waiting = false;
@@ -121,7 +125,7 @@
                 let source = Source::Downstream(id);
                 let adopted =
                     Connection::adopt(&self.handle, stream, source, INPUT_RING_BYTES, OUTPUT_RING_BYTES);
-                // A client that has disconnected already is no client.
+                // Fails if the client has already disconnected; the connection is dropped then.
                 if let Ok(connection) = adopted {
                     self.clients.insert(id, Client::new(connection, now));
                 }
@@ -131,19 +135,20 @@
                 self.waiting = false;
                 false
             }
-            // Such a connection is gone and others may wait; or descriptors are short, and it is tried again.
+            // After an aborted connection others may be waiting. Any other error, such as a lack of
+            // descriptors, ends the attempt but leaves `waiting` set, so that accepting is retried later.
             Err(error) => error.kind() == io::ErrorKind::ConnectionAborted,
         }
     }
 
-    /// Stops listening.
+    /// Closes the listening socket.
     pub(crate) fn stop_listening(&mut self) {
         if let Some(listener) = self.listener.take() {
             self.handle.remove(listener.token);
         }
     }
 
-    /// Reads and writes on a connection that the event loop has reported.
+    /// Handles readiness that the event loop reported for a connection.
     pub(crate) fn on_ready(
         &mut self,
         id: ConnId,
@@ -157,14 +162,14 @@
         }
     }
 
-    /// Writes and reads as much as possible.
+    /// Writes and reads as much as possible without blocking, and reports the result as events.
     fn advance(&mut self, id: ConnId, now: Micros, events: &mut Vec<DownstreamEvent>) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         match client.advance(now) {
             Progress::Waiting => {}
             Progress::Request(request) => events.push(DownstreamEvent::Request(id, request)),
             Progress::OutputDrained(request) => events.push(DownstreamEvent::OutputDrained(request)),
-            Progress::Malformed(bad) => self.reject_malformed(id, bad, now, events),
+            Progress::Malformed(error) => self.reject_malformed(id, error, now, events),
             Progress::Disconnected => self.disconnect(id, events),
         }
     }
@@ -172,12 +177,12 @@
     fn reject_malformed(
         &mut self,
         id: ConnId,
-        bad: MessageError,
+        error: MessageError,
         now: Micros,
         events: &mut Vec<DownstreamEvent>,
     ) {
-        events.push(DownstreamEvent::BadRequest(BadRequest::Malformed(bad)));
-        self.answer_bad(id, bad.status(), &bad.to_string(), now, events);
+        events.push(DownstreamEvent::BadRequest(BadRequest::Malformed(error)));
+        self.answer_bad(id, error.status(), &error.to_string(), now, events);
     }
 
     fn disconnect(&mut self, id: ConnId, events: &mut Vec<DownstreamEvent>) {
@@ -186,32 +191,32 @@
         }
     }
 
-    /// The client's request is in flight from here on. Returns whether the client is still connected.
+    /// Records that the client's request is in flight. Returns whether the client is still connected.
     pub(crate) fn mark_in_flight(&mut self, id: ConnId, request: RequestId) -> bool {
         let Some(client) = self.clients.get_mut(&id) else { return false };
         client.state = ClientState::InFlight(request);
         true
     }
 
-    /// Answers a bad request with its fault, and closes the connection.
+    /// Responds to a bad request with an error message as plain text, and closes the connection.
     pub(crate) fn answer_bad(
         &mut self,
         id: ConnId,
         status: u16,
-        fault: &str,
+        message: &str,
         now: Micros,
         events: &mut Vec<DownstreamEvent>,
     ) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.keep_alive = false;
         }
-        let body = format!("{fault}\n");
+        let body = format!("{message}\n");
         let headers: [(&str, &[u8]); 1] = [("Content-Type", b"text/plain")];
         self.answer(id, status, headers.into_iter(), body.as_bytes(), now, events);
     }
 
-    /// Sends the final answer to a client's request. A request that the client has sent already may follow in the
-    /// events.
+    /// Sends the final response to a client's request. If the client has already sent its next request, that
+    /// is read and added to `events`.
     pub(crate) fn answer<'a>(
         &mut self,
         id: ConnId,
@@ -226,7 +231,8 @@
         let headers = headers.chain(client.connection_header(is_last));
         let written = write_response(&mut client.connection.output, status, headers, Some(body));
         if written.is_err() {
-            // It cannot be sent completely, so it is not begun: the client sees the connection end.
+            // The response does not fit into the output buffer, so none of it is sent and the connection is
+            // closed.
             self.clients.remove(&id);
             return;
         }
@@ -234,7 +240,7 @@
         self.advance(id, now, events);
     }
 
-    /// Starts a streamed response.
+    /// Writes the head of a streamed response.
     pub(crate) fn start_response<'a>(
         &mut self,
         id: ConnId,
@@ -244,11 +250,12 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.streaming = true;
         let headers = headers.chain(client.connection_header(is_last));
-        // The ring is empty between responses, and a head is bounded.
+        // Always fits: the output buffer is empty between responses, and the size of a head is limited.
         let _ = write_response(&mut client.connection.output, 200, headers, None);
     }
 
-    /// Forwards a part of a streamed response. Returns whether the client takes it more slowly than it comes.
+    /// Forwards a part of a streamed response as one chunk. Returns true if more than
+    /// [`MAX_STREAM_BACKLOG_BYTES`] are unsent afterwards; the caller then pauses the upstream.
     pub(crate) fn send_body_part(
         &mut self,
         id: ConnId,
@@ -270,7 +277,7 @@
         client.is_some_and(|client| client.connection.output.len() > MAX_STREAM_BACKLOG_BYTES)
     }
 
-    /// Ends a streamed response.
+    /// Writes the last chunk of a streamed response.
     pub(crate) fn finish_response(&mut self, id: ConnId, now: Micros, events: &mut Vec<DownstreamEvent>) {
         let is_last = self.closing || self.crowded;
         let Some(client) = self.clients.get_mut(&id) else { return };
@@ -283,25 +290,27 @@
         self.advance(id, now, events);
     }
 
-    /// Ends a streamed response so that the client can tell that it is incomplete.
+    /// Closes the connection without the last chunk, which shows the client that the response is incomplete.
     pub(crate) fn abort_response(&mut self, id: ConnId) {
         self.clients.remove(&id);
     }
 
-    /// Whether no client can be owed anything any more: it does not listen, and nobody is connected. Short of that a
-    /// request may be read in part or lie unread, or a response may be overtaken by the reset of what its client sent.
+    /// Returns true once the listening socket is closed and no client is connected. Until then a request may
+    /// be unread or only partly read, and closing a connection on which the client still sends could cause a
+    /// TCP reset that overtakes the last response.
     pub(crate) fn is_drained(&self) -> bool {
         !self.is_listening() && self.clients.is_empty()
     }
 
-    /// Closes every connection that is between requests, if nothing more has arrived on it. A new one has its first
-    /// request on the way.
+    /// Closes the connections that are between requests and have no unread input. A new connection is kept
+    /// for [`client::FIRST_REQUEST_TIMEOUT`], as its first request may be on the way.
     pub(crate) fn close_idle(&mut self, now: Micros) {
         self.clients.retain(|_, client| !(client.may_close_on_shutdown(now) && client.connection.is_quiet()));
     }
 
-    /// Closes one connection to free its descriptor. Returns whether there was one. Those whose last response was sent
-    /// go first, then those that never sent a request, then the one without progress for longest.
+    /// Closes one connection to free its file descriptor. Returns false if none may be closed. Connections
+    /// whose last response has been sent are preferred, then those that have not sent a request yet, then the
+    /// one with the longest time since its last progress.
     pub(crate) fn evict_idle(&mut self, now: Micros) -> bool {
         let evictable = self
             .clients
@@ -314,8 +323,9 @@
         true
     }
 
-    /// Gives up what has stalled, and reads from clients whose request is in flight: such a client may have
-    /// disconnected together with its request, and the event loop reports nothing more of it then.
+    /// Closes stalled connections, and reads from clients whose request is in flight. The latter detects a
+    /// client that disconnected right after its request: both arrive with one edge-triggered report, and no
+    /// other follows.
     pub(crate) fn on_tick(&mut self, now: Micros, events: &mut Vec<DownstreamEvent>) {
         let mut unread = Vec::new();
         let mut stalled = Vec::new();
@@ -332,18 +342,18 @@
             self.advance(id, now, events);
         }
         for id in stalled {
-            self.give_up_stalled(id, now, events);
+            self.close_stalled(id, now, events);
         }
     }
 
-    fn give_up_stalled(&mut self, id: ConnId, now: Micros, events: &mut Vec<DownstreamEvent>) {
+    fn close_stalled(&mut self, id: ConnId, now: Micros, events: &mut Vec<DownstreamEvent>) {
         let Some(client) = self.clients.get(&id) else { return };
         let is_idle = client.is_idle();
         if !is_idle && client.state == ClientState::Reading {
             events.push(DownstreamEvent::BadRequest(BadRequest::TimedOut));
             self.answer_bad(id, 408, "the request did not come whole in time", now, events);
         } else if !is_idle || client.connection.is_quiet() {
-            // What has just arrived on an idle connection is read first.
+            // An idle connection with unread input is kept, so that the input is read first.
             self.idle_closed += u64::from(is_idle);
             self.disconnect(id, events);
         }
--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -7,37 +7,37 @@
 use crate::connection::Connection;
 use crate::upstream::MAX_BODY_BYTES;
 
-/// A request must be complete so long after its first byte, and the first one of a connection so long after that was
-/// made: whoever drips or says nothing gets an error or a close within 3 s.
+/// Time limit for a complete request, from its first byte, or from the accept for the first request of a
+/// connection. A client that sends slowly or nothing gets an error or is disconnected within 3 s.
 const READ_TIMEOUT: Micros = 2_500 * MS;
-/// A response of which the client takes no byte for so long is given up; networks stall for less.
+/// Time without a byte sent after which a response is abandoned. Network stalls are shorter than this.
 pub(super) const WRITE_TIMEOUT: Micros = 10 * SECOND;
-/// A connection without a request for so long is closed: what is kept for clients that never return is bounded, and
-/// those that do make a new one for little.
+/// Time between requests after which a connection is closed. It bounds the resources held for clients that
+/// never return; for those that do, a new connection is cheap.
 const IDLE_TIMEOUT: Micros = 5 * SECOND;
-/// Where descriptors are short, a connection without a request for so long may be closed.
+/// Idle time after which a connection may be closed when file descriptors are scarce.
 const EVICTABLE_AFTER: Micros = 2 * SECOND;
-/// Where descriptors are short, a new connection that has sent nothing for so long may be closed: a client with a
-/// request sends it at once.
+/// Time without any input after which a new connection may be closed when file descriptors are scarce. A
+/// client with a request sends it immediately after connecting.
 const NEW_EVICTABLE_AFTER: Micros = 50 * MS;
-/// While the process shuts down, a new connection is kept so long for its first request.
+/// Time that a new connection is given for its first request while the process shuts down.
 pub(super) const FIRST_REQUEST_TIMEOUT: Micros = 250 * MS;
-/// After the last response on a connection, what the client still sends is read for so long, so that a reset does not
-/// overtake the response.
+/// Time for which input is still read and dropped after the last response on a connection. Closing with
+/// unread input would cause a TCP reset that can overtake the response.
 pub(super) const LINGER_TIMEOUT: Micros = 300 * MS;
-/// Maximum number of bytes that are read after the last response.
+/// Maximum number of bytes that are read and dropped after the last response.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 
-/// Where a connection stands.
+/// State of a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClientState {
     /// Between requests, or reading one.
     Reading,
-    /// A request was read and is not in flight yet.
+    /// A complete request has been read but is not in flight yet.
     RequestRead,
-    /// Its request is in flight.
+    /// The request is in flight.
     InFlight(RequestId),
-    /// Its last response is being sent.
+    /// The last response is being sent, or input is dropped until the client closes.
     Closing,
 }
 
@@ -46,34 +46,36 @@
     pub(super) connection: Connection,
     reader: RequestReader,
     pub(super) state: ClientState,
-    /// When the state last changed, bytes of a response were last sent, or the first byte of a request arrived.
+    /// Time of the last state change, the last sent bytes of a response or the first byte of a request.
     pub(super) last_progress: Micros,
-    /// No complete request has arrived yet.
+    /// Whether no complete request has arrived yet.
     pub(super) is_new: bool,
+    /// Number of bytes dropped after the last response.
     lingered_bytes: usize,
+    /// Whether the connection stays open after the current response.
     pub(super) keep_alive: bool,
-    /// The response is sent part by part.
+    /// Whether the response is streamed and not complete yet.
     pub(super) streaming: bool,
-    /// The last response was sent completely, and the sending side is shut down.
+    /// Whether the last response has been sent completely and the sending direction is shut down.
     pub(super) write_shut_down: bool,
 }
 
-/// What reading and writing came to.
+/// Result of reading from and writing to a connection.
 pub(super) enum Progress {
     /// Nothing to report.
     Waiting,
     /// A complete request.
     Request(Request),
-    /// What has arrived is no request.
+    /// Input that is not a valid request.
     Malformed(MessageError),
-    /// The client has taken all that was waiting of a streamed response.
+    /// All buffered bytes of a streamed response have been sent.
     OutputDrained(RequestId),
-    /// The client has disconnected, or the connection is over.
+    /// The client has disconnected, or the connection is finished and can be closed.
     Disconnected,
 }
 
 impl Client {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub(super) fn new(connection: Connection, now: Micros) -> Self {
         Client {
             connection,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Writes and reads as much as possible.
+    /// Writes and reads as much as possible without blocking.
     pub(super) fn advance(&mut self, now: Micros) -> Progress {
         let output_before = self.connection.output.len();
         let was_idle = self.is_idle();
@@ -109,7 +111,7 @@
         progress
     }
 
-    /// After the last response: shuts the sending side down, and drops what the client still sends.
+    /// Shuts down the sending direction once the last response has been sent, and drops further input.
     fn linger(&mut self, sent_all: bool) -> Progress {
         if sent_all && !self.write_shut_down {
             self.write_shut_down = true;
@@ -117,8 +119,8 @@
         }
         let (dropped, ended) = self.connection.discard(MAX_LINGER_BYTES);
         self.lingered_bytes += dropped;
-        let is_over = ended || self.lingered_bytes >= MAX_LINGER_BYTES;
-        if sent_all && is_over { Progress::Disconnected } else { Progress::Waiting }
+        let input_finished = ended || self.lingered_bytes >= MAX_LINGER_BYTES;
+        if sent_all && input_finished { Progress::Disconnected } else { Progress::Waiting }
     }
 
     fn read(&mut self, output_drained: bool, now: Micros) -> Progress {
@@ -131,7 +133,7 @@
                 ClientState::InFlight(id) if output_drained && self.streaming => {
                     return Progress::OutputDrained(id);
                 }
-                // What a client sends before its response is read after it.
+                // Pipelined input is not parsed before the response has been written.
                 ClientState::InFlight(_) | ClientState::RequestRead | ClientState::Closing => {
                     return Progress::Waiting;
                 }
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Reads a request as far as it has come; none: more bytes are needed.
+    /// Reads a request from the input that has arrived. Returns `None` if more bytes are needed.
     fn read_request(&mut self, ended: bool, now: Micros) -> Option<Progress> {
         match self.reader.read(&mut self.connection.input) {
             Ok(Parsed::Complete(request)) => {
@@ -167,47 +169,47 @@
             }
             Ok(Parsed::Incomplete) => {
                 if self.reader.take_continue() {
-                    // A client that can't be sent this has disconnected, which is seen when reading.
+                    // Errors are ignored: if the client has disconnected, the next read detects it.
                     let _ = self.connection.output.push(b"HTTP/1.1 100 Continue\r\n\r\n");
                     let _ = self.connection.flush();
                 }
                 None
             }
-            Err(bad) => Some(Progress::Malformed(bad)),
+            Err(error) => Some(Progress::Malformed(error)),
         }
     }
 
-    /// The header that announces the end of the connection, if the response is the last one on it.
+    /// Returns `Connection: close` if the response is the last one on the connection.
     pub(super) fn connection_header(&mut self, is_last: bool) -> Option<(&'static str, &'static [u8])> {
         self.keep_alive &= !is_last;
         (!self.keep_alive).then_some(("Connection", b"close"))
     }
 
-    /// The response is complete in the output ring.
+    /// Updates the state after a complete response has been added to the output buffer.
     pub(super) fn on_response_written(&mut self, now: Micros) {
         self.last_progress = now;
         self.state = if self.keep_alive { ClientState::Reading } else { ClientState::Closing };
     }
 
-    /// Whether the connection is between requests, with nothing to read or write in its rings.
+    /// Returns whether the connection is between requests and both buffers are empty.
     pub(super) fn is_idle(&self) -> bool {
-        let rings_empty = self.connection.input.is_empty() && self.connection.output.is_empty();
-        self.state == ClientState::Reading && !self.reader.is_partial() && rings_empty
+        let buffers_empty = self.connection.input.is_empty() && self.connection.output.is_empty();
+        self.state == ClientState::Reading && !self.reader.is_partial() && buffers_empty
     }
 
-    /// Whether the connection may be closed at the end of the process: it is idle, and a new one had time for its first
-    /// request.
+    /// Returns whether the connection may be closed while the process shuts down: it is idle and, if new, has
+    /// had [`FIRST_REQUEST_TIMEOUT`] for its first request.
     pub(super) fn may_close_on_shutdown(&self, now: Micros) -> bool {
         self.is_idle() && (!self.is_new || now >= self.last_progress + FIRST_REQUEST_TIMEOUT)
     }
 
-    /// Whether the connection may be closed where descriptors are short.
+    /// Returns whether the connection may be closed when file descriptors are scarce.
     pub(super) fn is_evictable(&self, now: Micros) -> bool {
         let after = if self.is_new { NEW_EVICTABLE_AFTER } else { EVICTABLE_AFTER };
         self.write_shut_down || (self.is_idle() && now >= self.last_progress + after)
     }
 
-    /// Whether nothing has moved for longer than the state allows.
+    /// Returns whether the time since the last progress exceeds the limit for the connection's state.
     pub(super) fn has_stalled(&self, now: Micros) -> bool {
         let output_empty = self.connection.output.is_empty();
         let timeout = match self.state {
--- a/crates/proxy/src/downstream/event.rs
+++ b/crates/proxy/src/downstream/event.rs
@@ -1,4 +1,4 @@
-//! What clients did.
+//! Events on client connections.
 
 use garnetcrank_http::{MessageError, Request};
 use garnetcrank_policy::api::RequestId;
@@ -6,32 +6,32 @@
 use crate::classify::ClassifyError;
 use crate::readiness::ConnId;
 
-/// Why a request is bad.
+/// Reason why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum BadRequest {
-    /// It can't be read.
+    /// The input is not a valid HTTP request.
     #[error("{0}")]
     Malformed(MessageError),
-    /// It was not complete in time.
-    #[error("it was not complete in time")]
+    /// The request was not complete within the read timeout.
+    #[error("request not complete within the read timeout")]
     TimedOut,
-    /// It can be read, and means nothing at this deployment.
+    /// The request is valid HTTP but cannot be classified with the settings of this deployment.
     #[error("{0}")]
     Unclassified(ClassifyError),
-    /// Another open request has the same `Request-Id`.
-    #[error("its Request-Id is that of another one still open")]
+    /// Another request in flight has the same `Request-Id`.
+    #[error("Request-Id is the same as that of another request in flight")]
     DuplicateRequestId,
 }
 
-/// What a client did.
+/// Event on a client's connection.
 #[derive(Debug)]
 pub(crate) enum DownstreamEvent {
-    /// It sent a complete request.
+    /// A complete request from the client.
     Request(ConnId, Request),
-    /// It sent a bad request, which has been answered.
+    /// A bad request, to which an error response has been sent.
     BadRequest(BadRequest),
-    /// It disconnected while its request was in flight.
+    /// The client disconnected while its request was in flight.
     Disconnected(RequestId),
-    /// It has taken all that was waiting of a streamed response.
+    /// All buffered bytes of a streamed response have been sent.
     OutputDrained(RequestId),
 }
--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -1,4 +1,4 @@
-//! A listening socket with one client whose every byte the test writes; the clock is the test's.
+//! Tests of the client connections, with a socket on which the test writes every byte and a clock of its own.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,7 +13,7 @@
 
 const NOW: Micros = 1_000 * SECOND;
 
-/// A listening socket with one client, whose every byte the test writes; the clock is the test's.
+/// A listening socket and one connected client. Tests pass the current time to each call.
 struct Fixture {
     _event_loop: EventLoop<'static, TurnInputs>,
     downstream: Downstream,
@@ -24,33 +24,33 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let event_loop = EventLoop::try_new().expect("a loop");
+        let event_loop = EventLoop::try_new().expect("creates an event loop");
         let handle = event_loop.handle();
-        let downstream =
-            Downstream::listen(&handle, "127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let listener = &downstream.listener.as_ref().expect("a listener").socket;
-        let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+        let downstream = Downstream::listen(&handle, "127.0.0.1:0".parse().expect("valid address"))
+            .expect("binds to a free port");
+        let listener = &downstream.listener.as_ref().expect("listening socket is open").socket;
+        let client = TcpStream::connect(listener.local_addr().expect("local address")).expect("connects");
         Fixture { _event_loop: event_loop, downstream, ids: ConnIds::default(), events: Vec::new(), client }
     }
 
-    /// The last arrivals are taken in, and the socket is closed.
+    /// Accepts the waiting client, then closes the listening socket as during shutdown.
     fn not_listening() -> Fixture {
         let mut fixture = Fixture::new();
         fixture.downstream.closing = true;
         while fixture.downstream.accept(&mut fixture.ids, NOW) {}
         fixture.downstream.stop_listening();
-        assert_eq!(fixture.downstream.len(), 1, "it waited to be accepted");
+        assert_eq!(fixture.downstream.len(), 1, "the waiting client is accepted");
         fixture
     }
 
     fn id(&self) -> ConnId {
-        *self.downstream.clients.keys().next().expect("a client")
+        *self.downstream.clients.keys().next().expect("one client is connected")
     }
 
     fn send(&mut self, text: &str) {
-        self.client.write_all(text.as_bytes()).expect("sent");
+        self.client.write_all(text.as_bytes()).expect("sends");
         let (id, connection) =
-            self.downstream.clients.iter().next().map(|(id, c)| (*id, &c.connection)).expect("a client");
+            self.downstream.clients.iter().next().map(|(id, c)| (*id, &c.connection)).expect("one client");
         while connection.is_quiet() {
             std::thread::yield_now();
         }
@@ -62,56 +62,57 @@
 const REQUEST: &str = "GET /look HTTP/1.1\r\nHost: x\r\n\r\n";
 
 #[test]
-fn the_last_client_accepted_has_time_for_its_first_request() {
+fn a_new_client_has_time_for_its_first_request_during_shutdown() {
     let mut fixture = Fixture::not_listening();
     fixture.downstream.close_idle(NOW);
     fixture.downstream.close_idle(NOW + FIRST_REQUEST_TIMEOUT - 1);
-    assert!(!fixture.downstream.is_drained(), "closed while its first request was on the way");
+    assert!(!fixture.downstream.is_drained(), "closed before the first request could arrive");
     fixture.send(REQUEST);
     assert!(matches!(fixture.events[..], [DownstreamEvent::Request(..)]));
     let mut silent = Fixture::not_listening();
     silent.downstream.close_idle(NOW + FIRST_REQUEST_TIMEOUT);
-    assert!(silent.downstream.is_drained(), "it never sends a byte");
+    assert!(silent.downstream.is_drained(), "a client that sends nothing is disconnected");
 }
 
 #[test]
-fn the_process_waits_for_partial_unread_and_unsent_messages() {
+fn partial_unread_and_unsent_messages_delay_shutdown() {
     let mut fixture = Fixture::not_listening();
     let (half, rest) = REQUEST.split_at(20);
     fixture.send(half);
     fixture.downstream.close_idle(NOW + FIRST_REQUEST_TIMEOUT);
-    assert!(!fixture.downstream.is_drained(), "half a request is read");
+    assert!(!fixture.downstream.is_drained(), "a request has been read in part");
     fixture.send(rest);
-    assert!(!fixture.downstream.is_drained(), "a request is read");
+    assert!(!fixture.downstream.is_drained(), "a complete request has been read");
     let id = fixture.id();
     assert!(fixture.downstream.mark_in_flight(id, RequestId(1)));
     assert!(!fixture.downstream.is_drained());
     fixture.downstream.answer(id, 200, std::iter::empty(), b"hi", NOW, &mut fixture.events);
-    // The answer has left, and what its client still sends must not be met by a reset that overtakes it.
-    assert!(!fixture.downstream.is_drained(), "its last answer may be on the way");
-    fixture.client.write_all(REQUEST.as_bytes()).expect("sent");
+    // The response has been sent. Closing now would reset the connection if the client sends more, and the
+    // reset could overtake the response.
+    assert!(!fixture.downstream.is_drained(), "the last response may be on the way");
+    fixture.client.write_all(REQUEST.as_bytes()).expect("sends");
     fixture.downstream.on_tick(NOW + LINGER_TIMEOUT - 1, &mut fixture.events);
     assert!(!fixture.downstream.is_drained());
-    let mut answer = String::new();
-    fixture.client.read_to_string(&mut answer).expect("a whole answer and no reset");
-    assert!(answer.ends_with("hi"), "{answer}");
+    let mut response = String::new();
+    fixture.client.read_to_string(&mut response).expect("complete response without a reset");
+    assert!(response.ends_with("hi"), "{response}");
     fixture.downstream.on_tick(NOW + LINGER_TIMEOUT, &mut fixture.events);
-    assert!(fixture.downstream.is_drained(), "one that never leaves is not waited for");
+    assert!(fixture.downstream.is_drained(), "a client that never disconnects does not delay shutdown");
 }
 
 #[test]
-fn what_is_unread_on_an_idle_connection_is_read_before_it_is_closed() {
+fn an_idle_connection_with_unread_input_is_not_closed() {
     let mut fixture = Fixture::not_listening();
-    fixture.client.write_all(REQUEST.as_bytes()).expect("sent");
+    fixture.client.write_all(REQUEST.as_bytes()).expect("sends");
     while fixture.downstream.clients.values().all(|client| client.connection.is_quiet()) {
         std::thread::yield_now();
     }
     fixture.downstream.close_idle(NOW + SECOND);
-    assert!(!fixture.downstream.is_drained(), "its request lies in the kernel");
+    assert!(!fixture.downstream.is_drained(), "the request is unread in the socket's buffer");
 }
 
 #[test]
-fn a_client_that_takes_no_byte_of_its_response_is_given_up() {
+fn a_client_that_reads_nothing_within_the_write_timeout_is_disconnected() {
     let mut fixture = Fixture::not_listening();
     fixture.send(REQUEST);
     let id = fixture.id();
@@ -121,9 +122,9 @@
     while !fixture.downstream.send_body_part(id, &part, NOW, &mut fixture.events) {}
     fixture.events.clear();
     fixture.downstream.on_tick(NOW + WRITE_TIMEOUT - 1, &mut fixture.events);
-    // What it reads frees space, which the event loop reports.
-    let mut some = vec![0; 1024 * 1024];
-    fixture.client.read_exact(&mut some).expect("what has come so far");
+    // Reading frees space in the socket's buffer, so that the connection becomes writable again.
+    let mut buffer = vec![0; 1024 * 1024];
+    fixture.client.read_exact(&mut buffer).expect("reads the first MiB of the response");
     let (later, readiness) =
         (NOW + WRITE_TIMEOUT - 1, Readiness { readable: false, writable: true, error: false });
     let before = fixture.downstream.clients[&id].connection.output.len();
@@ -134,18 +135,18 @@
     fixture.downstream.on_tick(NOW + WRITE_TIMEOUT, &mut fixture.events);
     assert!(
         !fixture.downstream.is_drained()
-            && !fixture.events.iter().any(|n| matches!(n, DownstreamEvent::Disconnected(_)))
+            && !fixture.events.iter().any(|event| matches!(event, DownstreamEvent::Disconnected(_)))
     );
-    // Nothing is taken from here on: the attempt behind it is not kept for it, nor the process.
+    // The client reads nothing more: the connection is closed and its request reported as disconnected.
     fixture.downstream.on_tick(later + WRITE_TIMEOUT, &mut fixture.events);
     assert!(fixture.downstream.is_drained());
     assert!(matches!(fixture.events[..], [.., DownstreamEvent::Disconnected(RequestId(1))]));
 }
 
 #[test]
-fn it_is_not_drained_while_it_listens() {
+fn an_open_listening_socket_delays_shutdown() {
     let mut fixture = Fixture::new();
-    assert!(!fixture.downstream.is_drained(), "one waits to be accepted");
+    assert!(!fixture.downstream.is_drained(), "a client waits to be accepted");
     fixture.downstream.stop_listening();
     assert!(fixture.downstream.is_drained());
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: made, kept for reuse, and the outcome of what was sent on them.
+//! Connections to endpoints: establishes them, keeps them for reuse and reports the outcomes of attempts.
 
 mod event;
 mod exchange;
@@ -19,30 +19,30 @@
 use crate::http_exchange::ExchangeProgress;
 use crate::readiness::ConnId;
 pub(crate) use event::{UpstreamEvent, UpstreamRequest};
-use exchange::{Advance, CompletedResponse, Purpose, STREAM_SILENCE_TIMEOUT, UpstreamConnection};
+use exchange::{Advance, CompletedResponse, Purpose, STREAM_IDLE_TIMEOUT, UpstreamConnection};
 use outcome::{load_report, response_outcome};
 use pool::ConnectionPool;
 
-/// Maximum size of a message's body, in bytes.
+/// Maximum size of a message body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
-/// One attempt of a client's request.
+/// Key of an attempt: the client's request and the number of the attempt.
 type AttemptKey = (RequestId, usize);
 
-/// All connections of a worker to endpoints.
+/// All connections of a worker to endpoints, and the exchanges in progress on them.
 pub(crate) struct Upstream {
     transport: Transport,
     pool: ConnectionPool,
     attempts: FxHashMap<AttemptKey, ConnId>,
-    /// When exchanges are checked: one entry for each under way.
+    /// Times at which exchanges are next checked, with one entry for each exchange in progress.
     deadlines: BTreeSet<(Micros, ConnId)>,
-    /// Connections opened.
+    /// Number of connections opened.
     pub(crate) opened: u64,
-    /// Exchanges on reused connections.
+    /// Number of exchanges on reused connections.
     pub(crate) reused: u64,
 }
 
 impl Upstream {
-    /// No connections yet.
+    /// Creates an [`Upstream`] without connections.
     pub(crate) fn new(transport: Transport) -> Self {
         Upstream {
             pool: ConnectionPool::new(transport.idle_timeout),
@@ -54,13 +54,15 @@
         }
     }
 
-    /// Number of connections that are open or being made.
+    /// Returns the number of connections that are open or being established.
     pub(crate) fn len(&self) -> usize {
         self.pool.len()
     }
 
-    /// An update of where an endpoint listens. Idle connections to another process than that are closed. What is under
-    /// way goes on, unless its connection is not established: that was decided on what is no longer true.
+    /// Updates the address and build of an endpoint. Idle connections to an earlier address or process are
+    /// closed. Exchanges in progress continue, except those whose connection is not established if the
+    /// address or process has changed or the endpoint is draining. These end as not sent, as the endpoint was
+    /// chosen from outdated information.
     pub(crate) fn update_address(
         &mut self,
         update: &EndpointAddress,
@@ -73,14 +75,16 @@
         }
     }
 
-    /// Takes back the attempts at a build whose exposure has been lowered, where no byte has been sent.
+    /// Ends as not sent the attempts at a build whose connection is not established yet. It is called when
+    /// the exposure of the build has been lowered.
     pub(crate) fn recall_build(&mut self, build: Build, now: Micros, events: &mut Vec<UpstreamEvent>) {
         let endpoints = self.pool.endpoints_of_build(build);
         self.recall_pending(now, events, |connection| endpoints.contains(&connection.endpoint));
     }
 
-    /// Takes back attempts whose connection is not established yet: they would be sent whenever it is, to an endpoint
-    /// that takes nothing new by then, or to another process than the one chosen. The policy decides them anew.
+    /// Ends as not sent the affected exchanges whose connection is not established yet, so that the policy
+    /// decides again. Otherwise they would be sent once connected, to an endpoint that accepts no new
+    /// requests by then or to another process than the chosen one.
     fn recall_pending(
         &mut self,
         now: Micros,
@@ -93,19 +97,19 @@
             .filter(|(_, connection)| connection.awaits_connection() && is_affected(connection))
             .map(|(id, _)| *id)
             .collect();
-        // In the order in which they were decided.
+        // Connection ids ascend, so this is the order in which the attempts were started.
         recalled.sort_unstable();
         for id in recalled {
-            self.end(id, Outcome::NotSent, None, now, events);
+            self.finish(id, Outcome::NotSent, None, now, events);
         }
     }
 
-    /// Whether an exchange with this endpoint needs no new connection.
+    /// Returns whether an idle connection to the endpoint can be used for an exchange.
     pub(crate) fn has_idle(&self, endpoint: EndpointId, now: Micros) -> bool {
         self.pool.has_idle(endpoint, now)
     }
 
-    /// Reads what the event loop has reported on a connection.
+    /// Handles readiness that the event loop reported for a connection.
     pub(crate) fn on_ready(
         &mut self,
         id: ConnId,
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Writes what is left of a request, and reads what has arrived.
+    /// Writes the rest of a request and reads its response, as far as possible without blocking.
     fn resume(&mut self, id: ConnId, now: Micros, events: &mut Vec<UpstreamEvent>) {
         loop {
             let Some(connection) = self.pool.get_mut(id) else { return };
@@ -127,14 +131,15 @@
                 return;
             }
             if connection.active.is_none() {
-                // Nothing was asked on an idle connection, so whatever arrives on it ends it.
+                // No request is open on an idle connection, so any input or the end of the connection closes
+                // it.
                 if !connection.connection.is_quiet() {
                     self.pool.remove(id);
                 }
                 return;
             }
             match connection.advance(now, events) {
-                Advance::Again => {}
+                Advance::ReadMore => {}
                 Advance::Wait => return,
                 Advance::Progress(progress) => return self.on_progress(id, progress, now, events),
             }
@@ -150,17 +155,18 @@
     ) {
         match progress {
             ExchangeProgress::Pending => {}
-            ExchangeProgress::NeverSent => self.end(id, Outcome::ConnectFailed, None, now, events),
-            ExchangeProgress::ConnectionLost => self.end(id, Outcome::ConnectionLost, None, now, events),
+            ExchangeProgress::NeverSent => self.finish(id, Outcome::ConnectFailed, None, now, events),
+            ExchangeProgress::ConnectionLost => self.finish(id, Outcome::ConnectionLost, None, now, events),
             ExchangeProgress::Response { response, reusable } => {
                 let outcome = response_outcome(&response);
-                self.end(id, outcome, Some(CompletedResponse { response, reusable }), now, events);
+                self.finish(id, outcome, Some(CompletedResponse { response, reusable }), now, events);
             }
         }
     }
 
-    /// Ends an exchange; its connection is kept if it may be used again.
-    fn end(
+    /// Ends an exchange and reports its outcome. The connection is kept idle if it can be reused, else
+    /// closed.
+    fn finish(
         &mut self,
         id: ConnId,
         outcome: Outcome,
@@ -198,12 +204,12 @@
         }
     }
 
-    /// When the first exchange must be checked.
+    /// Returns the time at which the next exchange must be checked.
     pub(crate) fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Ends the exchanges whose time, or whose time to connect, is over.
+    /// Ends the exchanges whose deadline or connect deadline has passed.
     pub(crate) fn expire_attempts(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) {
         while self.next_deadline().is_some_and(|at| at <= now) {
             let Some((check_at, id)) = self.deadlines.pop_first() else { return };
@@ -214,11 +220,11 @@
                 continue;
             };
             if active.is_streaming && paused {
-                // It is the client that is slow.
-                active.deadline = now + STREAM_SILENCE_TIMEOUT;
+                // Reading is paused because of a slow client, so the endpoint's silence does not count.
+                active.deadline = now + STREAM_IDLE_TIMEOUT;
             }
-            match active.expiry(now) {
-                Some(outcome) => self.end(id, outcome, None, now, events),
+            match active.expired_outcome(now) {
+                Some(outcome) => self.finish(id, outcome, None, now, events),
                 None => {
                     active.check_at = active.deadline;
                     self.deadlines.insert((active.check_at, id));
@@ -227,7 +233,8 @@
         }
     }
 
-    /// A response that has arrived is in time, even if the event loop has not reported it yet.
+    /// Reads a response that has arrived but has not been reported by the event loop yet, so that it counts
+    /// as in time.
     fn read_before_expiry(&mut self, id: ConnId, now: Micros, events: &mut Vec<UpstreamEvent>) {
         let Some(connection) = self.pool.get_mut(id) else { return };
         if connection.request_sent() {
@@ -236,7 +243,7 @@
         }
     }
 
-    /// Cancels an attempt; one whose response is being streamed goes on.
+    /// Cancels an attempt, unless its response is already being streamed.
     pub(crate) fn cancel(
         &mut self,
         id: RequestId,
@@ -247,11 +254,11 @@
         let Some(&connection_id) = self.attempts.get(&(id, attempt)) else { return };
         let is_streaming = self.pool.get(connection_id).is_some_and(UpstreamConnection::is_streaming);
         if !is_streaming {
-            self.end(connection_id, Outcome::Cancelled, None, now, events);
+            self.finish(connection_id, Outcome::Cancelled, None, now, events);
         }
     }
 
-    /// Ends a streamed response whose client has gone.
+    /// Cancels an attempt whose client has disconnected, even if its response is being streamed.
     pub(crate) fn abort(
         &mut self,
         id: RequestId,
@@ -260,11 +267,11 @@
         events: &mut Vec<UpstreamEvent>,
     ) {
         if let Some(&connection_id) = self.attempts.get(&(id, attempt)) {
-            self.end(connection_id, Outcome::Cancelled, None, now, events);
+            self.finish(connection_id, Outcome::Cancelled, None, now, events);
         }
     }
 
-    /// Stops reading a streamed response, or resumes it: its client takes it no faster.
+    /// Pauses or resumes reading of a streamed response, to match the rate at which its client reads.
     pub(crate) fn pause(
         &mut self,
         id: RequestId,
@@ -280,17 +287,17 @@
         }
     }
 
-    /// Closes idle connections to an endpoint.
+    /// Closes all idle connections to an endpoint.
     pub(crate) fn close_idle(&mut self, endpoint: EndpointId) {
         self.pool.close_idle(endpoint);
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle longest. Returns false if none is idle.
     pub(crate) fn evict_idle(&mut self) -> bool {
         self.pool.evict_idle()
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have exceeded their maximum idle time.
     pub(crate) fn on_tick(&mut self, now: Micros) {
         self.pool.close_expired(now);
     }
--- a/crates/proxy/src/upstream/event.rs
+++ b/crates/proxy/src/upstream/event.rs
@@ -1,28 +1,28 @@
-//! What goes into the connections to endpoints and what comes out of them.
+//! Requests to endpoints and events on the connections to them.
 
 use garnetcrank_http::{Headers, Request, Response};
 use garnetcrank_policy::api::{EndpointId, Micros, Outcome, RequestId};
 
-/// An attempt to be made.
+/// An attempt to send a request to an endpoint.
 pub(crate) struct UpstreamRequest<'a> {
     /// The client's request.
     pub(crate) id: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt, counted from 0.
     pub(crate) attempt: usize,
-    /// Where it goes.
+    /// The endpoint chosen for the attempt.
     pub(crate) endpoint: EndpointId,
-    /// What the client sent.
+    /// The request as the client sent it.
     pub(crate) request: &'a Request,
-    /// When the attempt times out.
+    /// Time at which the attempt times out.
     pub(crate) deadline: Micros,
-    /// The response is forwarded as it comes.
+    /// Whether the response is forwarded to the client while it arrives.
     pub(crate) streamed: bool,
 }
 
-/// What happened on the connections.
+/// Event on a connection to an endpoint.
 #[derive(Debug)]
 pub(crate) enum UpstreamEvent {
-    /// A streamed response has started.
+    /// The start of a streamed response.
     ResponseStarted {
         /// The client's request.
         id: RequestId,
@@ -31,35 +31,35 @@
         /// Headers of the response.
         headers: Headers,
     },
-    /// A part of a streamed body has arrived.
+    /// A part of the body of a streamed response.
     BodyPart {
         /// The client's request.
         id: RequestId,
-        /// The bytes.
+        /// Bytes of the body.
         bytes: Vec<u8>,
     },
-    /// An attempt ended.
+    /// The end of an attempt.
     AttemptCompleted {
         /// The client's request.
         id: RequestId,
         /// Number of the attempt.
         attempt: usize,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since the attempt began.
+        /// Time since the start of the attempt.
         latency: Micros,
         /// Load report of the endpoint; empty without one.
         load_report: Vec<f64>,
         /// The complete response, if the attempt succeeded and was not streamed.
         response: Option<Response>,
     },
-    /// A health check ended.
+    /// The end of a health check.
     HealthCheckCompleted {
-        /// The endpoint.
+        /// The checked endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// Time since it began.
+        /// Time since the start of the health check.
         latency: Micros,
         /// Load report of the endpoint; empty without one.
         load_report: Vec<f64>,
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, and the exchange under way on it.
+//! One connection to an endpoint and the exchange in progress on it.
 
 use garnetcrank_http::{Headers, Response};
 use garnetcrank_policy::api::{EndpointId, Micros, Outcome, RequestId};
@@ -8,13 +8,14 @@
 use crate::connection::Connection;
 use crate::http_exchange::{ExchangeProgress, HttpExchange};
 
-/// Rest of a connection after a response. A second response to the same request may come some milliseconds late, and
-/// the next request, another client's, would take it for its own.
-pub(super) const REST_AFTER_RESPONSE: Micros = 10 * MS;
-/// Time without a byte after which a streamed response is dead.
-pub(super) const STREAM_SILENCE_TIMEOUT: Micros = 60 * SECOND;
+/// Time after a response before the connection is reused. An endpoint may send a second response to the same
+/// request some milliseconds later, which would be taken for the response to the next request, usually of
+/// another client.
+pub(super) const REUSE_DELAY: Micros = 10 * MS;
+/// Time without a byte received after which a streamed response counts as lost.
+pub(super) const STREAM_IDLE_TIMEOUT: Micros = 60 * SECOND;
 
-/// What an exchange is for.
+/// Purpose of an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Purpose {
     /// An attempt of a client's request.
@@ -23,18 +24,18 @@
     HealthCheck,
 }
 
-/// An exchange under way.
+/// An exchange in progress.
 pub(super) struct ActiveExchange {
     pub(super) purpose: Purpose,
     pub(super) exchange: HttpExchange,
     pub(super) started_at: Micros,
-    /// When the connection must be established.
+    /// Deadline for establishing the connection.
     pub(super) connect_deadline: Micros,
-    /// When the exchange is next checked: its entry among the deadlines.
+    /// Time of the next check, which is also the key of the exchange in `Upstream::deadlines`.
     pub(super) check_at: Micros,
-    /// When it times out.
+    /// Time at which the exchange times out.
     pub(super) deadline: Micros,
-    /// The response is being streamed to the client.
+    /// Whether the response is being streamed to the client.
     pub(super) is_streaming: bool,
 }
 
@@ -42,27 +43,27 @@
 pub(super) struct UpstreamConnection {
     pub(super) connection: Connection,
     pub(super) endpoint: EndpointId,
-    /// Of the endpoint's process that the connection was made to.
+    /// Generation of the endpoint's process to which the connection was made.
     pub(super) generation: u64,
     pub(super) active: Option<ActiveExchange>,
     pub(super) idle_since: Micros,
-    /// A streamed response is not read on: its client takes it no faster.
+    /// Whether reading of a streamed response is paused because its client reads slowly.
     pub(super) paused: bool,
 }
 
-/// How a step of an exchange went.
+/// Result of advancing an exchange.
 pub(super) enum Advance {
-    /// Nothing more can be read now.
+    /// Nothing more can be read before the event loop reports readiness.
     Wait,
-    /// There may be more to read.
-    Again,
-    /// The exchange came so far; anything but `Pending` is its end.
+    /// More input may be available.
+    ReadMore,
+    /// Progress of the exchange. Any value except `Pending` ends the exchange.
     Progress(ExchangeProgress),
 }
 
 impl ActiveExchange {
-    /// What the exchange comes to at `now` if its time, or the time to connect, is over; none: it goes on.
-    pub(super) fn expiry(&self, now: Micros) -> Option<Outcome> {
+    /// Returns the outcome if the deadline or the connect deadline has passed at `now`, else `None`.
+    pub(super) fn expired_outcome(&self, now: Micros) -> Option<Outcome> {
         if !self.exchange.connected() && now >= self.connect_deadline {
             return Some(Outcome::ConnectFailed);
         }
@@ -74,12 +75,12 @@
         } else if self.exchange.request_sent() {
             Outcome::TimedOut
         } else {
-            // The request's last byte was not written, so the endpoint never starts it.
+            // The request was not sent completely, so the endpoint cannot have started it.
             Outcome::NotSent
         })
     }
 
-    /// Headers of a successful response that has just started.
+    /// Returns the headers of a successful response that has just started.
     fn started_headers(&mut self) -> Option<Headers> {
         if self.is_streaming {
             return None;
@@ -88,7 +89,7 @@
         (response.status == 200).then(|| response.headers.clone())
     }
 
-    /// Takes the part of the body that has arrived.
+    /// Takes the bytes of the body that have arrived.
     fn take_body(&mut self, progress: &mut ExchangeProgress) -> Vec<u8> {
         match progress {
             ExchangeProgress::Response { response, .. } => std::mem::take(&mut response.body),
@@ -98,27 +99,28 @@
 }
 
 impl UpstreamConnection {
-    /// Whether anything that belongs to the last response must have arrived.
-    pub(super) fn is_rested(&self, now: Micros) -> bool {
-        now >= self.idle_since + REST_AFTER_RESPONSE
+    /// Returns whether [`REUSE_DELAY`] has passed since the last response.
+    pub(super) fn is_reusable(&self, now: Micros) -> bool {
+        now >= self.idle_since + REUSE_DELAY
     }
 
-    /// Whether an exchange waits for the connection to be established.
+    /// Returns whether an exchange waits for the connection to be established.
     pub(super) fn awaits_connection(&self) -> bool {
         self.active.as_ref().is_some_and(|active| !active.exchange.connected())
     }
 
-    /// Whether a request has been sent completely.
+    /// Returns whether the request of the current exchange has been sent completely.
     pub(super) fn request_sent(&self) -> bool {
         self.active.as_ref().is_some_and(|active| active.exchange.request_sent())
     }
 
-    /// Whether a response is being streamed to the client.
+    /// Returns whether the response is being streamed to the client.
     pub(super) fn is_streaming(&self) -> bool {
         self.active.as_ref().is_some_and(|active| active.is_streaming)
     }
 
-    /// Writes what is left of the request and reads what has arrived. Parts of a streamed response become events.
+    /// Writes the rest of the request and reads its response, as far as possible without blocking. The head
+    /// and the parts of a streamed response are added to `events`.
     pub(super) fn advance(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> Advance {
         let Some(active) = &mut self.active else { return Advance::Wait };
         let mut progress = active.exchange.step(&mut self.connection);
@@ -134,22 +136,23 @@
         }
         let bytes = active.take_body(&mut progress);
         let has_bytes = !bytes.is_empty();
-        // Its entry among the deadlines stays; the new deadline is seen when that is due.
-        active.deadline = now + STREAM_SILENCE_TIMEOUT;
+        // The entry in `Upstream::deadlines` is not moved; the new deadline is applied when that entry is
+        // due.
+        active.deadline = now + STREAM_IDLE_TIMEOUT;
         if has_bytes {
             events.push(UpstreamEvent::BodyPart { id, bytes });
         }
         if !matches!(progress, ExchangeProgress::Pending) {
             return Advance::Progress(progress);
         }
-        let nothing_left = self.connection.input.is_empty() && !self.connection.more_to_read();
-        if !has_bytes || nothing_left { Advance::Wait } else { Advance::Again }
+        let input_exhausted = self.connection.input.is_empty() && !self.connection.more_to_read();
+        if !has_bytes || input_exhausted { Advance::Wait } else { Advance::ReadMore }
     }
 }
 
-/// A response that ended an exchange.
+/// A complete response, which ends an exchange.
 pub(super) struct CompletedResponse {
     pub(super) response: Response,
-    /// Another request may be sent on the connection.
+    /// Whether another request may be sent on the connection.
     pub(super) reusable: bool,
 }
--- a/crates/proxy/src/upstream/outcome.rs
+++ b/crates/proxy/src/upstream/outcome.rs
@@ -1,4 +1,4 @@
-//! What responses and errors say of an attempt.
+//! Outcomes and load reports derived from responses and connect errors.
 
 use std::io;
 
@@ -8,12 +8,13 @@
 
 use super::exchange::Purpose;
 
-/// Header by which an endpoint states that it did not start the request.
+/// Header with which an endpoint states that it did not start the request.
 const NOT_STARTED_HEADER: &str = "not-started";
-/// Header of a response with the endpoint's load report.
+/// Response header with the endpoint's load report.
 pub(super) const LOAD_REPORT_HEADER: &str = "server-load";
 
-/// The outcome that a response means. Only a rejection that is marked proves that the request had no effect.
+/// Returns the outcome of an attempt that received `response`. Only a rejection with the not-started header
+/// proves that the request had no effect.
 pub(super) fn response_outcome(response: &Response) -> Outcome {
     let not_started = response.headers.values(NOT_STARTED_HEADER).any(|value| value.trim_ascii() == b"1");
     match response.status {
@@ -23,7 +24,8 @@
     }
 }
 
-/// The outcome of a connection that could not be started: a lack of this host's resources says nothing of the endpoint.
+/// Returns the outcome of a connection that could not be started. A lack of local resources is not counted
+/// against the endpoint, so it gives [`Outcome::NotSent`].
 pub(super) fn connect_error_outcome(error: &io::Error) -> Outcome {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL) => {
@@ -33,8 +35,8 @@
     }
 }
 
-/// The values of a response's load report in the order of `columns`; empty without a complete report. A health check
-/// may carry it in its body.
+/// Returns the values of a response's load report in the order of `columns`, or nothing if the report is
+/// missing or incomplete. The response to a health check may have the report in its body.
 pub(super) fn load_report(response: &Response, purpose: Purpose, columns: &[String]) -> Vec<f64> {
     if columns.is_empty() {
         return Vec::new();
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Open connections to endpoints, and which of them are idle.
+//! Pool of the connections to endpoints, with the idle ones of each endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,50 +10,52 @@
 use crate::discovery::EndpointAddress;
 use crate::readiness::ConnId;
 
-/// Part of the endpoints' idle timeout for which a connection is kept: well before the other side closes it.
-const KEPT_PART_OF_IDLE_TIMEOUT: f64 = 0.8;
+/// Fraction of the endpoints' idle timeout after which an idle connection is closed. It is well below 1, so
+/// that the proxy closes the connection before the endpoint does.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// An endpoint that is on the list.
+/// An endpoint in the endpoint list.
 #[derive(Default)]
 struct Endpoint {
     address: Option<SocketAddr>,
     build: Build,
-    /// Number of its process.
+    /// Number of the endpoint's current process, unique in the pool.
     generation: u64,
-    /// Idle connections, the newest last.
+    /// Idle connections, the most recently used last.
     idle: Vec<ConnId>,
 }
 
-/// The connections to all endpoints.
+/// Pool of the connections to all endpoints.
 pub(super) struct ConnectionPool {
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Processes seen so far: each gets a number of its own.
+    /// Number of processes seen so far, which is the generation given out last.
     last_generation: u64,
     connections: FxHashMap<ConnId, UpstreamConnection>,
+    /// Idle time after which a connection is closed.
     max_idle: Micros,
 }
 
 impl ConnectionPool {
-    /// An empty pool. Endpoints close connections that were idle for `idle_timeout`.
+    /// Creates an empty pool. Endpoints are expected to close connections that are idle for `idle_timeout`.
     pub(super) fn new(idle_timeout: Micros) -> Self {
         ConnectionPool {
             endpoints: BTreeMap::new(),
             last_generation: 0,
             connections: FxHashMap::default(),
-            max_idle: (idle_timeout as f64 * KEPT_PART_OF_IDLE_TIMEOUT) as Micros,
+            max_idle: (idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros,
         }
     }
 
-    /// Number of connections, idle or not.
+    /// Returns the number of connections, idle or in use.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Takes in where an endpoint listens. Returns whether another process listens there now, or none; idle connections
-    /// are closed then.
+    /// Updates the address and build of an endpoint. If its address or process has changed, or it has been
+    /// removed, closes its idle connections and returns true.
     pub(super) fn update_address(&mut self, update: &EndpointAddress) -> bool {
         let Some(address) = update.address else {
-            // Nothing is kept of an endpoint that has been removed.
+            // The endpoint has been removed from the endpoint list.
             self.close_idle(update.endpoint);
             self.endpoints.remove(&update.endpoint);
             return true;
@@ -71,33 +73,33 @@
         true
     }
 
-    /// Where an endpoint listens.
+    /// Returns the address of an endpoint.
     pub(super) fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.endpoints.get(&endpoint)?.address
     }
 
-    /// Number of an endpoint's present process.
+    /// Returns the generation of an endpoint's current process.
     pub(super) fn generation(&self, endpoint: EndpointId) -> Option<u64> {
         self.endpoints.get(&endpoint).map(|endpoint| endpoint.generation)
     }
 
-    /// The endpoints that run a build.
+    /// Returns the endpoints that run `build`.
     pub(super) fn endpoints_of_build(&self, build: Build) -> BTreeSet<EndpointId> {
         let of_build = self.endpoints.iter().filter(|(_, endpoint)| endpoint.build == build);
         of_build.map(|(id, _)| *id).collect()
     }
 
-    /// All connections, in no particular order.
+    /// Iterates over all connections, in no particular order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&ConnId, &UpstreamConnection)> {
         self.connections.iter()
     }
 
-    /// A connection.
+    /// Returns a connection.
     pub(super) fn get(&self, id: ConnId) -> Option<&UpstreamConnection> {
         self.connections.get(&id)
     }
 
-    /// A connection, to be used.
+    /// Returns a connection for modification.
     pub(super) fn get_mut(&mut self, id: ConnId) -> Option<&mut UpstreamConnection> {
         self.connections.get_mut(&id)
     }
@@ -107,7 +109,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// Takes a connection that is in use out of the pool.
+    /// Removes a connection that is in use from the pool and returns it.
     pub(super) fn take(&mut self, id: ConnId) -> Option<UpstreamConnection> {
         self.connections.remove(&id)
     }
@@ -120,27 +122,28 @@
         }
     }
 
-    /// Whether an idle connection to this endpoint can be used. The first one has rested for longest.
+    /// Returns whether an idle connection to the endpoint can be reused. It checks only the one that has been
+    /// idle longest.
     pub(super) fn has_idle(&self, endpoint: EndpointId, now: Micros) -> bool {
         let first = self.endpoints.get(&endpoint).and_then(|endpoint| endpoint.idle.first());
         let connection = first.and_then(|id| self.connections.get(id));
-        connection.is_some_and(|connection| connection.is_rested(now))
+        connection.is_some_and(|connection| connection.is_reusable(now))
     }
 
-    /// Takes the newest idle connection that has rested and is still open. Idle ones found closed on the way are
-    /// dropped.
+    /// Takes the most recently used idle connection that is past the reuse delay and still open. Closed or
+    /// expired ones found before it are dropped.
     pub(super) fn take_idle(
         &mut self,
         endpoint: EndpointId,
         now: Micros,
     ) -> Option<(ConnId, UpstreamConnection)> {
         let endpoint = self.endpoints.get_mut(&endpoint)?;
-        let is_rested =
-            |id: &ConnId| self.connections.get(id).is_none_or(|connection| connection.is_rested(now));
-        let mut rested = endpoint.idle.iter().rposition(is_rested).map_or(0, |last| last + 1);
-        while rested > 0 {
-            rested -= 1;
-            let id = endpoint.idle.remove(rested);
+        let is_reusable =
+            |id: &ConnId| self.connections.get(id).is_none_or(|connection| connection.is_reusable(now));
+        let mut candidate_count = endpoint.idle.iter().rposition(is_reusable).map_or(0, |last| last + 1);
+        while candidate_count > 0 {
+            candidate_count -= 1;
+            let id = endpoint.idle.remove(candidate_count);
             let Some(connection) = self.connections.remove(&id) else { continue };
             if connection.connection.is_quiet() && now < connection.idle_since + self.max_idle {
                 return Some((id, connection));
@@ -149,7 +152,8 @@
         None
     }
 
-    /// Keeps a connection for reuse, unless another process listens at its endpoint by now.
+    /// Adds an idle connection for reuse, or closes it if the endpoint's process has changed since it was
+    /// made.
     pub(super) fn keep_idle(&mut self, id: ConnId, mut connection: UpstreamConnection, now: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) else { return };
         if endpoint.generation != connection.generation {
@@ -161,7 +165,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// Closes idle connections to an endpoint.
+    /// Closes all idle connections to an endpoint.
     pub(super) fn close_idle(&mut self, endpoint: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&endpoint) {
             for id in endpoint.idle.drain(..) {
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle longest. Returns false if none is idle.
     pub(super) fn evict_idle(&mut self) -> bool {
         let oldest_of_each = self.endpoints.values().filter_map(|endpoint| endpoint.idle.first());
         let idle_since = |id: &&ConnId| self.connections.get(id).map(|connection| connection.idle_since);
@@ -179,7 +183,7 @@
         true
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for the maximum idle time.
     pub(super) fn close_expired(&mut self, now: Micros) {
         let is_expired = |connection: &UpstreamConnection| {
             connection.active.is_none() && now >= connection.idle_since + self.max_idle
--- a/crates/proxy/src/upstream/start.rs
+++ b/crates/proxy/src/upstream/start.rs
@@ -1,4 +1,4 @@
-//! Starting exchanges: attempts and health checks, on an idle connection or a new one.
+//! Starts attempts and health checks on an idle connection or a new one.
 
 use garnetcrank_http::{Request, ResponseReader, Ring, write_request};
 use garnetcrank_policy::api::{EndpointId, Micros, Outcome};
@@ -12,16 +12,16 @@
 use crate::http_exchange::HttpExchange;
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 
-/// Capacity for a request, in bytes: its body, and its head with a margin for the headers that are added.
+/// Capacity of the output buffer, in bytes: a request's body and its head, with a margin for added headers.
 const OUTPUT_RING_BYTES: usize = MAX_BODY_BYTES + 40 * 1024;
-/// Capacity for what has arrived and is not parsed yet, in bytes.
+/// Capacity of the input buffer for bytes that are not parsed yet, in bytes.
 const INPUT_RING_BYTES: usize = 32 * 1024;
-/// Wait for the answer to a health check; it is a few bytes.
+/// Time limit for a health check, whose response is a few bytes.
 const HEALTH_CHECK_TIMEOUT: Micros = SECOND;
-/// Header that tells an endpoint how long it is waited for, in milliseconds.
+/// Request header that tells an endpoint the time left until the attempt times out, in milliseconds.
 const TIMEOUT_HEADER: &str = "Request-Timeout-Ms";
 
-/// An exchange to be started.
+/// Parameters of an exchange that is to be started.
 struct ExchangePlan {
     endpoint: EndpointId,
     purpose: Purpose,
@@ -29,10 +29,10 @@
 }
 
 impl Upstream {
-    /// Starts an attempt.
+    /// Starts an attempt. The endpoint gets the time left as `Request-Timeout-Ms`.
     ///
     /// # Errors
-    /// The outcome of an attempt that could not start.
+    /// Returns the outcome of an attempt that could not be started.
     pub(crate) fn start_attempt(
         &mut self,
         handle: &Handle,
@@ -58,7 +58,7 @@
     /// Starts a health check.
     ///
     /// # Errors
-    /// The outcome of a health check that could not start.
+    /// Returns the outcome of a health check that could not be started.
     pub(crate) fn start_health_check(
         &mut self,
         handle: &Handle,
@@ -121,7 +121,7 @@
             self.attempts.insert((request, attempt), id);
         }
         self.pool.insert(id, connection);
-        // The event loop reports when a new connection is established.
+        // A new connection is resumed once the event loop reports that it is established.
         if is_established {
             self.resume(id, now, events);
         }
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -1,4 +1,5 @@
-//! Connections to one endpoint whose every byte the test writes; the clock is the test's.
+//! Tests of the connections to one endpoint, with sockets on which the test writes every byte and a clock of
+//! its own.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,16 +10,16 @@
 use garnetcrank_policy::api::{Build, EndpointId, Micros, Outcome, RequestId};
 use garnetcrank_settings::Transport;
 
-use super::exchange::{Purpose, REST_AFTER_RESPONSE};
+use super::exchange::{Purpose, REUSE_DELAY};
 use super::outcome::{load_report, response_outcome};
 use super::{Upstream, UpstreamEvent, UpstreamRequest};
 use crate::clock::SECOND;
 use crate::discovery::EndpointAddress;
 use crate::readiness::{ConnId, ConnIds, TurnInputs};
 
-fn answer(text: &str) -> Response {
+fn read_response(text: &str) -> Response {
     let mut ring = Ring::new(4096);
-    ring.push(text.as_bytes()).expect("room");
+    ring.push(text.as_bytes()).expect("response fits");
     match ResponseReader::buffered(4096).read(&mut ring, true) {
         Ok(Parsed::Complete(response)) => response,
         other => panic!("{other:?}"),
@@ -28,7 +29,7 @@
 const NOW: Micros = 1_000 * SECOND;
 const LATER: Micros = NOW + 5 * SECOND;
 
-/// Connections to one endpoint, whose every byte the test writes; the clock is the test's.
+/// One endpoint and the connections to it. Tests pass the current time to each call.
 struct Fixture {
     event_loop: EventLoop<'static, TurnInputs>,
     listener: TcpListener,
@@ -40,18 +41,18 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binds to a free port");
         let mut ring = Ring::new(4096);
-        ring.push(b"GET /look HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\n\r\n").expect("room");
+        ring.push(b"GET /look HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\n\r\n").expect("request fits");
         let read = RequestReader::new(10).read(&mut ring);
-        let Ok(Parsed::Complete(request)) = read else { panic!("no request") };
+        let Ok(Parsed::Complete(request)) = read else { panic!("request is not read: {read:?}") };
         let transport = Transport {
             idle_timeout: 30 * SECOND,
             connect_timeout: SECOND,
             max_in_flight: None,
             report_columns: Vec::new(),
         };
-        let event_loop = EventLoop::try_new().expect("a loop");
+        let event_loop = EventLoop::try_new().expect("creates an event loop");
         let (upstream, ids) = (Upstream::new(transport), ConnIds::default());
         let mut fixture = Fixture { event_loop, listener, upstream, ids, events: Vec::new(), request };
         fixture.update(fixture.present_address());
@@ -59,7 +60,7 @@
     }
 
     fn present_address(&self) -> EndpointAddress {
-        let address = Some(self.listener.local_addr().expect("an address"));
+        let address = Some(self.listener.local_addr().expect("local address"));
         EndpointAddress {
             endpoint: EndpointId(1),
             address,
@@ -85,26 +86,26 @@
         let handle = self.event_loop.handle();
         self.upstream
             .start_attempt(&handle, &mut self.ids, now, &request, &mut self.events)
-            .expect("it starts");
+            .expect("attempt starts");
     }
 
-    /// The endpoint's side of the newest connection, once the request is there.
+    /// Accepts the newest connection at the endpoint and reads the request from it.
     fn accept(&mut self) -> TcpStream {
-        let (mut stream, _) = self.listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
+        let (mut stream, _) = self.listener.accept().expect("accepts");
+        stream.set_read_timeout(Some(Duration::from_secs(30))).expect("sets a read timeout");
         self.report_ready(NOW);
         read_request(&mut stream);
         stream
     }
 
-    /// The event loop reports readiness.
+    /// Reports all connections as readable and writable.
     fn report_ready(&mut self, now: Micros) {
         let ids: Vec<ConnId> = self.upstream.pool.iter().map(|(id, _)| *id).collect();
         let readiness = Readiness { readable: true, writable: true, error: false };
         ids.into_iter().for_each(|id| self.upstream.on_ready(id, readiness, now, &mut self.events));
     }
 
-    /// Waits until a connection has bytes to read; readiness is not reported.
+    /// Waits until a connection has bytes to read, without reporting readiness.
     fn wait_for_bytes(&self) {
         while self.upstream.pool.iter().all(|(_, connection)| connection.connection.is_quiet()) {
             std::thread::yield_now();
@@ -122,18 +123,18 @@
 
 fn read_request(stream: &mut TcpStream) {
     let mut request = [0; 512];
-    assert!(stream.read(&mut request).expect("a request") > 0);
+    assert!(stream.read(&mut request).expect("reads a request") > 0);
 }
 
 fn write_text(stream: &mut TcpStream, text: &str) {
-    stream.write_all(text.as_bytes()).expect("sent");
+    stream.write_all(text.as_bytes()).expect("sends");
 }
 
-const ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
+const RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
 #[test]
-fn an_attempt_that_waits_for_its_connection_is_recalled_when_its_endpoint_changes() {
-    let elsewhere = Some("127.0.0.1:1".parse().expect("an address"));
+fn an_attempt_without_established_connection_ends_as_not_sent_when_its_endpoint_changes() {
+    let elsewhere = Some("127.0.0.1:1".parse().expect("valid address"));
     let changes: [fn(EndpointAddress, Option<SocketAddr>) -> EndpointAddress; 4] = [
         |update, _| EndpointAddress { draining: true, ..update },
         |update, _| EndpointAddress { address: None, draining: true, restarted: true, ..update },
@@ -143,15 +144,15 @@
     for change in changes {
         let mut fixture = Fixture::new();
         fixture.attempt(1, NOW);
-        let mut sent = fixture.accept();
+        let mut sent_stream = fixture.accept();
         fixture.attempt(2, NOW);
-        let (mut waits, _) = fixture.listener.accept().expect("a connection");
+        let (mut unsent_stream, _) = fixture.listener.accept().expect("accepts");
         fixture.update(fixture.present_address());
-        assert!(fixture.completed().is_empty(), "a list that says nothing new");
+        assert!(fixture.completed().is_empty(), "an unchanged address ends no attempt");
         fixture.update(change(fixture.present_address(), elsewhere));
-        assert_eq!(fixture.completed(), [(2, Outcome::NotSent)], "what was sent goes on");
-        assert_eq!(waits.read(&mut [0; 8]).expect("its end"), 0, "nothing was sent");
-        write_text(&mut sent, ANSWER);
+        assert_eq!(fixture.completed(), [(2, Outcome::NotSent)], "only the attempt that was not sent ends");
+        assert_eq!(unsent_stream.read(&mut [0; 8]).expect("reads the end"), 0, "no byte was sent");
+        write_text(&mut sent_stream, RESPONSE);
         fixture.wait_for_bytes();
         fixture.report_ready(NOW);
         assert_eq!(fixture.completed(), [(1, Outcome::Success)]);
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn a_lower_cap_recalls_only_what_waits_for_a_connection_to_that_build() {
+fn recall_build_ends_only_attempts_that_wait_for_a_connection_to_that_build() {
     let mut fixture = Fixture::new();
     fixture.attempt(1, NOW);
     fixture.upstream.recall_build(Build(6), NOW, &mut fixture.events);
@@ -168,34 +169,34 @@
     assert_eq!(fixture.completed(), [(1, Outcome::NotSent)]);
     assert!(
         fixture.upstream.next_deadline().is_none() && fixture.upstream.len() == 0,
-        "something is kept for it"
+        "no deadline and no connection is left"
     );
 }
 
 #[test]
-fn a_late_second_response_is_never_taken_for_the_next_one() {
+fn a_late_second_response_is_never_taken_for_the_response_to_the_next_request() {
     let mut fixture = Fixture::new();
     fixture.attempt(1, NOW);
     let mut first = fixture.accept();
-    write_text(&mut first, ANSWER);
+    write_text(&mut first, RESPONSE);
     fixture.wait_for_bytes();
     fixture.report_ready(NOW);
     assert_eq!(fixture.completed(), [(1, Outcome::Success)]);
-    // The next request comes before the second answer: it goes on a connection of its own.
-    fixture.attempt(2, NOW + REST_AFTER_RESPONSE - 1);
+    // Within the reuse delay the next request gets a new connection, before the second response arrives.
+    fixture.attempt(2, NOW + REUSE_DELAY - 1);
     assert_eq!((fixture.upstream.opened, fixture.upstream.reused), (2, 0));
     let mut second = fixture.accept();
-    write_text(&mut first, ANSWER);
+    write_text(&mut first, RESPONSE);
     fixture.wait_for_bytes();
-    fixture.report_ready(NOW + REST_AFTER_RESPONSE - 1);
-    assert!(fixture.completed().is_empty(), "it was taken for the answer to the second request");
-    assert_eq!(fixture.upstream.len(), 1, "a connection with more on it than was asked is closed");
-    write_text(&mut second, ANSWER);
+    fixture.report_ready(NOW + REUSE_DELAY - 1);
+    assert!(fixture.completed().is_empty(), "the second response was taken for that to the next request");
+    assert_eq!(fixture.upstream.len(), 1, "an idle connection with unexpected input is closed");
+    write_text(&mut second, RESPONSE);
     fixture.wait_for_bytes();
-    fixture.report_ready(NOW + REST_AFTER_RESPONSE);
+    fixture.report_ready(NOW + REUSE_DELAY);
     assert_eq!(fixture.completed(), [(2, Outcome::Success)]);
-    // One that has rested is used again.
-    fixture.attempt(3, NOW + 2 * REST_AFTER_RESPONSE);
+    // A connection past the reuse delay is reused.
+    fixture.attempt(3, NOW + 2 * REUSE_DELAY);
     assert_eq!((fixture.upstream.opened, fixture.upstream.reused), (2, 1));
     read_request(&mut second);
 }
@@ -205,24 +206,24 @@
     let mut fixture = Fixture::new();
     fixture.attempt(1, NOW);
     let mut endpoint = fixture.accept();
-    write_text(&mut endpoint, ANSWER);
+    write_text(&mut endpoint, RESPONSE);
     fixture.wait_for_bytes();
     fixture.upstream.expire_attempts(LATER, &mut fixture.events);
     assert_eq!(fixture.completed(), [(1, Outcome::Success)]);
-    // What could not be sent in time is not sent at the end of it.
-    fixture.attempt(2, LATER + REST_AFTER_RESPONSE);
+    // Without a response the attempt times out, and without a connection nothing is sent at the deadline.
+    fixture.attempt(2, LATER + REUSE_DELAY);
     read_request(&mut endpoint);
     fixture.upstream.expire_attempts(LATER + 5 * SECOND, &mut fixture.events);
     assert_eq!(fixture.completed(), [(2, Outcome::TimedOut)]);
     fixture.attempt(3, LATER);
-    let (mut waits, _) = fixture.listener.accept().expect("a connection");
+    let (mut unsent_stream, _) = fixture.listener.accept().expect("accepts");
     fixture.upstream.expire_attempts(LATER + 5 * SECOND, &mut fixture.events);
     assert_eq!(fixture.completed(), [(3, Outcome::ConnectFailed)]);
-    assert_eq!(waits.read(&mut [0; 8]).expect("its end"), 0);
+    assert_eq!(unsent_stream.read(&mut [0; 8]).expect("reads the end"), 0);
 }
 
 #[test]
-fn only_a_marked_rejection_proves_that_nothing_ran() {
+fn only_a_rejection_with_the_not_started_header_means_no_effect() {
     for (head, expected) in [
         ("200 OK\r\n", Outcome::Success),
         ("500 Oops\r\n", Outcome::Error),
@@ -234,7 +235,7 @@
         ("500 Oops\r\nNot-Started: 1\r\n", Outcome::Error),
         ("404 None\r\n", Outcome::Error),
     ] {
-        let response = answer(&format!("HTTP/1.1 {head}Content-Length: 0\r\n\r\n"));
+        let response = read_response(&format!("HTTP/1.1 {head}Content-Length: 0\r\n\r\n"));
         assert_eq!(response_outcome(&response), expected, "{head:?}");
     }
 }
@@ -243,8 +244,8 @@
 fn a_load_report_is_read_in_the_order_of_the_settings() {
     let mut columns = vec!["util".to_owned(), "queue".to_owned()];
     let text = "HTTP/1.1 200 OK\r\nServer-Load: {\"inflight\":7,\"queue\":2,\"util\":0.61}\r\nContent-Length: 0\r\n\r\n";
-    let load = |columns: &[String]| load_report(&answer(text), Purpose::HealthCheck, columns);
+    let load = |columns: &[String]| load_report(&read_response(text), Purpose::HealthCheck, columns);
     assert_eq!(load(&columns), [0.61, 2.0]);
-    columns.push("unheard".to_owned());
-    assert!(load(&columns).is_empty(), "half a report is none");
+    columns.push("unknown".to_owned());
+    assert!(load(&columns).is_empty(), "an incomplete report gives no values");
 }
