--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -14,14 +14,14 @@
             Ok(new) => new,
             Err(error) => {
                 self.counters.reloads_rejected += 1;
-                warn!("reload: {error}; all stays as it was");
+                warn!("reload: {error}; the current configuration stays in effect");
                 return;
             }
         };
         self.counters.reloads += 1;
         info!("reload: discovery at {}, release controller at {}", new.discovery, new.release_controller);
         for key in &new.ignored_keys {
-            warn!("reload: {key}: a new value counts from the next start on");
+            warn!("reload: {key}: the new value takes effect at the next start");
         }
         let endpoints = control_plane.discovery.reconfigure(new.discovery, new.cached_members, now);
         let rollout_events =
--- a/crates/proxy/tests/proxy/configuration.rs
+++ b/crates/proxy/tests/proxy/configuration.rs
@@ -127,13 +127,17 @@
         proxy.log().contains("reload: ") && proxy.log().contains("listen is missing")
     });
     proxy.reload("{\"name\"");
-    wait_until("the truncated file is rejected", || proxy.log().matches("all stays as it was").count() == 2);
+    wait_until("the truncated file is rejected", || {
+        proxy.log().matches("the current configuration stays in effect").count() == 2
+    });
     proxy.remove_config();
-    wait_until("the missing file is rejected", || proxy.log().matches("all stays as it was").count() == 3);
+    wait_until("the missing file is rejected", || {
+        proxy.log().matches("the current configuration stays in effect").count() == 3
+    });
     setup.descriptor_limit = 512;
     proxy.reload(&setup.config(proxy.address));
     wait_until("the key that needs a restart is logged", || {
-        proxy.log().contains("limits.sockets: a new value counts from the next start on")
+        proxy.log().contains("limits.sockets: the new value takes effect at the next start")
     });
     assert_eq!(proxy.client().get().status(), 200);
 }
@@ -151,7 +155,7 @@
     setup.settings["tenants"][0]["name"] = "others".into();
     proxy.reload(&setup.config(proxy.address));
     wait_until("the ignored settings are logged", || {
-        proxy.log().contains("reload: settings: a new value counts from the next start on")
+        proxy.log().contains("reload: settings: the new value takes effect at the next start")
     });
     let mut client = proxy.client();
     assert_eq!(client.get().status(), 200, "the classes and tenants of the start stay in effect");
