--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -10,8 +10,8 @@
 
 /// Maximum wait for the first endpoint list before clients are served with the list of the configuration.
 const MAX_STARTUP_WAIT: Micros = 500 * MS;
-/// Period after the stop signal in which clients may still connect, since load balancing needs time to
-/// notice.
+/// Period after the stop signal in which clients may still connect, since whoever directs clients to this
+/// proxy needs time to notice the shutdown.
 const DRAIN_ACCEPT_PERIOD: Micros = 550 * MS;
 /// Period before the end of [`DRAIN_ACCEPT_PERIOD`] in which idle connections are closed. A client that sends
 /// a request on a connection while it is being closed must still be able to reconnect.
