--- a/crates/proxy/src/downstream.rs
+++ b/crates/proxy/src/downstream.rs
@@ -44,12 +44,12 @@
     listener: Option<Listener>,
     clients: FxHashMap<ConnId, Client>,
     /// Whether every response closes its connection, as during shutdown.
-    pub(crate) closing: bool,
+    pub(crate) close_after_response: bool,
     /// Whether every response closes its connection because file descriptors are scarce or other clients wait
     /// for one.
-    pub(crate) crowded: bool,
+    pub(crate) descriptors_scarce: bool,
     /// Whether connections may be waiting to be accepted.
-    pub(crate) waiting: bool,
+    pub(crate) accept_pending: bool,
     /// Number of connections closed because they were idle for too long.
     pub(crate) idle_closed: u64,
 }
@@ -84,9 +84,9 @@
             handle: handle.clone(),
             listener: Some(Listener { socket, token }),
             clients: FxHashMap::default(),
-            closing: false,
-            crowded: false,
-            waiting: true,
+            close_after_response: false,
+            descriptors_scarce: false,
+            accept_pending: true,
             idle_closed: 0,
         })
     }
@@ -112,11 +112,11 @@
         self.clients.len()
     }
 
-    /// Accepts one client. Returns whether another may be waiting; if none is, [`Downstream::waiting`] is
-    /// reset.
+    /// Accepts one client. Returns whether another may be waiting; if none is,
+    /// [`Downstream::accept_pending`] is reset.
     pub(crate) fn accept(&mut self, ids: &mut ConnIds, now: Micros) -> bool {
         let Some(listener) = &self.listener else {
-            self.waiting = false;
+            self.accept_pending = false;
             return false;
         };
         match listener.socket.accept() {
@@ -132,11 +132,12 @@
                 true
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                self.waiting = false;
+                self.accept_pending = false;
                 false
             }
             // After an aborted connection others may be waiting. Any other error, such as a lack of
-            // descriptors, ends the attempt but leaves `waiting` set, so that accepting is retried later.
+            // descriptors, ends the attempt but leaves `accept_pending` set, so that accepting is retried
+            // later.
             Err(error) => error.kind() == io::ErrorKind::ConnectionAborted,
         }
     }
@@ -182,7 +183,7 @@
         events: &mut Vec<DownstreamEvent>,
     ) {
         events.push(DownstreamEvent::BadRequest(BadRequest::Malformed(error)));
-        self.answer_bad(id, error.status(), &error.to_string(), now, events);
+        self.send_error_response(id, error.status(), &error.to_string(), now, events);
     }
 
     fn disconnect(&mut self, id: ConnId, events: &mut Vec<DownstreamEvent>) {
@@ -199,7 +200,7 @@
     }
 
     /// Responds to a bad request with an error message as plain text, and closes the connection.
-    pub(crate) fn answer_bad(
+    pub(crate) fn send_error_response(
         &mut self,
         id: ConnId,
         status: u16,
@@ -212,12 +213,12 @@
         }
         let body = format!("{message}\n");
         let headers: [(&str, &[u8]); 1] = [("Content-Type", b"text/plain")];
-        self.answer(id, status, headers.into_iter(), body.as_bytes(), now, events);
+        self.send_response(id, status, headers.into_iter(), body.as_bytes(), now, events);
     }
 
     /// Sends the final response to a client's request. If the client has already sent its next request, that
     /// is read and added to `events`.
-    pub(crate) fn answer<'a>(
+    pub(crate) fn send_response<'a>(
         &mut self,
         id: ConnId,
         status: u16,
@@ -226,7 +227,7 @@
         now: Micros,
         events: &mut Vec<DownstreamEvent>,
     ) {
-        let is_last = self.closing || self.crowded;
+        let is_last = self.close_after_response || self.descriptors_scarce;
         let Some(client) = self.clients.get_mut(&id) else { return };
         let headers = headers.chain(client.connection_header(is_last));
         let written = write_response(&mut client.connection.output, status, headers, Some(body));
@@ -246,7 +247,7 @@
         id: ConnId,
         headers: impl Iterator<Item = (&'a str, &'a [u8])>,
     ) {
-        let is_last = self.closing || self.crowded;
+        let is_last = self.close_after_response || self.descriptors_scarce;
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.streaming = true;
         let headers = headers.chain(client.connection_header(is_last));
@@ -279,7 +280,7 @@
 
     /// Writes the last chunk of a streamed response.
     pub(crate) fn finish_response(&mut self, id: ConnId, now: Micros, events: &mut Vec<DownstreamEvent>) {
-        let is_last = self.closing || self.crowded;
+        let is_last = self.close_after_response || self.descriptors_scarce;
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.keep_alive &= !is_last;
         if client.connection.output.push(b"0\r\n\r\n").is_err() {
@@ -351,7 +352,7 @@
         let is_idle = client.is_idle();
         if !is_idle && client.state == ClientState::Reading {
             events.push(DownstreamEvent::BadRequest(BadRequest::TimedOut));
-            self.answer_bad(id, 408, "the request did not come whole in time", now, events);
+            self.send_error_response(id, 408, "the request did not come whole in time", now, events);
         } else if !is_idle || client.connection.is_quiet() {
             // An idle connection with unread input is kept, so that the input is read first.
             self.idle_closed += u64::from(is_idle);
--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -36,7 +36,7 @@
     /// Accepts the waiting client, then closes the listening socket as during shutdown.
     fn not_listening() -> Fixture {
         let mut fixture = Fixture::new();
-        fixture.downstream.closing = true;
+        fixture.downstream.close_after_response = true;
         while fixture.downstream.accept(&mut fixture.ids, NOW) {}
         fixture.downstream.stop_listening();
         assert_eq!(fixture.downstream.len(), 1, "the waiting client is accepted");
@@ -86,7 +86,7 @@
     let id = fixture.id();
     assert!(fixture.downstream.mark_in_flight(id, RequestId(1)));
     assert!(!fixture.downstream.is_drained());
-    fixture.downstream.answer(id, 200, std::iter::empty(), b"hi", NOW, &mut fixture.events);
+    fixture.downstream.send_response(id, 200, std::iter::empty(), b"hi", NOW, &mut fixture.events);
     // The response has been sent. Closing now would reset the connection if the client sends more, and the
     // reset could overtake the response.
     assert!(!fixture.downstream.is_drained(), "the last response may be on the way");
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -127,7 +127,7 @@
     fn stop(&mut self, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let Some(response_deadline) = control_plane.lifecycle.stop(now) else { return };
-        self.downstream.closing = true;
+        self.downstream.close_after_response = true;
         self.shared.dispatcher().limit_deadlines(response_deadline);
     }
 
@@ -165,7 +165,7 @@
             Source::Downstream(id) => {
                 self.downstream.on_ready(id, readiness, now, &mut self.downstream_events);
             }
-            Source::Listener => self.downstream.waiting = true,
+            Source::Listener => self.downstream.accept_pending = true,
         }
     }
 
--- a/crates/proxy/src/proxy/accept.rs
+++ b/crates/proxy/src/proxy/accept.rs
@@ -13,9 +13,9 @@
         // With more than half of the client budget in use, responses close their connections. Otherwise
         // hundreds of clients that send one request and stay connected would fill the rest before any of them
         // had been idle long enough to be evicted.
-        self.downstream.crowded = self.downstream.len() > self.budgets.clients / 2;
+        self.downstream.descriptors_scarce = self.downstream.len() > self.budgets.clients / 2;
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            if !self.downstream.waiting || !self.is_next_to_accept() {
+            if !self.downstream.accept_pending || !self.is_next_to_accept() {
                 return;
             }
             let has_descriptor = if self.downstream.len() >= self.budgets.clients {
@@ -26,7 +26,7 @@
             if !has_descriptor {
                 // Waiting clients are accepted once responses have closed connections or other clients have
                 // been idle long enough.
-                self.downstream.crowded = true;
+                self.downstream.descriptors_scarce = true;
                 self.counters.accepts_paused += 1;
                 return;
             }
--- a/crates/proxy/src/proxy/commands.rs
+++ b/crates/proxy/src/proxy/commands.rs
@@ -103,20 +103,27 @@
     fn forward_response(&mut self, client: ConnId, response: &Response, now: Micros) {
         self.counters.responses_forwarded += 1;
         let headers = forwarded_headers(&response.headers);
-        self.downstream.answer(client, 200, headers, &response.body, now, &mut self.downstream_events);
+        self.downstream.send_response(client, 200, headers, &response.body, now, &mut self.downstream_events);
     }
 
     fn reject(&mut self, client: ConnId, retry_after: Option<Micros>, now: Micros) {
         self.counters.rejected += 1;
         let seconds = retry_after.map(|micros| format!("{:.3}", micros as f64 / MICROS_PER_SECOND));
         let headers = seconds.as_ref().map(|seconds| ("Retry-After", seconds.as_bytes()));
-        self.downstream.answer(client, 503, headers.into_iter(), b"", now, &mut self.downstream_events);
+        self.downstream.send_response(
+            client,
+            503,
+            headers.into_iter(),
+            b"",
+            now,
+            &mut self.downstream_events,
+        );
     }
 
     /// Responds with a status code and no body.
     pub(super) fn respond_without_body(&mut self, client: ConnId, status: u16, now: Micros) {
         let no_headers = std::iter::empty();
-        self.downstream.answer(client, status, no_headers, b"", now, &mut self.downstream_events);
+        self.downstream.send_response(client, status, no_headers, b"", now, &mut self.downstream_events);
     }
 
     /// Sends a request to its endpoint, unless the decision is outdated or no connection is available. An
--- a/crates/proxy/src/proxy/downstream_events.rs
+++ b/crates/proxy/src/proxy/downstream_events.rs
@@ -59,7 +59,7 @@
             Ok(classification) => classification,
             Err(error) => {
                 let events = &mut self.downstream_events;
-                self.downstream.answer_bad(client, error.status(), &error.to_string(), now, events);
+                self.downstream.send_error_response(client, error.status(), &error.to_string(), now, events);
                 self.on_bad_request(BadRequest::Unclassified(error), now);
                 return;
             }
@@ -72,7 +72,7 @@
             }
             Admission::DuplicateRequestId => {
                 let reason = "a request of this Request-Id is still open";
-                self.downstream.answer_bad(client, 409, reason, now, &mut self.downstream_events);
+                self.downstream.send_error_response(client, 409, reason, now, &mut self.downstream_events);
                 self.on_bad_request(BadRequest::DuplicateRequestId, now);
             }
             Admission::OverLimit => {
@@ -113,7 +113,7 @@
             _ => (503, "not serving\n"),
         };
         let events = &mut self.downstream_events;
-        self.downstream.answer(client, status, std::iter::empty(), body.as_bytes(), now, events);
+        self.downstream.send_response(client, status, std::iter::empty(), body.as_bytes(), now, events);
     }
 
     fn on_bad_request(&mut self, bad_request: BadRequest, now: Micros) {
--- a/crates/proxy/src/proxy/sweep.rs
+++ b/crates/proxy/src/proxy/sweep.rs
@@ -51,7 +51,7 @@
         let control_plane_is_idle =
             self.control_plane.as_ref().is_none_or(|control_plane| control_plane.is_idle());
         self.lifecycle_stage(now) == LifecycleStage::Serving
-            && !self.downstream.waiting
+            && !self.downstream.accept_pending
             && control_plane_is_idle
     }
 
@@ -82,7 +82,7 @@
 
     fn apply_lifecycle_stage(&mut self, now: Micros) {
         let stage = self.shared.stage();
-        self.downstream.closing = stage >= LifecycleStage::Draining;
+        self.downstream.close_after_response = stage >= LifecycleStage::Draining;
         if stage >= LifecycleStage::NotAccepting && self.downstream.is_listening() {
             self.accept_backlog(now);
             self.downstream.stop_listening();
