--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -93,7 +93,7 @@
     }
 
     /// Makes the next read try the socket even though the event loop has not reported it as readable.
-    pub(crate) fn poll_readable(&mut self) {
+    pub(crate) fn mark_readable(&mut self) {
         self.readable = true;
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Returns whether more input may be available and the input buffer has space for it.
-    pub(crate) fn more_to_read(&self) -> bool {
+    pub(crate) fn can_read_more(&self) -> bool {
         self.readable && !self.read_closed && self.input.free_bytes() > 0
     }
 
@@ -167,7 +167,7 @@
 
     /// Returns whether the connection is open and has no unread input, neither in the input buffer nor in the
     /// socket's.
-    pub(crate) fn is_quiet(&self) -> bool {
+    pub(crate) fn is_open_without_input(&self) -> bool {
         let peeked = self.stream.peek(&mut [0]);
         let nothing_unread = matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
         nothing_unread && !self.read_closed && self.input.is_empty()
--- a/crates/proxy/src/downstream.rs
+++ b/crates/proxy/src/downstream.rs
@@ -306,7 +306,9 @@
     /// Closes the connections that are between requests and have no unread input. A new connection is kept
     /// for [`client::FIRST_REQUEST_TIMEOUT`], as its first request may be on the way.
     pub(crate) fn close_idle(&mut self, now: Micros) {
-        self.clients.retain(|_, client| !(client.may_close_on_shutdown(now) && client.connection.is_quiet()));
+        self.clients.retain(|_, client| {
+            !(client.may_close_on_shutdown(now) && client.connection.is_open_without_input())
+        });
     }
 
     /// Closes one connection to free its file descriptor. Returns false if none may be closed. Connections
@@ -316,7 +318,7 @@
         let evictable = self
             .clients
             .iter()
-            .filter(|(_, client)| client.is_evictable(now) && client.connection.is_quiet());
+            .filter(|(_, client)| client.is_evictable(now) && client.connection.is_open_without_input());
         let first = evictable
             .min_by_key(|(id, client)| (!client.write_shut_down, !client.is_new, client.last_progress, **id));
         let Some(id) = first.map(|(id, _)| *id) else { return false };
@@ -332,7 +334,7 @@
         let mut stalled = Vec::new();
         for (id, client) in &self.clients {
             let in_flight = matches!(client.state, ClientState::InFlight(_));
-            if in_flight && client.connection.more_to_read() {
+            if in_flight && client.connection.can_read_more() {
                 unread.push(*id);
             }
             if client.has_stalled(now) {
@@ -353,7 +355,7 @@
         if !is_idle && client.state == ClientState::Reading {
             events.push(DownstreamEvent::BadRequest(BadRequest::TimedOut));
             self.send_error_response(id, 408, "the request did not come whole in time", now, events);
-        } else if !is_idle || client.connection.is_quiet() {
+        } else if !is_idle || client.connection.is_open_without_input() {
             // An idle connection with unread input is kept, so that the input is read first.
             self.idle_closed += u64::from(is_idle);
             self.disconnect(id, events);
--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -143,7 +143,7 @@
                     }
                 }
             }
-            if ended || !self.connection.more_to_read() {
+            if ended || !self.connection.can_read_more() {
                 return Progress::Waiting;
             }
         }
--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -51,7 +51,7 @@
         self.client.write_all(text.as_bytes()).expect("sends");
         let (id, connection) =
             self.downstream.clients.iter().next().map(|(id, c)| (*id, &c.connection)).expect("one client");
-        while connection.is_quiet() {
+        while connection.is_open_without_input() {
             std::thread::yield_now();
         }
         let readiness = Readiness { readable: true, writable: true, error: false };
@@ -104,7 +104,7 @@
 fn an_idle_connection_with_unread_input_is_not_closed() {
     let mut fixture = Fixture::not_listening();
     fixture.client.write_all(REQUEST.as_bytes()).expect("sends");
-    while fixture.downstream.clients.values().all(|client| client.connection.is_quiet()) {
+    while fixture.downstream.clients.values().all(|client| client.connection.is_open_without_input()) {
         std::thread::yield_now();
     }
     fixture.downstream.close_idle(NOW + SECOND);
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -105,7 +105,7 @@
                 }
                 Err(_) => return self.connection_lost(),
                 Ok(Parsed::Incomplete) if closed || write_failed => return self.connection_lost(),
-                Ok(Parsed::Incomplete) if connection.more_to_read() => {}
+                Ok(Parsed::Incomplete) if connection.can_read_more() => {}
                 Ok(Parsed::Incomplete) => return ExchangeProgress::Pending,
             }
         }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -133,7 +133,7 @@
             if connection.active.is_none() {
                 // No request is open on an idle connection, so any input or the end of the connection closes
                 // it.
-                if !connection.connection.is_quiet() {
+                if !connection.connection.is_open_without_input() {
                     self.pool.remove(id);
                 }
                 return;
@@ -238,7 +238,7 @@
     fn read_before_expiry(&mut self, id: ConnId, now: Micros, events: &mut Vec<UpstreamEvent>) {
         let Some(connection) = self.pool.get_mut(id) else { return };
         if connection.request_sent() {
-            connection.connection.poll_readable();
+            connection.connection.mark_readable();
             self.resume(id, now, events);
         }
     }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -145,7 +145,7 @@
         if !matches!(progress, ExchangeProgress::Pending) {
             return Advance::Progress(progress);
         }
-        let input_exhausted = self.connection.input.is_empty() && !self.connection.more_to_read();
+        let input_exhausted = self.connection.input.is_empty() && !self.connection.can_read_more();
         if !has_bytes || input_exhausted { Advance::Wait } else { Advance::ReadMore }
     }
 }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -145,7 +145,7 @@
             candidate_count -= 1;
             let id = endpoint.idle.remove(candidate_count);
             let Some(connection) = self.connections.remove(&id) else { continue };
-            if connection.connection.is_quiet() && now < connection.idle_since + self.max_idle {
+            if connection.connection.is_open_without_input() && now < connection.idle_since + self.max_idle {
                 return Some((id, connection));
             }
         }
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -107,7 +107,7 @@
 
     /// Waits until a connection has bytes to read, without reporting readiness.
     fn wait_for_bytes(&self) {
-        while self.upstream.pool.iter().all(|(_, connection)| connection.connection.is_quiet()) {
+        while self.upstream.pool.iter().all(|(_, connection)| connection.connection.is_open_without_input()) {
             std::thread::yield_now();
         }
     }
--- a/crates/proxy/src/watch_stream.rs
+++ b/crates/proxy/src/watch_stream.rs
@@ -236,7 +236,7 @@
     /// Reads bytes that have arrived but were not reported by the event loop yet.
     fn poll(&mut self, now: Micros) -> WatchEvents {
         if let Some(open) = &mut self.open {
-            open.connection.poll_readable();
+            open.connection.mark_readable();
         }
         self.read(now)
     }
--- a/crates/proxy/src/watch_stream/open_stream.rs
+++ b/crates/proxy/src/watch_stream/open_stream.rs
@@ -73,7 +73,7 @@
         loop {
             let before = self.connection.input.len();
             let closed = self.connection.fill();
-            let ended = closed || (write_error.is_some() && !self.connection.more_to_read());
+            let ended = closed || (write_error.is_some() && !self.connection.can_read_more());
             *any_bytes |= self.connection.input.len() > before;
             let read = self.reader.read(&mut self.connection.input, ended, lines);
             let is_complete = read.map_err(StreamEnd::Unreadable)?;
@@ -85,7 +85,7 @@
             if is_complete || ended {
                 return Err(StreamEnd::Closed);
             }
-            if !self.connection.more_to_read() {
+            if !self.connection.can_read_more() {
                 return match write_error {
                     Some(error) => Err(StreamEnd::Lost(error)),
                     None => Ok(()),
--- a/crates/proxy/src/watch_stream/tests.rs
+++ b/crates/proxy/src/watch_stream/tests.rs
@@ -87,7 +87,7 @@
 /// Waits until the socket of the watch stream has bytes to read, without reporting readiness.
 fn wait_for_bytes(fixture: &Fixture) {
     let connection = &fixture.watch.open.as_ref().expect("a connection").connection;
-    while connection.is_quiet() {
+    while connection.is_open_without_input() {
         std::thread::yield_now();
     }
 }
