--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -142,7 +142,7 @@
                     self.upstream.update_address(&address, now, &mut self.upstream_events);
                 }
                 WorkerMessage::ExposureLowered(build) => {
-                    self.upstream.recall_build(build, now, &mut self.upstream_events);
+                    self.upstream.end_unsent_attempts_of_build(build, now, &mut self.upstream_events);
                 }
             }
         }
--- a/crates/proxy/src/proxy/control_plane.rs
+++ b/crates/proxy/src/proxy/control_plane.rs
@@ -164,7 +164,7 @@
         status
     }
 
-    /// Recalls attempts that were decided under a higher cap and of which nothing has been sent yet.
+    /// Ends attempts that were decided under a higher cap and of which nothing has been sent yet.
     fn enforce_exposure_cap(&mut self, status: &RolloutStatus) {
         let cap = ExposureCap { build: status.build, cap: status.exposure_cap };
         let Some(previous) = self.exposure_cap.replace(cap) else { return };
@@ -173,7 +173,7 @@
             return;
         }
         let now = self.clock.now();
-        self.upstream.recall_build(cap.build, now, &mut self.upstream_events);
+        self.upstream.end_unsent_attempts_of_build(cap.build, now, &mut self.upstream_events);
         for other in self.shared.others(self.worker) {
             self.shared.post(other, [WorkerMessage::ExposureLowered(cap.build)]);
         }
--- a/crates/proxy/src/proxy/downstream_events.rs
+++ b/crates/proxy/src/proxy/downstream_events.rs
@@ -36,7 +36,7 @@
             DownstreamEvent::OutputDrained(id) => {
                 let streaming = self.shared.dispatcher().get(id).and_then(|r| r.streaming_attempt);
                 if let Some(attempt) = streaming {
-                    self.upstream.pause(id, attempt, false, now, &mut self.upstream_events);
+                    self.upstream.set_paused(id, attempt, false, now, &mut self.upstream_events);
                 }
             }
         }
@@ -46,7 +46,7 @@
         self.counters.clients_disconnected += 1;
         let streaming = self.shared.dispatcher().on_disconnect(id);
         if let Some(attempt) = streaming {
-            self.upstream.abort(id, attempt, now, &mut self.upstream_events);
+            self.upstream.abort_stream(id, attempt, now, &mut self.upstream_events);
         }
     }
 
--- a/crates/proxy/src/proxy/upstream_events.rs
+++ b/crates/proxy/src/proxy/upstream_events.rs
@@ -42,7 +42,7 @@
     fn on_response_started(&mut self, id: RequestId, attempt: usize, headers: Headers, now: Micros) {
         let accepted = self.shared.dispatcher().on_response_started(id, attempt, headers, &mut self.commands);
         if !accepted {
-            self.upstream.abort(id, attempt, now, &mut self.upstream_events);
+            self.upstream.abort_stream(id, attempt, now, &mut self.upstream_events);
         }
         // The head must be sent before the first part of the body.
         for command in std::mem::take(&mut self.commands) {
@@ -58,7 +58,7 @@
         let client_is_behind =
             self.downstream.send_body_part(client, bytes, now, &mut self.downstream_events);
         if client_is_behind {
-            self.upstream.pause(id, attempt, true, now, &mut self.upstream_events);
+            self.upstream.set_paused(id, attempt, true, now, &mut self.upstream_events);
         }
     }
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -71,35 +71,40 @@
     ) {
         let changed = self.pool.update_address(update);
         if changed || update.draining {
-            self.recall_pending(now, events, |connection| connection.endpoint == update.endpoint);
+            self.end_unsent_exchanges(now, events, |connection| connection.endpoint == update.endpoint);
         }
     }
 
     /// Ends as not sent the attempts at a build whose connection is not established yet. It is called when
     /// the exposure of the build has been lowered.
-    pub(crate) fn recall_build(&mut self, build: Build, now: Micros, events: &mut Vec<UpstreamEvent>) {
+    pub(crate) fn end_unsent_attempts_of_build(
+        &mut self,
+        build: Build,
+        now: Micros,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
         let endpoints = self.pool.endpoints_of_build(build);
-        self.recall_pending(now, events, |connection| endpoints.contains(&connection.endpoint));
+        self.end_unsent_exchanges(now, events, |connection| endpoints.contains(&connection.endpoint));
     }
 
     /// Ends as not sent the affected exchanges whose connection is not established yet, so that the policy
     /// decides again. Otherwise they would be sent once connected, to an endpoint that accepts no new
     /// requests by then or to another process than the chosen one.
-    fn recall_pending(
+    fn end_unsent_exchanges(
         &mut self,
         now: Micros,
         events: &mut Vec<UpstreamEvent>,
         is_affected: impl Fn(&UpstreamConnection) -> bool,
     ) {
-        let mut recalled: Vec<ConnId> = self
+        let mut unsent: Vec<ConnId> = self
             .pool
             .iter()
             .filter(|(_, connection)| connection.awaits_connection() && is_affected(connection))
             .map(|(id, _)| *id)
             .collect();
         // Connection ids ascend, so this is the order in which the attempts were started.
-        recalled.sort_unstable();
-        for id in recalled {
+        unsent.sort_unstable();
+        for id in unsent {
             self.finish(id, Outcome::NotSent, None, now, events);
         }
     }
@@ -259,7 +264,7 @@
     }
 
     /// Cancels an attempt whose client has disconnected, even if its response is being streamed.
-    pub(crate) fn abort(
+    pub(crate) fn abort_stream(
         &mut self,
         id: RequestId,
         attempt: usize,
@@ -272,7 +277,7 @@
     }
 
     /// Pauses or resumes reading of a streamed response, to match the rate at which its client reads.
-    pub(crate) fn pause(
+    pub(crate) fn set_paused(
         &mut self,
         id: RequestId,
         attempt: usize,
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -160,12 +160,12 @@
 }
 
 #[test]
-fn recall_build_ends_only_attempts_that_wait_for_a_connection_to_that_build() {
+fn end_unsent_attempts_of_build_ends_only_those_that_wait_for_a_connection_to_it() {
     let mut fixture = Fixture::new();
     fixture.attempt(1, NOW);
-    fixture.upstream.recall_build(Build(6), NOW, &mut fixture.events);
+    fixture.upstream.end_unsent_attempts_of_build(Build(6), NOW, &mut fixture.events);
     assert!(fixture.completed().is_empty());
-    fixture.upstream.recall_build(Build(7), NOW, &mut fixture.events);
+    fixture.upstream.end_unsent_attempts_of_build(Build(7), NOW, &mut fixture.events);
     assert_eq!(fixture.completed(), [(1, Outcome::NotSent)]);
     assert!(
         fixture.upstream.next_deadline().is_none() && fixture.upstream.len() == 0,
