--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -22,7 +22,7 @@
     reader: ResponseReader,
 }
 
-/// Result of a step of an exchange.
+/// Result of advancing an exchange.
 #[derive(Debug)]
 pub(crate) enum ExchangeProgress {
     /// The exchange is not complete.
@@ -69,7 +69,7 @@
     }
 
     /// Sends and reads as far as the connection allows.
-    pub(crate) fn step(&mut self, connection: &mut Connection) -> ExchangeProgress {
+    pub(crate) fn advance(&mut self, connection: &mut Connection) -> ExchangeProgress {
         if self.stage == ExchangeStage::Connecting {
             match connection.connected() {
                 Ok(true) => self.stage = ExchangeStage::Sending,
--- a/crates/proxy/src/unary_call.rs
+++ b/crates/proxy/src/unary_call.rs
@@ -86,7 +86,7 @@
     /// Sends and reads as far as the connection allows. Returns the outcome once the call has ended.
     pub(crate) fn on_ready(&mut self, readiness: Readiness) -> Option<CallOutcome> {
         self.connection.update_readiness(readiness);
-        match self.exchange.step(&mut self.connection) {
+        match self.exchange.advance(&mut self.connection) {
             ExchangeProgress::Pending => None,
             ExchangeProgress::Response { response, .. } => Some(CallOutcome::Response(response)),
             ExchangeProgress::NeverSent => Some(CallOutcome::NeverSent),
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -123,7 +123,7 @@
     /// and the parts of a streamed response are added to `events`.
     pub(super) fn advance(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> Advance {
         let Some(active) = &mut self.active else { return Advance::Wait };
-        let mut progress = active.exchange.step(&mut self.connection);
+        let mut progress = active.exchange.advance(&mut self.connection);
         let Purpose::Attempt { id, attempt, streamed: true } = active.purpose else {
             return Advance::Progress(progress);
         };
