--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -38,7 +38,7 @@
     /// Number of times that the watch stream was lost.
     pub(crate) reconnects: u64,
     /// Number of votes that the agent has forwarded to the cluster.
-    pub(crate) passed_on: u64,
+    pub(crate) verdicts_forwarded: u64,
 }
 
 impl AgentClient {
@@ -58,7 +58,7 @@
             pending: PendingCalls::new(MAX_CALLS),
             router: VoteRouter::new(vote_ttl),
             reconnects: 0,
-            passed_on: 0,
+            verdicts_forwarded: 0,
         }
     }
 
@@ -174,7 +174,7 @@
             }
             CallOutcome::Response(_) | CallOutcome::NeverSent | CallOutcome::Unknown => false,
         };
-        self.passed_on += u64::from(forwarded);
+        self.verdicts_forwarded += u64::from(forwarded);
         self.router.on_agent_reply(ended.context, forwarded)
     }
 
--- a/crates/proxy/src/proxy/statistics.rs
+++ b/crates/proxy/src/proxy/statistics.rs
@@ -55,7 +55,7 @@
         counters.release_controller_reconnects = control_plane.release_controller.reconnects;
         counters.stale_rollout_updates = control_plane.release_controller.stale;
         if let Some(agent) = &control_plane.agent {
-            counters.verdicts_forwarded = agent.passed_on;
+            counters.verdicts_forwarded = agent.verdicts_forwarded;
             counters.agent_reconnects = agent.reconnects;
         }
     }
