--- a/crates/proxy/src/proxy/statistics.rs
+++ b/crates/proxy/src/proxy/statistics.rs
@@ -53,7 +53,7 @@
         let Some(control_plane) = &self.control_plane else { return };
         counters.discovery_reconnects = control_plane.discovery.reconnects;
         counters.release_controller_reconnects = control_plane.release_controller.reconnects;
-        counters.stale_rollout_updates = control_plane.release_controller.stale;
+        counters.stale_rollout_updates = control_plane.release_controller.stale_updates;
         if let Some(agent) = &control_plane.agent {
             counters.verdicts_forwarded = agent.verdicts_forwarded;
             counters.agent_reconnects = agent.reconnects;
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -66,7 +66,7 @@
     /// Number of times that the event stream was lost.
     pub(crate) reconnects: u64,
     /// Number of rollout states received that were older than the latest one.
-    pub(crate) stale: u64,
+    pub(crate) stale_updates: u64,
 }
 
 impl ReleaseController {
@@ -86,7 +86,7 @@
             latest: None,
             unknown_event_logged: false,
             reconnects: 0,
-            stale: 0,
+            stale_updates: 0,
         }
     }
 
@@ -94,7 +94,7 @@
     pub(crate) fn on_rollout_state(&mut self, state: RolloutState, now: Micros) -> Option<RolloutStatus> {
         let began_at = now.saturating_sub(state.age());
         if !self.is_newer(state, began_at) {
-            self.stale += 1;
+            self.stale_updates += 1;
             return None;
         }
         self.latest = Some(LatestState { state, began_at });
--- a/crates/proxy/src/release_controller/tests.rs
+++ b/crates/proxy/src/release_controller/tests.rs
@@ -25,7 +25,7 @@
     assert!(controller.on_rollout_state(state(42, 1, Mode::RollingBack, 0.0, 0.0), now).is_some());
     assert!(controller.on_rollout_state(state(42, 2, Mode::InProgress, 0.6, 0.0), now).is_none());
     assert!(controller.on_rollout_state(state(43, 0, Mode::InProgress, 0.05, 0.0), now).is_some());
-    assert_eq!(controller.stale, 3);
+    assert_eq!(controller.stale_updates, 3);
 }
 
 #[test]
