--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -13,7 +13,7 @@
 use tracing::{info, warn};
 
 use crate::feature_settings::ConsensusSettings;
-use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
+use crate::pending_calls::{CallProgress, EndedCall, PendingCalls};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
@@ -110,9 +110,9 @@
         let used_agent = self.router.uses_agent();
         let mut actions = Vec::new();
         match self.pending.on_ready(id, readiness) {
-            ReadyCall::Ended(ended) => actions.extend(self.on_call_ended(ended)),
-            ReadyCall::Pending => {}
-            ReadyCall::NotACall => {
+            CallProgress::Ended(ended) => actions.extend(self.on_call_ended(ended)),
+            CallProgress::Pending => {}
+            CallProgress::UnknownConnection => {
                 let events = self.watch.on_ready(id, readiness, now);
                 self.handle_events(events, now, &mut actions);
             }
--- a/crates/proxy/src/pending_calls.rs
+++ b/crates/proxy/src/pending_calls.rs
@@ -23,9 +23,9 @@
 }
 
 /// Result of processing a ready connection.
-pub(crate) enum ReadyCall<T> {
+pub(crate) enum CallProgress<T> {
     /// The connection belongs to none of the calls.
-    NotACall,
+    UnknownConnection,
     /// The call is still pending.
     Pending,
     /// The call has ended.
@@ -70,15 +70,15 @@
     }
 
     /// Sends and reads as much as possible on a connection that the event loop has reported.
-    pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness) -> ReadyCall<T> {
+    pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness) -> CallProgress<T> {
         let Some(position) = self.calls.iter().position(|pending| pending.call.id == id) else {
-            return ReadyCall::NotACall;
+            return CallProgress::UnknownConnection;
         };
         let Some(outcome) = self.calls[position].call.on_ready(readiness) else {
-            return ReadyCall::Pending;
+            return CallProgress::Pending;
         };
         let PendingCall { context, .. } = self.calls.remove(position);
-        ReadyCall::Ended(EndedCall { outcome, context })
+        CallProgress::Ended(EndedCall { outcome, context })
     }
 
     /// Removes and returns the calls whose deadline has passed, in the order in which they were started.
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -13,7 +13,7 @@
 use tracing::warn;
 
 use crate::clock::{MS, SECOND};
-use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
+use crate::pending_calls::{CallProgress, EndedCall, PendingCalls};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
@@ -176,9 +176,9 @@
     /// Handles readiness of one of the client's connections.
     pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
         match self.pending.on_ready(id, readiness) {
-            ReadyCall::Ended(ended) => self.on_vote_ended(ended, now).into_iter().collect(),
-            ReadyCall::Pending => Vec::new(),
-            ReadyCall::NotACall => {
+            CallProgress::Ended(ended) => self.on_vote_ended(ended, now).into_iter().collect(),
+            CallProgress::Pending => Vec::new(),
+            CallProgress::UnknownConnection => {
                 let watch_events = self.watch.on_ready(id, readiness, now);
                 self.handle_events(watch_events, now)
             }
