--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -50,7 +50,7 @@
         let event_source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
         let token = handle
             .insert_source(event_source, move |readiness, _, inputs| {
-                inputs.connections.push((source, readiness));
+                inputs.ready_connections.push((source, readiness));
                 Ok(PostAction::Continue)
             })
             .map_err(|error| io::Error::other(error.to_string()))?;
--- a/crates/proxy/src/downstream.rs
+++ b/crates/proxy/src/downstream.rs
@@ -75,7 +75,7 @@
     pub(crate) fn with_listener(handle: &Handle, socket: TcpListener) -> io::Result<Self> {
         let source = Generic::new(socket.try_clone()?, Interest::READ, Mode::Edge);
         let on_ready = |readiness, _: &mut _, inputs: &mut TurnInputs| {
-            inputs.connections.push((Source::Listener, readiness));
+            inputs.ready_connections.push((Source::Listener, readiness));
             Ok(PostAction::Continue)
         };
         let token =
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -150,8 +150,8 @@
 
     fn process_ready_connections(&mut self, inputs: &mut TurnInputs, now: Micros) {
         // A stable sort, so that connections of the same kind keep the order in which they were reported.
-        inputs.connections.sort_by_key(|(source, _)| processing_order(source));
-        for (source, readiness) in inputs.connections.drain(..) {
+        inputs.ready_connections.sort_by_key(|(source, _)| processing_order(source));
+        for (source, readiness) in inputs.ready_connections.drain(..) {
             self.on_ready(source, readiness, now);
         }
     }
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct TurnInputs {
     /// Ready connections, in the order reported.
-    pub(crate) connections: Vec<(Source, Readiness)>,
+    pub(crate) ready_connections: Vec<(Source, Readiness)>,
     /// Actions requested by signals, in the order received.
     pub(crate) signal_actions: Vec<SignalAction>,
 }
