--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -24,7 +24,7 @@
 /// Maximum number of pending votes.
 const MAX_CALLS: usize = 4;
 /// Maximum number of descriptors that the client uses, for its calls and the watch stream.
-pub(crate) const DESCRIPTORS: usize = MAX_CALLS + 1;
+pub(crate) const MAX_DESCRIPTORS: usize = MAX_CALLS + 1;
 
 /// Client of the agent.
 pub(crate) struct AgentClient {
