--- a/crates/proxy/src/feature_settings.rs
+++ b/crates/proxy/src/feature_settings.rs
@@ -25,7 +25,8 @@
 #[serde(deny_unknown_fields)]
 pub(crate) struct FeatureSettings {
     /// Consensus of the instances on verdicts on builds; disabled if absent.
-    pub(crate) agreement: Option<ConsensusSettings>,
+    #[serde(rename = "agreement")]
+    pub(crate) consensus: Option<ConsensusSettings>,
     /// Number of worker threads; 1 if absent.
     #[serde(rename = "cores")]
     worker_count: Option<usize>,
@@ -166,7 +167,7 @@
         if !(1..=MAX_WORKERS).contains(&features.worker_count()) {
             return Err(InvalidFeature::WorkerCount { count: features.worker_count() });
         }
-        if let Some(consensus) = &features.agreement {
+        if let Some(consensus) = &features.consensus {
             consensus.validate(settings)?;
         }
         Ok(features)
--- a/crates/proxy/src/feature_settings/tests.rs
+++ b/crates/proxy/src/feature_settings/tests.rs
@@ -19,7 +19,7 @@
     assert_eq!(parse("{}").expect("all keys are optional"), FeatureSettings::default());
     let features = parse(r#"{"agreement":{"agent":"127.0.0.1:7101"}}"#).expect("valid features");
     assert_eq!(
-        features.agreement.map(|consensus| (consensus.call_timeout(), consensus.silence_timeout())),
+        features.consensus.map(|consensus| (consensus.call_timeout(), consensus.silence_timeout())),
         Some((150 * MS, 1_000 * MS))
     );
     let error_message = |text: &str| parse(text).expect_err("invalid features").to_string();
@@ -42,7 +42,7 @@
     let text = r#"{"agreement":{"agent":"10.0.0.1:7102","wait_ms":200,"silence_ms":1500},"cores":4}"#;
     let features = FeatureSettings::parse(text, &settings(1)).expect("valid features");
     assert_eq!(features.worker_count(), 4);
-    let consensus = features.agreement.expect("consensus settings");
+    let consensus = features.consensus.expect("consensus settings");
     assert_eq!(consensus.agent, "10.0.0.1:7102".parse().expect("an address"));
     assert_eq!(consensus.call_timeout(), 200_000, "in microseconds");
     assert_eq!(consensus.silence_timeout(), 1_500_000, "in microseconds");
@@ -53,7 +53,7 @@
     let text = include_str!("../../../../deploy/agreement.json");
     let features = FeatureSettings::parse(text, &settings(1)).expect("valid features");
     assert_eq!(features.worker_count(), 1);
-    let consensus = features.agreement.expect("consensus settings");
+    let consensus = features.consensus.expect("consensus settings");
     assert_eq!(consensus.agent, "127.0.0.1:7101".parse().expect("an address"));
     assert_eq!((consensus.call_timeout(), consensus.silence_timeout()), (150_000, 1_000_000));
 }
@@ -62,17 +62,17 @@
 fn absent_keys_have_defaults() {
     let parse = |text: &str| FeatureSettings::parse(text, &settings(1)).expect("valid features");
     let cores_only = parse(r#"{"cores":2}"#);
-    assert_eq!((cores_only.agreement.is_none(), cores_only.worker_count()), (true, 2));
+    assert_eq!((cores_only.consensus.is_none(), cores_only.worker_count()), (true, 2));
     let null_values = parse(r#"{"cores":null,"agreement":null}"#);
-    assert_eq!((null_values.agreement.is_none(), null_values.worker_count()), (true, 1));
+    assert_eq!((null_values.consensus.is_none(), null_values.worker_count()), (true, 1));
     let agent_only =
-        parse(r#"{"agreement":{"agent":"127.0.0.1:7101"}}"#).agreement.expect("consensus settings");
+        parse(r#"{"agreement":{"agent":"127.0.0.1:7101"}}"#).consensus.expect("consensus settings");
     assert_eq!((agent_only.call_timeout(), agent_only.silence_timeout()), (150_000, 1_000_000));
 }
 
 #[test]
 fn an_unknown_key_or_a_bad_value_is_an_error_that_names_the_key() {
-    let agreement =
+    let consensus_features =
         |further_keys: &str| format!(r#"{{"agreement":{{"agent":"127.0.0.1:7101"{further_keys}}}}}"#);
     for (key, text) in [
         ("core", r#"{"core":2}"#.to_owned()),
@@ -82,34 +82,35 @@
         ("agreement", r#"{"agreement":7}"#.to_owned()),
         ("agent", r#"{"agreement":{}}"#.to_owned()),
         ("agreement.agent", r#"{"agreement":{"agent":"here"}}"#.to_owned()),
-        ("patience_ms", agreement(r#","patience_ms":1"#)),
-        ("agreement.wait_ms", agreement(r#","wait_ms":9"#)),
-        ("agreement.wait_ms", agreement(r#","wait_ms":5001"#)),
-        ("agreement.wait_ms", agreement(r#","wait_ms":"1""#)),
-        ("agreement.silence_ms", agreement(r#","silence_ms":299"#)),
-        ("agreement.silence_ms", agreement(r#","silence_ms":60001"#)),
-        ("agreement.silence_ms", agreement(r#","silence_ms":1.5"#)),
+        ("patience_ms", consensus_features(r#","patience_ms":1"#)),
+        ("agreement.wait_ms", consensus_features(r#","wait_ms":9"#)),
+        ("agreement.wait_ms", consensus_features(r#","wait_ms":5001"#)),
+        ("agreement.wait_ms", consensus_features(r#","wait_ms":"1""#)),
+        ("agreement.silence_ms", consensus_features(r#","silence_ms":299"#)),
+        ("agreement.silence_ms", consensus_features(r#","silence_ms":60001"#)),
+        ("agreement.silence_ms", consensus_features(r#","silence_ms":1.5"#)),
     ] {
         let error = FeatureSettings::parse(&text, &settings(1)).expect_err("invalid features").to_string();
         assert!(error.contains(key), "{text}: {error}");
     }
     for in_range in [r#","wait_ms":10,"silence_ms":300"#, r#","wait_ms":5000,"silence_ms":60000"#] {
-        FeatureSettings::parse(&agreement(in_range), &settings(1)).expect("range limits are allowed");
+        FeatureSettings::parse(&consensus_features(in_range), &settings(1))
+            .expect("range limits are allowed");
     }
 }
 
 #[test]
 fn an_out_of_range_error_names_the_value_and_the_range() {
-    let agreement = |value: &str| format!(r#"{{"agreement":{{"agent":"127.0.0.1:7101",{value}}}}}"#);
+    let consensus_features = |value: &str| format!(r#"{{"agreement":{{"agent":"127.0.0.1:7101",{value}}}}}"#);
     let message =
         |text: &str| FeatureSettings::parse(text, &settings(1)).expect_err("invalid features").to_string();
     assert_eq!(message(r#"{"cores":99}"#), "cores: 99 is out of range, must be 1 to 16");
     assert_eq!(
-        message(&agreement(r#""wait_ms":5001"#)),
+        message(&consensus_features(r#""wait_ms":5001"#)),
         "agreement.wait_ms: 5001 is out of range, must be 10 to 5000"
     );
     assert_eq!(
-        message(&agreement(r#""silence_ms":299"#)),
+        message(&consensus_features(r#""silence_ms":299"#)),
         "agreement.silence_ms: 299 is out of range, must be 300 to 60000; the agent sends a heartbeat every 200 ms"
     );
 }
--- a/crates/proxy/src/proxy/budgets.rs
+++ b/crates/proxy/src/proxy/budgets.rs
@@ -45,7 +45,7 @@
         max_descriptors: usize,
     ) -> Self {
         let worker_count = features.worker_count();
-        let agent_descriptors = if features.agreement.is_some() { agent_client::MAX_DESCRIPTORS } else { 0 };
+        let agent_descriptors = if features.consensus.is_some() { agent_client::MAX_DESCRIPTORS } else { 0 };
         let additional_workers = (worker_count - 1) * DESCRIPTORS_PER_ADDITIONAL_WORKER;
         let reserved = RESERVED_DESCRIPTORS + agent_descriptors + additional_workers;
         let connection_descriptors =
--- a/crates/proxy/src/proxy/control_plane.rs
+++ b/crates/proxy/src/proxy/control_plane.rs
@@ -43,9 +43,9 @@
         let rollout = &settings.config.rollout;
         let longest_deadline = settings.config.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let agent = features
-            .agreement
+            .consensus
             .as_ref()
-            .map(|agreement| AgentClient::new(agreement, &process.name, rollout.vote_ttl, process.seed));
+            .map(|consensus| AgentClient::new(consensus, &process.name, rollout.vote_ttl, process.seed));
         ControlPlane {
             discovery: Discovery::new(process.discovery, settings, process.seed),
             release_controller: ReleaseController::new(
