--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -162,7 +162,7 @@
             Ok(()) => None,
             Err(error) => {
                 warn!(%error, "vote could not be sent to the agent");
-                self.router.on_agent_reply(vote, false)
+                self.router.on_agent_response(vote, false)
             }
         }
     }
@@ -175,7 +175,7 @@
             CallOutcome::Response(_) | CallOutcome::NeverSent | CallOutcome::Unknown => false,
         };
         self.verdicts_forwarded += u64::from(forwarded);
-        self.router.on_agent_reply(ended.context, forwarded)
+        self.router.on_agent_response(ended.context, forwarded)
     }
 
     /// Expires overdue calls. An agent that misses one deadline counts as lost, so that no further vote waits for it.
--- a/crates/vote-router/src/message.rs
+++ b/crates/vote-router/src/message.rs
@@ -42,7 +42,7 @@
 pub enum RouterAction {
     /// Casts this vote at the release controller.
     CastVote(Vote, VoteOrigin),
-    /// Sends this vote to the agent, whose reply goes to [`crate::VoteRouter::on_agent_reply`].
+    /// Sends this vote to the agent, whose response goes to [`crate::VoteRouter::on_agent_response`].
     SendToAgent(Vote),
     /// Notifies the policy of the result of its vote.
     VoteCompleted(VoteResult),
--- a/crates/vote-router/src/router.rs
+++ b/crates/vote-router/src/router.rs
@@ -60,9 +60,10 @@
         }
     }
 
-    /// Handles the agent's reply to a vote: whether the agent passes it on. No reply counts as `false`.
-    pub fn on_agent_reply(&mut self, vote: Vote, passed_on: bool) -> Option<RouterAction> {
-        if passed_on {
+    /// Handles the agent's response to a vote: whether the agent has forwarded it. No response counts as
+    /// `false`.
+    pub fn on_agent_response(&mut self, vote: Vote, forwarded: bool) -> Option<RouterAction> {
+        if forwarded {
             return Some(RouterAction::VoteCompleted(VoteResult::Counted));
         }
         // A vote that was resent after the agent's return has had its result before, so it is not cast if a
--- a/crates/vote-router/tests/vote_router.rs
+++ b/crates/vote-router/tests/vote_router.rs
@@ -45,7 +45,7 @@
     assert!(router.on_agent_update(SECOND, update(true, CastAssignment::OtherProxy)).is_empty());
     let hold = vote(42, Verdict::Hold);
     assert_eq!(router.on_vote(hold), RouterAction::SendToAgent(hold));
-    assert_eq!(router.on_agent_reply(hold, true), Some(RouterAction::VoteCompleted(VoteResult::Counted)));
+    assert_eq!(router.on_agent_response(hold, true), Some(RouterAction::VoteCompleted(VoteResult::Counted)));
     let cast = router.on_agent_update(2 * SECOND, update(true, CastAssignment::ThisProxy(Some(hold))));
     assert_eq!(cast, [RouterAction::CastVote(hold, VoteOrigin::Cluster)]);
     assert!(
@@ -73,11 +73,11 @@
     let roll_back = vote(42, Verdict::RollBack);
     router.on_vote(roll_back);
     assert_eq!(
-        router.on_agent_reply(roll_back, false),
+        router.on_agent_response(roll_back, false),
         Some(RouterAction::CastVote(roll_back, VoteOrigin::Own))
     );
     router.on_vote(vote(42, Verdict::Abstain));
-    assert_eq!(router.on_agent_reply(roll_back, false), None, "a replaced vote is not cast");
+    assert_eq!(router.on_agent_response(roll_back, false), None, "a replaced vote is not cast");
 }
 
 #[test]
@@ -86,7 +86,7 @@
     router.on_agent_update(SECOND, update(true, CastAssignment::OtherProxy));
     let hold = vote(42, Verdict::Hold);
     router.on_vote(hold);
-    router.on_agent_reply(hold, true);
+    router.on_agent_response(hold, true);
     assert_eq!(router.on_agent_lost(2 * SECOND), [RouterAction::CastVote(hold, VoteOrigin::Cluster)]);
     assert!(router.on_agent_lost(3 * SECOND).is_empty(), "the vote is cast only once");
     assert_eq!(router.on_vote(hold), RouterAction::CastVote(hold, VoteOrigin::Own));
