--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -13,7 +13,7 @@
 use tracing::{info, warn};
 
 use crate::feature_settings::ConsensusSettings;
-use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
+use crate::pending_calls::{CallProgress, EndedCall, PendingCalls};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
@@ -24,7 +24,7 @@
 /// Maximum number of pending votes.
 const MAX_CALLS: usize = 4;
 /// Maximum number of descriptors that the client uses, for its calls and the watch stream.
-pub(crate) const DESCRIPTORS: usize = MAX_CALLS + 1;
+pub(crate) const MAX_DESCRIPTORS: usize = MAX_CALLS + 1;
 
 /// Client of the agent.
 pub(crate) struct AgentClient {
@@ -38,7 +38,7 @@
     /// Number of times that the watch stream was lost.
     pub(crate) reconnects: u64,
     /// Number of votes that the agent has forwarded to the cluster.
-    pub(crate) passed_on: u64,
+    pub(crate) verdicts_forwarded: u64,
 }
 
 impl AgentClient {
@@ -58,7 +58,7 @@
             pending: PendingCalls::new(MAX_CALLS),
             router: VoteRouter::new(vote_ttl),
             reconnects: 0,
-            passed_on: 0,
+            verdicts_forwarded: 0,
         }
     }
 
@@ -110,9 +110,9 @@
         let used_agent = self.router.uses_agent();
         let mut actions = Vec::new();
         match self.pending.on_ready(id, readiness) {
-            ReadyCall::Ended(ended) => actions.extend(self.on_call_ended(ended)),
-            ReadyCall::Pending => {}
-            ReadyCall::NotACall => {
+            CallProgress::Ended(ended) => actions.extend(self.on_call_ended(ended)),
+            CallProgress::Pending => {}
+            CallProgress::UnknownConnection => {
                 let events = self.watch.on_ready(id, readiness, now);
                 self.handle_events(events, now, &mut actions);
             }
@@ -162,7 +162,7 @@
             Ok(()) => None,
             Err(error) => {
                 warn!(%error, "vote could not be sent to the agent");
-                self.router.on_agent_reply(vote, false)
+                self.router.on_agent_response(vote, false)
             }
         }
     }
@@ -174,8 +174,8 @@
             }
             CallOutcome::Response(_) | CallOutcome::NeverSent | CallOutcome::Unknown => false,
         };
-        self.passed_on += u64::from(forwarded);
-        self.router.on_agent_reply(ended.context, forwarded)
+        self.verdicts_forwarded += u64::from(forwarded);
+        self.router.on_agent_response(ended.context, forwarded)
     }
 
     /// Expires overdue calls. An agent that misses one deadline counts as lost, so that no further vote waits for it.
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -127,7 +127,7 @@
     fn stop(&mut self, now: Micros) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let Some(response_deadline) = control_plane.lifecycle.stop(now) else { return };
-        self.downstream.closing = true;
+        self.downstream.close_after_response = true;
         self.shared.dispatcher().limit_deadlines(response_deadline);
     }
 
@@ -142,7 +142,7 @@
                     self.upstream.update_address(&address, now, &mut self.upstream_events);
                 }
                 WorkerMessage::ExposureLowered(build) => {
-                    self.upstream.recall_build(build, now, &mut self.upstream_events);
+                    self.upstream.end_unsent_attempts_of_build(build, now, &mut self.upstream_events);
                 }
             }
         }
@@ -150,8 +150,8 @@
 
     fn process_ready_connections(&mut self, inputs: &mut TurnInputs, now: Micros) {
         // A stable sort, so that connections of the same kind keep the order in which they were reported.
-        inputs.connections.sort_by_key(|(source, _)| processing_order(source));
-        for (source, readiness) in inputs.connections.drain(..) {
+        inputs.ready_connections.sort_by_key(|(source, _)| processing_order(source));
+        for (source, readiness) in inputs.ready_connections.drain(..) {
             self.on_ready(source, readiness, now);
         }
     }
@@ -165,7 +165,7 @@
             Source::Downstream(id) => {
                 self.downstream.on_ready(id, readiness, now, &mut self.downstream_events);
             }
-            Source::Listener => self.downstream.waiting = true,
+            Source::Listener => self.downstream.accept_pending = true,
         }
     }
 
--- a/crates/proxy/src/proxy/control_plane.rs
+++ b/crates/proxy/src/proxy/control_plane.rs
@@ -43,9 +43,9 @@
         let rollout = &settings.config.rollout;
         let longest_deadline = settings.config.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let agent = features
-            .agreement
+            .consensus
             .as_ref()
-            .map(|agreement| AgentClient::new(agreement, &process.name, rollout.vote_ttl, process.seed));
+            .map(|consensus| AgentClient::new(consensus, &process.name, rollout.vote_ttl, process.seed));
         ControlPlane {
             discovery: Discovery::new(process.discovery, settings, process.seed),
             release_controller: ReleaseController::new(
@@ -164,7 +164,7 @@
         status
     }
 
-    /// Recalls attempts that were decided under a higher cap and of which nothing has been sent yet.
+    /// Ends attempts that were decided under a higher cap and of which nothing has been sent yet.
     fn enforce_exposure_cap(&mut self, status: &RolloutStatus) {
         let cap = ExposureCap { build: status.build, cap: status.exposure_cap };
         let Some(previous) = self.exposure_cap.replace(cap) else { return };
@@ -173,7 +173,7 @@
             return;
         }
         let now = self.clock.now();
-        self.upstream.recall_build(cap.build, now, &mut self.upstream_events);
+        self.upstream.end_unsent_attempts_of_build(cap.build, now, &mut self.upstream_events);
         for other in self.shared.others(self.worker) {
             self.shared.post(other, [WorkerMessage::ExposureLowered(cap.build)]);
         }
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -13,7 +13,7 @@
 use tracing::warn;
 
 use crate::clock::{MS, SECOND};
-use crate::pending_calls::{EndedCall, PendingCalls, ReadyCall};
+use crate::pending_calls::{CallProgress, EndedCall, PendingCalls};
 use crate::readiness::{ConnId, ConnIds, Handle, Source};
 use crate::unary_call::{CallOutcome, CallRequest};
 use crate::watch_stream::{FIRST_BYTE_TIMEOUT, ReconnectBackoff, WatchEvents, WatchStream, WatchTimeouts};
@@ -66,7 +66,7 @@
     /// Number of times that the event stream was lost.
     pub(crate) reconnects: u64,
     /// Number of rollout states received that were older than the latest one.
-    pub(crate) stale: u64,
+    pub(crate) stale_updates: u64,
 }
 
 impl ReleaseController {
@@ -86,7 +86,7 @@
             latest: None,
             unknown_event_logged: false,
             reconnects: 0,
-            stale: 0,
+            stale_updates: 0,
         }
     }
 
@@ -94,7 +94,7 @@
     pub(crate) fn on_rollout_state(&mut self, state: RolloutState, now: Micros) -> Option<RolloutStatus> {
         let began_at = now.saturating_sub(state.age());
         if !self.is_newer(state, began_at) {
-            self.stale += 1;
+            self.stale_updates += 1;
             return None;
         }
         self.latest = Some(LatestState { state, began_at });
@@ -176,9 +176,9 @@
     /// Handles readiness of one of the client's connections.
     pub(crate) fn on_ready(&mut self, id: ConnId, readiness: Readiness, now: Micros) -> Vec<Event> {
         match self.pending.on_ready(id, readiness) {
-            ReadyCall::Ended(ended) => self.on_vote_ended(ended, now).into_iter().collect(),
-            ReadyCall::Pending => Vec::new(),
-            ReadyCall::NotACall => {
+            CallProgress::Ended(ended) => self.on_vote_ended(ended, now).into_iter().collect(),
+            CallProgress::Pending => Vec::new(),
+            CallProgress::UnknownConnection => {
                 let watch_events = self.watch.on_ready(id, readiness, now);
                 self.handle_events(watch_events, now)
             }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -123,7 +123,7 @@
     /// and the parts of a streamed response are added to `events`.
     pub(super) fn advance(&mut self, now: Micros, events: &mut Vec<UpstreamEvent>) -> Advance {
         let Some(active) = &mut self.active else { return Advance::Wait };
-        let mut progress = active.exchange.step(&mut self.connection);
+        let mut progress = active.exchange.advance(&mut self.connection);
         let Purpose::Attempt { id, attempt, streamed: true } = active.purpose else {
             return Advance::Progress(progress);
         };
@@ -145,7 +145,7 @@
         if !matches!(progress, ExchangeProgress::Pending) {
             return Advance::Progress(progress);
         }
-        let input_exhausted = self.connection.input.is_empty() && !self.connection.more_to_read();
+        let input_exhausted = self.connection.input.is_empty() && !self.connection.can_read_more();
         if !has_bytes || input_exhausted { Advance::Wait } else { Advance::ReadMore }
     }
 }
