--- a/crates/store/src/checksum.rs
+++ b/crates/store/src/checksum.rs
@@ -6,7 +6,8 @@
 /// Length of the checksum that precedes each value, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Corrupt or missing value, with its location.
+/// Corrupt or missing value, with its location. The text is part of the JSON output of
+/// `garnetcrank --json ledger inspect --scrub`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CorruptValue {
     /// Name of the table.
@@ -29,23 +30,24 @@
     }
 }
 
-/// Kind of corruption of a value.
+/// Kind of corruption of a value. The texts are part of the JSON output of
+/// `garnetcrank --json ledger inspect --scrub`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
     /// The file's pages are corrupt; the text is redb's message.
     #[error("{0}")]
     Pages(String),
     /// The file's pages are so inconsistent that redb panicked.
-    #[error("the pages are inconsistent")]
+    #[error("the pages contradict themselves")]
     InconsistentPages,
     /// The value is shorter than a checksum.
-    #[error("the value is shorter than its checksum: {length} bytes")]
+    #[error("{length} bytes, shorter than a checksum")]
     TooShort {
         /// Length of the value, in bytes.
         length: usize,
     },
     /// The stored checksum differs from the computed one.
-    #[error("checksum mismatch over {length} bytes")]
+    #[error("the checksum over {length} bytes does not match")]
     ChecksumMismatch {
         /// Length of the value without the checksum, in bytes.
         length: usize,
@@ -54,22 +56,22 @@
     #[error("{0}")]
     Undecodable(#[from] postcard::Error),
     /// The schema version is not four bytes long.
-    #[error("the schema version is not four bytes long")]
+    #[error("not four bytes")]
     SchemaVersionLength,
     /// A value that every store has is missing.
     #[error("missing")]
     Missing,
     /// A value is missing from a sequence of consecutive keys.
-    #[error("missing from a consecutive sequence")]
+    #[error("missing between others")]
     MissingFromSequence,
     /// A log entry is stored under the key of another index.
-    #[error("the stored entry has index {index}")]
+    #[error("it holds entry {index}")]
     EntryIndexMismatch {
         /// Index in the entry.
         index: u64,
     },
     /// The total length of a snapshot's chunks differs from the length in its header.
-    #[error("the snapshot has {found} bytes, expected {expected}")]
+    #[error("{found} bytes, {expected} were written")]
     SnapshotLengthMismatch {
         /// Total length of the chunks, in bytes.
         found: u64,
