--- a/crates/agent/src/peer_protocol/mod.rs
+++ b/crates/agent/src/peer_protocol/mod.rs
@@ -106,7 +106,7 @@
     #[error("another instance answers at the peer's address: {} ({:016x})", .0.name, .0.id.0)]
     WrongPeer(Member),
     /// A hello that the peer rejected, with the peer's reason.
-    #[error("refused: {0}")]
+    #[error("the peer rejected the hello: {0}")]
     Rejected(String),
 }
 
--- a/crates/agent/tests/processes.rs
+++ b/crates/agent/tests/processes.rs
@@ -86,7 +86,7 @@
     cluster.delete_store(2);
     cluster.start_agent(2);
     wait_until("the hello to the wrong instance is rejected", || {
-        cluster.log(0).contains("refused: this is n2")
+        cluster.log(0).contains("the peer rejected the hello: this is n2")
     });
     let status =
         get(&client(Duration::from_secs(2)), cluster.local(2), "/v1/status").expect("the agent responds").1;
