--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -3,14 +3,14 @@
 use std::path::Path;
 
 use garnetcrank_consensus::replicated_state::Proposal;
-use garnetcrank_store::{HardState, Identity, Loaded, Record, Scrub, Store, StoreError, Usage};
+use garnetcrank_store::{HardState, Identity, Loaded, LogEntry, Scrub, Store, StoreError, Usage};
 use serde_json::{Value, json};
 
 use crate::command_text::command_text;
 use crate::error::CliError;
 use crate::output::{self, OutputFormat};
 
-/// Value of [`Record::kind`] for an entry with a proposal. All other kinds are membership changes.
+/// Value of [`LogEntry::kind`] for an entry with a proposal. All other kinds are membership changes.
 const KIND_NORMAL: u8 = 0;
 
 /// Optional parts of the output.
@@ -150,18 +150,18 @@
     }
 }
 
-fn entry_row(record: &Record) -> [String; 3] {
-    [record.index.to_string(), record.term.to_string(), entry_text(record)]
+fn entry_row(entry: &LogEntry) -> [String; 3] {
+    [entry.index.to_string(), entry.term.to_string(), entry_text(entry)]
 }
 
-fn entry_text(record: &Record) -> String {
-    if record.kind != KIND_NORMAL {
+fn entry_text(entry: &LogEntry) -> String {
+    if entry.kind != KIND_NORMAL {
         return "(a change of members)".to_owned();
     }
-    if record.data.is_empty() {
+    if entry.data.is_empty() {
         return "(a leader's first)".to_owned();
     }
-    match postcard::from_bytes::<Proposal>(&record.data) {
+    match postcard::from_bytes::<Proposal>(&entry.data) {
         Ok(Proposal { session, sequence, command }) => {
             format!("session {session} no. {sequence}: {}", command_text(&command))
         }
--- a/crates/cli/tests/golden_json.rs
+++ b/crates/cli/tests/golden_json.rs
@@ -12,7 +12,7 @@
 use garnetcrank_consensus::ids::{Epoch, InstanceId, Role, Sequence, SessionId, Subject};
 use garnetcrank_consensus::raft_node;
 use garnetcrank_consensus::replicated_state::{Command as LedgerCommand, Member, Proposal};
-use garnetcrank_store::{Batch, HardState, Identity, Record, Store};
+use garnetcrank_store::{Batch, HardState, Identity, LogEntry, Store};
 use serde_json::{Value, json};
 
 /// Request as the agent receives it, with all white space removed from the body.
@@ -462,7 +462,7 @@
     let role = || Role("votes".into());
     let decide = LedgerCommand::Decide { subject: Subject::new("condemned", 42), value: vec![97] };
     let renew = LedgerCommand::RenewLease { role: role(), epoch: Epoch(4) };
-    let records = [
+    let kinds_and_data = [
         (0, Vec::new()),
         (0, proposal(0, LedgerCommand::OpenSession { nonce: 7 })),
         (0, proposal(1, decide)),
@@ -471,8 +471,8 @@
         (2, vec![1, 2]),
         (0, vec![0xff]),
     ];
-    let record = |(index, (kind, data))| Record { index, term: 2, kind, data, context: Vec::new() };
-    let entries = (2..).zip(records).map(record).collect();
+    let log_entry = |(index, (kind, data))| LogEntry { index, term: 2, kind, data, context: Vec::new() };
+    let entries = (2..).zip(kinds_and_data).map(log_entry).collect();
     let hard = HardState { term: 2, vote: 0xab, commit: 8 };
     let keys = vec![("k".to_owned(), Some(vec![1]))];
     store
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -10,7 +10,7 @@
 use garnetcrank_consensus::pending_requests::Answer;
 use garnetcrank_consensus::raft_node::{self, Message, RaftNode, RaftSettings};
 use garnetcrank_consensus::replicated_state::{Command, Member, Proposal, Reply};
-use garnetcrank_store::{Batch, HardState, Identity, Loaded, Record, Store};
+use garnetcrank_store::{Batch, HardState, Identity, Loaded, LogEntry, Store};
 
 const KIB_PER_MIB: f64 = 1024.0;
 const BYTES_PER_MIB: f64 = 1_048_576.0;
@@ -57,13 +57,13 @@
 
 /// Builds the entry at `index` of a log whose first entry opens a session and whose other entries decide one subject
 /// each.
-fn record(index: u64) -> Record {
+fn log_entry(index: u64) -> LogEntry {
     let proposal = match index {
         2 => proposal(0, 0, Command::OpenSession { nonce: 1 }),
         _ => proposal(2, index, decide(index)),
     };
     let data = postcard::to_stdvec(&proposal).expect("the proposal is encoded");
-    Record { index, term: 1, kind: 0, data, context: Vec::new() }
+    LogEntry { index, term: 1, kind: 0, data, context: Vec::new() }
 }
 
 /// Creates a store whose log holds `entries` entries after the initial snapshot.
@@ -73,7 +73,7 @@
     let last = entries + 1;
     for first in (2..=last).step_by(ENTRIES_PER_BATCH as usize) {
         let last_of_batch = last.min(first + ENTRIES_PER_BATCH - 1);
-        let entries = (first..=last_of_batch).map(record).collect();
+        let entries = (first..=last_of_batch).map(log_entry).collect();
         store.commit(&Batch { entries, ..Batch::default() }).expect("the entries are written");
     }
     let committed = Some(HardState { term: 1, vote: 1, commit: last });
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -21,8 +21,8 @@
 const KIND_CONF_CHANGE_V2: u8 = 2;
 
 /// Converts an entry to its stored form.
-pub(crate) fn to_record(entry: &Entry) -> store::Record {
-    store::Record {
+pub(crate) fn to_log_entry(entry: &Entry) -> store::LogEntry {
+    store::LogEntry {
         index: entry.index,
         term: entry.term,
         kind: match entry.get_entry_type() {
@@ -35,17 +35,17 @@
     }
 }
 
-fn to_entry(record: store::Record) -> Result<Entry, RaftNodeError> {
-    let kind = match record.kind {
+fn to_entry(log_entry: store::LogEntry) -> Result<Entry, RaftNodeError> {
+    let kind = match log_entry.kind {
         KIND_NORMAL => EntryType::EntryNormal,
         KIND_CONF_CHANGE => EntryType::EntryConfChange,
         KIND_CONF_CHANGE_V2 => EntryType::EntryConfChangeV2,
-        kind => return Err(RaftNodeError::UnknownEntryKind { index: Index(record.index), kind }),
+        kind => return Err(RaftNodeError::UnknownEntryKind { index: Index(log_entry.index), kind }),
     };
-    let mut entry = Entry { index: record.index, term: record.term, ..Entry::default() };
+    let mut entry = Entry { index: log_entry.index, term: log_entry.term, ..Entry::default() };
     entry.set_entry_type(kind);
-    entry.data = record.data.into();
-    entry.context = record.context.into();
+    entry.data = log_entry.data.into();
+    entry.context = log_entry.context.into();
     Ok(entry)
 }
 
--- a/crates/consensus/src/raft_node/ready.rs
+++ b/crates/consensus/src/raft_node/ready.rs
@@ -51,7 +51,7 @@
             write.installed_snapshot = Some(ready.snapshot().clone());
             self.log.install(ready.snapshot().clone());
         }
-        output.batch.entries = ready.entries().iter().map(raft_log::to_record).collect();
+        output.batch.entries = ready.entries().iter().map(raft_log::to_log_entry).collect();
         self.log.append(ready.entries());
         if let Some(hard_state) = ready.hs() {
             output.batch.hard_state = Some(to_stored_hard_state(hard_state));
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -15,7 +15,7 @@
 
 /// Log entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct LogEntry {
     /// Position in the log, starting at 1.
     pub index: u64,
     /// Term in which the entry was proposed.
@@ -62,7 +62,7 @@
     /// kept only if the stored log contains the snapshot's last entry, with the same term.
     pub snapshot: Option<Snapshot>,
     /// Entries to append, in order. They replace all stored entries from the index of the first one on.
-    pub entries: Vec<Record>,
+    pub entries: Vec<LogEntry>,
     /// Changes to the keys of other subsystems: `Some` sets the key's value, `None` removes the key.
     pub keys: Vec<(String, Option<Vec<u8>>)>,
 }
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -3,7 +3,7 @@
 use redb::{ReadableTable, WriteTransaction};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-use crate::batch::Record;
+use crate::batch::LogEntry;
 use crate::checksum::{CorruptValue, Corruption, prepend_checksum, verify_checksum};
 use crate::error::StoreError;
 use crate::schema::{CHUNKS_NAME, KEYS_NAME, LOG_NAME, META, META_NAME};
@@ -34,15 +34,15 @@
 }
 
 /// Encodes a log entry for storage.
-pub(crate) fn encode_entry(entry: &Record) -> Vec<u8> {
+pub(crate) fn encode_entry(entry: &LogEntry) -> Vec<u8> {
     prepend_checksum(LOG_NAME, &entry.index.to_le_bytes(), &encode(entry))
 }
 
 /// Decodes the log entry stored at an index.
-pub(crate) fn decode_entry(index: u64, stored: &[u8]) -> Result<Record, CorruptValue> {
+pub(crate) fn decode_entry(index: u64, stored: &[u8]) -> Result<LogEntry, CorruptValue> {
     let key = index.to_string();
     let bytes = verify_checksum(LOG_NAME, &index.to_le_bytes(), &key, stored)?;
-    let entry: Record = decode(LOG_NAME, &key, bytes)?;
+    let entry: LogEntry = decode(LOG_NAME, &key, bytes)?;
     if entry.index != index {
         let corruption = Corruption::EntryIndexMismatch { index: entry.index };
         return Err(CorruptValue { table: LOG_NAME, key, corruption });
--- a/crates/store/src/store/commit.rs
+++ b/crates/store/src/store/commit.rs
@@ -3,7 +3,7 @@
 use redb::{ReadableDatabase, ReadableTable, WriteTransaction};
 
 use super::{LogEnd, Store};
-use crate::batch::{Batch, Record, Snapshot};
+use crate::batch::{Batch, LogEntry, Snapshot};
 use crate::codec::{SnapshotHeader, decode_entry, encode_chunk, encode_entry, encode_key_value, write_meta};
 use crate::error::{BatchOrderError, StoreError};
 use crate::schema::{CHUNKS, HARD_STATE_KEY, KEYS, LOG, SNAPSHOT_KEY};
@@ -139,7 +139,11 @@
 ///
 /// # Panics
 /// Panics if `entries` is empty.
-fn write_entries(txn: &WriteTransaction, entries: &[Record], snapshot_index: u64) -> Result<(), StoreError> {
+fn write_entries(
+    txn: &WriteTransaction,
+    entries: &[LogEntry],
+    snapshot_index: u64,
+) -> Result<(), StoreError> {
     let first_index = entries[0].index;
     let mut log = txn.open_table(LOG)?;
     // Most appends replace no entry, and reading the last index is cheaper than removing an empty range.
--- a/crates/store/src/store/load.rs
+++ b/crates/store/src/store/load.rs
@@ -3,7 +3,7 @@
 use redb::{ReadTransaction, ReadableDatabase};
 
 use super::Store;
-use crate::batch::{HardState, Record, Snapshot};
+use crate::batch::{HardState, LogEntry, Snapshot};
 use crate::checksum::{CorruptValue, Corruption};
 use crate::codec::{SnapshotHeader, decode_chunk, decode_entry, read_meta_from_table};
 use crate::error::StoreError;
@@ -17,7 +17,7 @@
     /// Latest snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
     /// Log entries after the snapshot, with consecutive indexes.
-    pub entries: Vec<Record>,
+    pub entries: Vec<LogEntry>,
 }
 
 impl Store {
@@ -56,7 +56,7 @@
 }
 
 /// Reads the log entries after the snapshot.
-fn load_entries(txn: &ReadTransaction, snapshot_index: u64) -> Result<Vec<Record>, StoreError> {
+fn load_entries(txn: &ReadTransaction, snapshot_index: u64) -> Result<Vec<LogEntry>, StoreError> {
     let mut entries = Vec::new();
     let log = txn.open_table(LOG)?;
     for item in log.range(snapshot_index + 1..)? {
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,7 +1,7 @@
 //! Compares a store with an in-memory model over random batches and restarts. Guards against stored data that
 //! is lost, stale or altered when appends, overwrites and snapshots interleave.
 
-use garnetcrank_store::{Batch, HardState, Identity, Record, Snapshot, Store};
+use garnetcrank_store::{Batch, HardState, Identity, LogEntry, Snapshot, Store};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -49,7 +49,7 @@
         let mut disk = FaultyDisk::new();
         let mut store = Store::open_on(disk.clone(), &identity).unwrap();
         let (mut hard_state, mut snapshot, mut log) =
-            (HardState::default(), None::<Snapshot>, Vec::<Record>::new());
+            (HardState::default(), None::<Snapshot>, Vec::<LogEntry>::new());
         let mut keys = std::collections::BTreeMap::new();
         let (mut term, mut starts) = (1, 1);
         for operation in operations {
@@ -59,8 +59,8 @@
             match operation {
                 Operation::Append { overlap, count } => {
                     let first_index = (last_index + 1).saturating_sub(overlap).max(snapshot_index + 1);
-                    let entries: Vec<Record> = (first_index..first_index + count)
-                        .map(|index| Record { index, term, kind: 1, data: vec![term as u8; 9], context: vec![] })
+                    let entries: Vec<LogEntry> = (first_index..first_index + count)
+                        .map(|index| LogEntry { index, term, kind: 1, data: vec![term as u8; 9], context: vec![] })
                         .collect();
                     log.retain(|entry| entry.index < first_index);
                     log.extend(entries.clone());
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -1,15 +1,15 @@
 //! Guards against lost or partial batches and against corrupt data that reaches callers. The device has power
 //! cuts at each operation (unsynced writes are lost, kept or torn), failed syncs, no space or flipped bits.
 
-use garnetcrank_store::{Batch, HardState, Identity, Loaded, Record, Snapshot, Store, StoreError};
+use garnetcrank_store::{Batch, HardState, Identity, Loaded, LogEntry, Snapshot, Store, StoreError};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
 fn identity() -> Identity {
     Identity { cluster: "test".into(), name: "one".into(), id: 7 }
 }
 
-fn entry(index: u64, term: u64) -> Record {
-    Record { index, term, kind: 0, data: vec![index as u8; 300], context: vec![term as u8; 20] }
+fn entry(index: u64, term: u64) -> LogEntry {
+    LogEntry { index, term, kind: 0, data: vec![index as u8; 300], context: vec![term as u8; 20] }
 }
 
 /// Returns batches with appends, overwritten tails, a snapshot of the stored log and one of a different
