--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -13,7 +13,7 @@
 use garnetcrank_agent::peer_transport::{self, PeerContext};
 use garnetcrank_agent::storage_writer;
 use garnetcrank_consensus::raft_node::{RaftNode, RaftSettings};
-use garnetcrank_store::{Batch, Identity, Loaded, Store, StoreError};
+use garnetcrank_store::{Batch, Identity, PersistedState, Store, StoreError};
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{SignalKind, signal};
@@ -33,11 +33,11 @@
 /// that a follower slightly behind needs no snapshot.
 const RETAINED_ENTRIES_DIVISOR: u64 = 10;
 
-/// The opened store, its owner's identity and the loaded state.
+/// The opened store, its owner's identity and the persisted state.
 struct OpenedStore {
     identity: Identity,
     store: Store,
-    loaded: Loaded,
+    persisted: PersistedState,
 }
 
 /// The two listening sockets.
@@ -51,11 +51,11 @@
 /// # Errors
 /// An address or the store can't be used, or the engine ends with an error.
 pub(crate) fn run(config: Config) -> Result<(), AgentError> {
-    let OpenedStore { identity, store, loaded } =
+    let OpenedStore { identity, store, persisted } =
         open_store(&config).map_err(|source| AgentError::Store { path: config.store.clone(), source })?;
     let starts = store.starts();
     let me = as_member(&config, &identity);
-    let node = RaftNode::start(raft_settings(&config), me.id, starts, loaded)
+    let node = RaftNode::start(raft_settings(&config), me.id, starts, persisted)
         .map_err(|source| AgentError::StoredState { path: config.store.clone(), source })?;
     let counters = Arc::new(Counters::default());
     let peer_context = Arc::new(PeerContext {
@@ -123,8 +123,8 @@
 fn open_store(config: &Config) -> Result<OpenedStore, StoreError> {
     let identity = InstanceIdentity::load_or_generate(config)?.into_inner();
     let store = Store::open(&config.store, &identity)?;
-    let loaded = store.load()?;
-    Ok(OpenedStore { identity, store, loaded })
+    let persisted = store.load()?;
+    Ok(OpenedStore { identity, store, persisted })
 }
 
 fn raft_settings(config: &Config) -> RaftSettings {
--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use garnetcrank_consensus::replicated_state::Proposal;
-use garnetcrank_store::{HardState, Identity, Loaded, LogEntry, Scrub, Store, StoreError, Usage};
+use garnetcrank_store::{HardState, Identity, LogEntry, PersistedState, Scrub, Store, StoreError, Usage};
 use serde_json::{Value, json};
 
 use crate::command_text::command_text;
@@ -58,19 +58,19 @@
     fn of(store: &Store, options: InspectOptions) -> Result<Self, StoreError> {
         let usage = store.usage()?;
         let scrub = if options.scrub { Some(store.scrub()?) } else { None };
-        let loaded = load(store, scrub.as_ref())?;
+        let persisted = load(store, scrub.as_ref())?;
         let mut entries = Vec::new();
         let mut snapshot = None;
         let mut hard_state = None;
-        if let Some(loaded) = loaded {
-            hard_state = Some(loaded.hard_state);
-            snapshot = loaded.snapshot.map(|snapshot| SnapshotSummary {
+        if let Some(persisted) = persisted {
+            hard_state = Some(persisted.hard_state);
+            snapshot = persisted.snapshot.map(|snapshot| SnapshotSummary {
                 index: snapshot.index,
                 term: snapshot.term,
                 bytes: snapshot.data.len(),
             });
             if options.entries {
-                entries = loaded.entries.iter().map(entry_row).collect();
+                entries = persisted.entries.iter().map(entry_row).collect();
             }
         }
         let identity = store.identity().clone();
@@ -141,10 +141,10 @@
 }
 
 /// Loads a store. Returns `None` if corrupt values prevent that and the scrub has already reported them.
-fn load(store: &Store, scrub: Option<&Scrub>) -> Result<Option<Loaded>, StoreError> {
+fn load(store: &Store, scrub: Option<&Scrub>) -> Result<Option<PersistedState>, StoreError> {
     let is_reported = scrub.is_some_and(|scrub| !scrub.corrupt.is_empty());
     match store.load() {
-        Ok(loaded) => Ok(Some(loaded)),
+        Ok(persisted) => Ok(Some(persisted)),
         Err(StoreError::Corrupt(_)) if is_reported => Ok(None),
         Err(error) => Err(error),
     }
--- a/crates/consensus/examples/handover/disk.rs
+++ b/crates/consensus/examples/handover/disk.rs
@@ -1,7 +1,7 @@
 //! Disks of simulated instances: a fast model of the store, or the real store on a disk that simulates power loss.
 
 use garnetcrank_consensus::ids::InstanceId;
-use garnetcrank_store::{Batch, Identity, Loaded, Store, StoreError};
+use garnetcrank_store::{Batch, Identity, PersistedState, Store, StoreError};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
 /// Kind of a simulated disk.
@@ -16,13 +16,13 @@
 /// Disk of a simulated instance.
 pub enum SimDisk {
     /// See [`DiskKind::Model`].
-    Model { durable: Loaded, unsynced: Vec<Batch>, ignore_syncs: bool },
+    Model { durable: PersistedState, unsynced: Vec<Batch>, ignore_syncs: bool },
     /// See [`DiskKind::Store`].
     Real { disk: FaultyDisk, store: Option<Store>, identity: Identity },
 }
 
 /// Applies a batch to the model as the store would.
-fn apply(stored: &mut Loaded, batch: &Batch) {
+fn apply(stored: &mut PersistedState, batch: &Batch) {
     if let Some(hard_state) = batch.hard_state {
         stored.hard_state = hard_state;
     }
@@ -44,7 +44,7 @@
     pub fn new(kind: DiskKind, id: InstanceId) -> Self {
         match kind {
             DiskKind::Model => {
-                Self::Model { durable: Loaded::default(), unsynced: Vec::new(), ignore_syncs: false }
+                Self::Model { durable: PersistedState::default(), unsynced: Vec::new(), ignore_syncs: false }
             }
             DiskKind::Store => {
                 let identity = Identity { cluster: "sim".into(), name: format!("i{id}"), id: id.0 };
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// Returns an error if the store can't be opened or read.
-    pub fn load(&mut self) -> Result<Loaded, StoreError> {
+    pub fn load(&mut self) -> Result<PersistedState, StoreError> {
         match self {
             Self::Model { durable, .. } => Ok(durable.clone()),
             Self::Real { disk, store, identity } => {
@@ -118,9 +118,9 @@
                     Some(opened) => opened,
                     None => Store::open_on(disk.clone(), identity)?,
                 };
-                let loaded = opened.load();
+                let persisted = opened.load();
                 *store = Some(opened);
-                loaded
+                persisted
             }
         }
     }
--- a/crates/consensus/examples/handover/world/instance.rs
+++ b/crates/consensus/examples/handover/world/instance.rs
@@ -169,8 +169,8 @@
             seed,
             ..RaftSettings::default()
         };
-        let loaded = self.disk.load()?;
-        let node = RaftNode::start(settings, self.id, self.starts, loaded)?;
+        let persisted = self.disk.load()?;
+        let node = RaftNode::start(settings, self.id, self.starts, persisted)?;
         let lease_client = LeaseClient::new(role(), self.id, LEASE_TTL_TICKS, stagger);
         self.process = Some(Process::new(node, lease_client));
         Ok(())
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -10,7 +10,7 @@
 use garnetcrank_consensus::pending_requests::Answer;
 use garnetcrank_consensus::raft_node::{self, Message, RaftNode, RaftSettings};
 use garnetcrank_consensus::replicated_state::{Command, Member, Proposal, Reply};
-use garnetcrank_store::{Batch, HardState, Identity, Loaded, LogEntry, Store};
+use garnetcrank_store::{Batch, HardState, Identity, LogEntry, PersistedState, Store};
 
 const KIB_PER_MIB: f64 = 1024.0;
 const BYTES_PER_MIB: f64 = 1_048_576.0;
@@ -92,10 +92,11 @@
     let start = Instant::now();
     let store = Store::open(path, &identity()).expect("the store opens");
     let opened = start.elapsed();
-    let loaded = store.load().expect("the store loads");
+    let persisted = store.load().expect("the store loads");
     let read = start.elapsed();
     let settings = RaftSettings { compact_every: u64::MAX / 2, ..RaftSettings::default() };
-    let mut node = RaftNode::start(settings, InstanceId(1), store.starts(), loaded).expect("the node starts");
+    let mut node =
+        RaftNode::start(settings, InstanceId(1), store.starts(), persisted).expect("the node starts");
     while node.ready().expect("the node prepares its output").is_some() {
         node.on_persisted().expect("the node continues after the write");
     }
@@ -144,12 +145,12 @@
             RaftSettings { compact_every: 1_000, retained_entries: 100, ..RaftSettings::default() };
         let start = |id: u64| {
             let initial = raft_node::initial_state(&members);
-            let loaded = Loaded {
+            let persisted = PersistedState {
                 hard_state: initial.hard_state.unwrap_or_default(),
                 snapshot: initial.snapshot,
                 entries: Vec::new(),
             };
-            RaftNode::start(settings.clone(), InstanceId(id), 1, loaded).expect("the node starts")
+            RaftNode::start(settings.clone(), InstanceId(id), 1, persisted).expect("the node starts")
         };
         Self {
             nodes: (1..=3).map(|id| (id, start(id))).collect(),
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -128,23 +128,23 @@
     ///
     /// # Errors
     /// An entry is of an unknown kind, or the snapshot's members can't be decoded.
-    pub(crate) fn restore(loaded: store::Loaded) -> Result<Self, RaftNodeError> {
+    pub(crate) fn restore(persisted: store::PersistedState) -> Result<Self, RaftNodeError> {
         let mut state = LogState {
             hard_state: HardState {
-                term: loaded.hard_state.term,
-                vote: loaded.hard_state.vote,
-                commit: loaded.hard_state.commit,
+                term: persisted.hard_state.term,
+                vote: persisted.hard_state.vote,
+                commit: persisted.hard_state.commit,
                 ..HardState::default()
             },
             ..LogState::default()
         };
-        if let Some(stored) = loaded.snapshot {
+        if let Some(stored) = persisted.snapshot {
             state.before_first = EntryId { index: stored.index, term: stored.term };
             state.snapshot = from_stored_snapshot(stored)?;
         }
         // The commit index is written together with the entries that it covers, but a snapshot may be newer.
         state.hard_state.commit = state.hard_state.commit.max(state.before_first.index);
-        state.entries = loaded.entries.into_iter().map(to_entry).collect::<Result<_, _>>()?;
+        state.entries = persisted.entries.into_iter().map(to_entry).collect::<Result<_, _>>()?;
         Ok(Self(Rc::new(RefCell::new(state))))
     }
 
--- a/crates/consensus/src/raft_node/mod.rs
+++ b/crates/consensus/src/raft_node/mod.rs
@@ -101,10 +101,10 @@
         settings: RaftSettings,
         id: InstanceId,
         incarnation: u64,
-        loaded: store::Loaded,
+        persisted: store::PersistedState,
     ) -> Result<Self, RaftNodeError> {
-        check_committed_entries(&loaded)?;
-        let log = RaftLog::restore(loaded)?;
+        check_committed_entries(&persisted)?;
+        let log = RaftLog::restore(persisted)?;
         let (index, data) = log.snapshot_data();
         let state = match index {
             0 => ReplicatedState::default(),
@@ -218,10 +218,10 @@
 ///
 /// # Errors
 /// [`RaftNodeError::CommittedEntriesLost`].
-fn check_committed_entries(loaded: &store::Loaded) -> Result<(), RaftNodeError> {
-    let snapshot_index = loaded.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-    let last = loaded.entries.last().map_or(snapshot_index, |entry| entry.index);
-    let committed = loaded.hard_state.commit;
+fn check_committed_entries(persisted: &store::PersistedState) -> Result<(), RaftNodeError> {
+    let snapshot_index = persisted.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+    let last = persisted.entries.last().map_or(snapshot_index, |entry| entry.index);
+    let committed = persisted.hard_state.commit;
     if committed > last {
         return Err(RaftNodeError::CommittedEntriesLost { committed: Index(committed), last: Index(last) });
     }
--- a/crates/consensus/src/raft_node/tests.rs
+++ b/crates/consensus/src/raft_node/tests.rs
@@ -11,9 +11,9 @@
     (1..=3).map(|id| Member { id: InstanceId(id), name: format!("n{id}"), address: String::new() }).collect()
 }
 
-fn initial_store() -> store::Loaded {
+fn initial_store() -> store::PersistedState {
     let initial = initial_state(&members());
-    store::Loaded {
+    store::PersistedState {
         hard_state: initial.hard_state.unwrap_or_default(),
         snapshot: initial.snapshot,
         entries: Vec::new(),
@@ -21,8 +21,8 @@
 }
 
 /// Starts instance 1 of the three members.
-fn start(loaded: store::Loaded) -> Result<RaftNode, RaftNodeError> {
-    RaftNode::start(RaftSettings::default(), InstanceId(1), 1, loaded)
+fn start(persisted: store::PersistedState) -> Result<RaftNode, RaftNodeError> {
+    RaftNode::start(RaftSettings::default(), InstanceId(1), 1, persisted)
 }
 
 /// Starts instance 1 from its initial store and completes all of its writes.
--- a/crates/consensus/tests/golden_bytes.rs
+++ b/crates/consensus/tests/golden_bytes.rs
@@ -307,10 +307,10 @@
     /// Starts instances 1 to 3 as the initial members, and instance 4 empty, to be added later.
     fn new() -> Self {
         let initial_state = raft_node::initial_state(&[member(1), member(2), member(3)]);
-        let initial_load = || store::Loaded {
+        let initial_persisted_state = || store::PersistedState {
             hard_state: initial_state.hard_state.unwrap_or_default(),
             snapshot: initial_state.snapshot.clone(),
-            ..store::Loaded::default()
+            ..store::PersistedState::default()
         };
         let start = |id: u64| {
             // All have the same seed and different election time-outs, so that instance 1 starts the first election.
@@ -320,8 +320,9 @@
                 seed: 7,
                 ..RaftSettings::default()
             };
-            let loaded = if id == 4 { store::Loaded::default() } else { initial_load() };
-            (id, RaftNode::start(settings, InstanceId(id), 20 + id, loaded).expect("the instance starts"))
+            let persisted =
+                if id == 4 { store::PersistedState::default() } else { initial_persisted_state() };
+            (id, RaftNode::start(settings, InstanceId(id), 20 + id, persisted).expect("the instance starts"))
         };
         Self { nodes: (1..=4).map(start).collect(), sent: Vec::new() }
     }
--- a/crates/consensus/tests/stored_data/main.rs
+++ b/crates/consensus/tests/stored_data/main.rs
@@ -17,7 +17,7 @@
 use garnetcrank_consensus::ids::{InstanceId, Role};
 use garnetcrank_consensus::raft_node::{Message, RaftNode, RaftSettings};
 use garnetcrank_consensus::replicated_state::{ReplicatedState, Reply, SubjectState};
-use garnetcrank_store::{Loaded, Store};
+use garnetcrank_store::{PersistedState, Store};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, MessageType};
 
@@ -32,7 +32,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../agent/tests/fixtures/store-8a93f45").join(file)
 }
 
-fn loaded() -> Loaded {
+fn persisted_state() -> PersistedState {
     let folder = tempfile::tempdir().expect("a temporary folder is created");
     let path = folder.path().join("alma.redb");
     std::fs::copy(fixture("alma.redb"), &path).expect("the fixture is copied");
@@ -41,7 +41,7 @@
 
 /// Decodes the replicated state in the snapshot.
 fn snapshot_state() -> ReplicatedState {
-    let snapshot = loaded().snapshot.expect("the store holds a snapshot");
+    let snapshot = persisted_state().snapshot.expect("the store holds a snapshot");
     let state: ReplicatedState =
         postcard::from_bytes(&snapshot.data).expect("the replicated state is decoded");
     assert_eq!(
@@ -54,7 +54,8 @@
 
 /// Restarts an instance from the fixture and applies all committed entries.
 fn restarted() -> RaftNode {
-    let mut node = RaftNode::start(RaftSettings::default(), ALMA, 4, loaded()).expect("the instance starts");
+    let mut node =
+        RaftNode::start(RaftSettings::default(), ALMA, 4, persisted_state()).expect("the instance starts");
     while node.ready().expect("the node prepares its output").is_some() {
         node.on_persisted().expect("the node continues after the write");
     }
@@ -63,8 +64,8 @@
 
 #[test]
 fn every_stored_field_is_decoded_unchanged() {
-    let (loaded, node) = (loaded(), restarted());
-    let snapshot = loaded.snapshot.as_ref().expect("the store holds a snapshot");
+    let (persisted, node) = (persisted_state(), restarted());
+    let snapshot = persisted.snapshot.as_ref().expect("the store holds a snapshot");
     let mut voters = ConfState::default();
     voters.merge_from_bytes(&snapshot.members).expect("the configuration is decoded");
     let ids = |ids: &[u64]| ids.iter().map(|id| format!("{id:016x}")).collect::<Vec<_>>().join(" ");
@@ -76,7 +77,7 @@
         ids(&voters.learners)
     );
     actual.push_str(&state_text("snapshot", &snapshot_state()));
-    actual.push_str(&log_text(&loaded));
+    actual.push_str(&log_text(&persisted));
     actual.push_str(&state_text("restarted", node.state()));
     let expected = std::fs::read_to_string(fixture("state.txt")).expect("state.txt is read");
     for (number, (actual, expected)) in actual.lines().zip(expected.lines()).enumerate() {
--- a/crates/consensus/tests/stored_data/text.rs
+++ b/crates/consensus/tests/stored_data/text.rs
@@ -6,7 +6,7 @@
 use garnetcrank_consensus::ids::InstanceId;
 use garnetcrank_consensus::membership::MembershipChange;
 use garnetcrank_consensus::replicated_state::{Command, Proposal, ReplicatedState, Reply, SubjectState};
-use garnetcrank_store::Loaded;
+use garnetcrank_store::PersistedState;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
@@ -152,9 +152,9 @@
 type ChangeContext = ((u64, u64, u64), MembershipChange);
 
 /// Describes every entry after the snapshot, one a line.
-pub(crate) fn log_text(loaded: &Loaded) -> String {
+pub(crate) fn log_text(persisted: &PersistedState) -> String {
     let mut text = String::new();
-    for entry in &loaded.entries {
+    for entry in &persisted.entries {
         let description = match entry.kind {
             0 if entry.data.is_empty() => "empty".to_owned(),
             0 => {
--- a/crates/store/src/store/load.rs
+++ b/crates/store/src/store/load.rs
@@ -11,7 +11,7 @@
 
 /// State that an instance resumes from.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Loaded {
+pub struct PersistedState {
     /// Hard state; the default if none was ever written.
     pub hard_state: HardState,
     /// Latest snapshot, if there is one.
@@ -26,7 +26,7 @@
     /// # Errors
     /// Returns an error if a value is corrupt, if a log entry or a snapshot chunk is missing, or if the
     /// device fails.
-    pub fn load(&self) -> Result<Loaded, StoreError> {
+    pub fn load(&self) -> Result<PersistedState, StoreError> {
         let txn = self.db.begin_read()?;
         let meta = txn.open_table(META)?;
         let hard_state = read_meta_from_table(&meta, HARD_STATE_KEY)?.unwrap_or_default();
@@ -36,7 +36,7 @@
         };
         let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let entries = load_entries(&txn, snapshot_index)?;
-        Ok(Loaded { hard_state, snapshot, entries })
+        Ok(PersistedState { hard_state, snapshot, entries })
     }
 }
 
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -12,7 +12,7 @@
 mod open;
 mod scrub;
 
-pub use load::Loaded;
+pub use load::PersistedState;
 pub use scrub::{Scrub, Usage};
 
 /// Store in a file that only one process at a time can open.
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -101,10 +101,10 @@
                 }
             }
         }
-        let loaded = store.load().unwrap();
-        prop_assert_eq!(loaded.hard_state, hard_state);
-        prop_assert_eq!(loaded.snapshot, snapshot);
-        prop_assert_eq!(loaded.entries, log);
+        let persisted = store.load().unwrap();
+        prop_assert_eq!(persisted.hard_state, hard_state);
+        prop_assert_eq!(persisted.snapshot, snapshot);
+        prop_assert_eq!(persisted.entries, log);
         prop_assert_eq!(store.keys_with_prefix("k/").unwrap(), keys.into_iter().collect::<Vec<_>>());
         prop_assert!(store.scrub().unwrap().corrupt.is_empty());
     }
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -1,7 +1,7 @@
 //! Guards against lost or partial batches and against corrupt data that reaches callers. The device has power
 //! cuts at each operation (unsynced writes are lost, kept or torn), failed syncs, no space or flipped bits.
 
-use garnetcrank_store::{Batch, HardState, Identity, Loaded, LogEntry, Snapshot, Store, StoreError};
+use garnetcrank_store::{Batch, HardState, Identity, LogEntry, PersistedState, Snapshot, Store, StoreError};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
 fn identity() -> Identity {
@@ -32,8 +32,8 @@
     ]
 }
 
-/// Loaded state, with all keys and their values.
-type StoredState = (Loaded, Vec<(String, Vec<u8>)>);
+/// Persisted state, with all keys and their values.
+type StoredState = (PersistedState, Vec<(String, Vec<u8>)>);
 
 fn read_state(store: &Store) -> StoredState {
     (store.load().expect("the state loads"), store.keys_with_prefix("").expect("the keys can be read"))
@@ -88,7 +88,7 @@
             let matches_state_after = |batch_count: usize| {
                 states
                     .get(batch_count)
-                    .is_some_and(|(loaded, keys)| found == (Some(loaded.clone()), Some(keys.clone())))
+                    .is_some_and(|(persisted, keys)| found == (Some(persisted.clone()), Some(keys.clone())))
             };
             if !matches_state_after(acknowledged) && !matches_state_after(acknowledged + 1) {
                 return Some(format!("cut {cut} seed {seed}: {acknowledged} acknowledged, found {found:?}"));
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -94,18 +94,18 @@
     let owner = store.identity();
     let _ = writeln!(text, "identity cluster={} name={} id={:016x}", owner.cluster, owner.name, owner.id);
     let _ = writeln!(text, "starts {}", store.starts());
-    let loaded = store.load().expect("the state loads");
-    let hard_state = loaded.hard_state;
+    let persisted = store.load().expect("the state loads");
+    let hard_state = persisted.hard_state;
     let _ = writeln!(
         text,
         "hard term={} vote={:016x} commit={}",
         hard_state.term, hard_state.vote, hard_state.commit
     );
-    let snapshot = loaded.snapshot.expect("the store has a snapshot");
+    let snapshot = persisted.snapshot.expect("the store has a snapshot");
     let _ = writeln!(text, "snapshot index={} term={}", snapshot.index, snapshot.term);
     let _ = writeln!(text, "snapshot members={}", hex(&snapshot.members));
     let _ = writeln!(text, "snapshot data={}", hex(&snapshot.data));
-    for entry in &loaded.entries {
+    for entry in &persisted.entries {
         let _ = writeln!(
             text,
             "entry index={} term={} kind={} data={} context={}",
@@ -129,14 +129,14 @@
     let (_directory, path) = copy_fixture();
     let store = Store::inspect(&path).expect("the store opens");
     assert_eq!(store.starts(), 3);
-    let loaded = store.load().expect("the state loads");
-    assert_eq!(loaded.hard_state, HardState { term: 4, vote: 0x0a11_ce00_0000_0001, commit: 329 });
-    let snapshot = loaded.snapshot.as_ref().expect("the store has a snapshot");
+    let persisted = store.load().expect("the state loads");
+    assert_eq!(persisted.hard_state, HardState { term: 4, vote: 0x0a11_ce00_0000_0001, commit: 329 });
+    let snapshot = persisted.snapshot.as_ref().expect("the store has a snapshot");
     assert_eq!((snapshot.index, snapshot.term), (SNAPSHOT_INDEX, 4));
-    let indexes: Vec<u64> = loaded.entries.iter().map(|entry| entry.index).collect();
+    let indexes: Vec<u64> = persisted.entries.iter().map(|entry| entry.index).collect();
     assert_eq!(indexes, (SNAPSHOT_INDEX + 1..=331).collect::<Vec<_>>());
-    assert!(loaded.entries.iter().all(|entry| entry.term == 4 && entry.context.is_empty()));
-    let kinds: Vec<(u64, u8)> = loaded
+    assert!(persisted.entries.iter().all(|entry| entry.term == 4 && entry.context.is_empty()));
+    let kinds: Vec<(u64, u8)> = persisted
         .entries
         .iter()
         .filter(|entry| entry.kind != 0)
@@ -183,7 +183,7 @@
     let (directory, path) = copy_fixture();
     let expected = table_lines(&path);
     let store = Store::inspect(&path).expect("the store opens");
-    let loaded = store.load().expect("the state loads");
+    let persisted = store.load().expect("the state loads");
     let keys = store.keys_with_prefix("").expect("the keys can be read");
     let new_path = directory.path().join("new.redb");
     // The new store is opened three times, like the fixture, so that the start counts are equal.
@@ -192,9 +192,9 @@
     }
     let mut new_store = Store::open(&new_path, &identity()).expect("the new store opens");
     let batch = Batch {
-        hard_state: Some(loaded.hard_state),
-        snapshot: loaded.snapshot,
-        entries: loaded.entries,
+        hard_state: Some(persisted.hard_state),
+        snapshot: persisted.snapshot,
+        entries: persisted.entries,
         keys: keys.into_iter().map(|(key, value)| (key, Some(value))).collect(),
     };
     new_store.commit(&batch).expect("the batch is committed");
