--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -3,7 +3,9 @@
 use std::path::Path;
 
 use garnetcrank_consensus::replicated_state::Proposal;
-use garnetcrank_store::{HardState, Identity, LogEntry, PersistedState, Scrub, Store, StoreError, Usage};
+use garnetcrank_store::{
+    HardState, Identity, LogEntry, PersistedState, ScrubReport, Store, StoreError, Usage,
+};
 use serde_json::{Value, json};
 
 use crate::command_text::command_text;
@@ -36,7 +38,7 @@
     usage: Usage,
     hard_state: Option<HardState>,
     snapshot: Option<SnapshotSummary>,
-    scrub: Option<Scrub>,
+    scrub: Option<ScrubReport>,
     /// Index, term and text of each entry.
     entries: Vec<[String; 3]>,
 }
@@ -97,7 +99,7 @@
             "starts": self.starts,
             "usage": self.usage,
             "hard": self.hard_state,
-            "sound": self.scrub.as_ref().map(|scrub| scrub.sound),
+            "sound": self.scrub.as_ref().map(|scrub| scrub.valid_count),
             "snapshot": snapshot,
             "corrupt": self.corrupt_texts(),
             "entries": self.entries,
@@ -119,7 +121,7 @@
         }
         lines.push(self.usage_text());
         if let Some(scrub) = &self.scrub {
-            lines.push(format!("  {} values are intact, {} corrupt", scrub.sound, scrub.corrupt.len()));
+            lines.push(format!("  {} values are intact, {} corrupt", scrub.valid_count, scrub.corrupt.len()));
         }
         for corrupt in self.corrupt_texts() {
             lines.push(format!("  corrupt: {corrupt}"));
@@ -141,7 +143,7 @@
 }
 
 /// Loads a store. Returns `None` if corrupt values prevent that and the scrub has already reported them.
-fn load(store: &Store, scrub: Option<&Scrub>) -> Result<Option<PersistedState>, StoreError> {
+fn load(store: &Store, scrub: Option<&ScrubReport>) -> Result<Option<PersistedState>, StoreError> {
     let is_reported = scrub.is_some_and(|scrub| !scrub.corrupt.is_empty());
     match store.load() {
         Ok(persisted) => Ok(Some(persisted)),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -35,4 +35,4 @@
 pub use checksum::{CorruptValue, Corruption};
 pub use error::{BatchOrderError, StoreError};
 pub use schema::{SCHEMA_VERSION, StoredSchema};
-pub use store::{PersistedState, Scrub, Store, Usage};
+pub use store::{PersistedState, ScrubReport, Store, Usage};
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -13,7 +13,7 @@
 mod scrub;
 
 pub use load::PersistedState;
-pub use scrub::{Scrub, Usage};
+pub use scrub::{ScrubReport, Usage};
 
 /// Store in a file that only one process at a time can open.
 #[derive(Debug)]
--- a/crates/store/src/store/scrub.rs
+++ b/crates/store/src/store/scrub.rs
@@ -11,17 +11,17 @@
 
 /// Result of a scrub.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Scrub {
+pub struct ScrubReport {
     /// Number of values that were verified successfully.
-    pub sound: u64,
+    pub valid_count: u64,
     /// Corrupt values.
     pub corrupt: Vec<CorruptValue>,
 }
 
-impl Scrub {
+impl ScrubReport {
     fn add_result<T>(&mut self, value: Result<T, CorruptValue>) {
         match value {
-            Ok(_) => self.sound += 1,
+            Ok(_) => self.valid_count += 1,
             Err(corrupt) => self.corrupt.push(corrupt),
         }
     }
@@ -47,9 +47,9 @@
     ///
     /// # Errors
     /// Returns an error if the device fails. Corrupt values are not an error but part of the result.
-    pub fn scrub(&self) -> Result<Scrub, StoreError> {
+    pub fn scrub(&self) -> Result<ScrubReport, StoreError> {
         let txn = self.db.begin_read()?;
-        let mut report = Scrub::default();
+        let mut report = ScrubReport::default();
         for item in txn.open_table(META)?.iter()? {
             let (key, stored) = item?;
             if key.value() != SCHEMA_KEY {
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -196,7 +196,7 @@
     let store = Store::open_on(FaultyDisk::holding(image), &identity()).unwrap();
     let report = store.scrub().unwrap();
     assert!(report.corrupt.iter().any(|corrupt| corrupt.table == "log" && corrupt.key == "42"), "{report:?}");
-    assert!(report.sound > 3);
+    assert!(report.valid_count > 3);
 }
 
 #[test]
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -157,7 +157,7 @@
     // checksum.
     let values =
         std::fs::read_to_string(fixture("tables.txt")).expect("the fixture file can be read").lines().count();
-    assert_eq!(scrub.sound, values as u64 - 2);
+    assert_eq!(scrub.valid_count, values as u64 - 2);
 }
 
 #[test]
