--- a/crates/agent/src/engine/mod.rs
+++ b/crates/agent/src/engine/mod.rs
@@ -80,7 +80,7 @@
     /// The channel on which state is published to proxies that watch.
     pub published: watch::Sender<PublishedState>,
     /// Number of times that the store has been opened, including this one.
-    pub starts: u64,
+    pub start_count: u64,
 }
 
 /// The engine; see the module's documentation.
@@ -88,7 +88,7 @@
     config: Config,
     node: RaftNode,
     peer_context: Arc<PeerContext>,
-    starts: u64,
+    start_count: u64,
     clock: EngineClock,
     persistence: Persistence,
     leadership: LeadershipMonitor,
@@ -110,7 +110,7 @@
             storage_writer,
             runtime,
             published,
-            starts,
+            start_count,
         } = parts;
         Self {
             clock: EngineClock::start(config.tick_ms),
@@ -129,7 +129,7 @@
             config,
             node,
             peer_context,
-            starts,
+            start_count,
         }
     }
 
--- a/crates/agent/src/engine/views.rs
+++ b/crates/agent/src/engine/views.rs
@@ -15,7 +15,7 @@
             cluster: self.config.cluster.clone(),
             me: self.member_view(&self.peer_context.me, &progress),
             version: env!("CARGO_PKG_VERSION").to_owned(),
-            starts: self.starts,
+            starts: self.start_count,
             uptime_ms: self.clock.uptime_ms(),
             node: self.node.status(),
             leader: self.node.leader().map(|id| self.member_name(id)),
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -53,9 +53,9 @@
 pub(crate) fn run(config: Config) -> Result<(), AgentError> {
     let OpenedStore { identity, store, persisted } =
         open_store(&config).map_err(|source| AgentError::Store { path: config.store.clone(), source })?;
-    let starts = store.starts();
+    let start_count = store.start_count();
     let me = as_member(&config, &identity);
-    let node = RaftNode::start(raft_settings(&config), me.id, starts, persisted)
+    let node = RaftNode::start(raft_settings(&config), me.id, start_count, persisted)
         .map_err(|source| AgentError::StoredState { path: config.store.clone(), source })?;
     let counters = Arc::new(Counters::default());
     let peer_context = Arc::new(PeerContext {
@@ -72,7 +72,7 @@
     let http_api =
         HttpApi { engine: engine_sender.clone(), published: published_receiver, counters: counters.clone() };
     spawn_connections(&runtime, listeners, http_api, peer_context.clone(), &engine_sender);
-    log_start(&config, &identity, starts);
+    log_start(&config, &identity, start_count);
     let engine = Engine::new(EngineParts {
         config,
         node,
@@ -81,7 +81,7 @@
         storage_writer,
         runtime: runtime.handle().clone(),
         published,
-        starts,
+        start_count,
     });
     let result = engine.run(&inputs);
     log_end(&result, &counters);
@@ -90,11 +90,11 @@
     Ok(result?)
 }
 
-fn log_start(config: &Config, identity: &Identity, starts: u64) {
+fn log_start(config: &Config, identity: &Identity, start_count: u64) {
     let Identity { cluster, name, id } = identity;
     let id = format!("{id:016x}");
     info!(
-        name, id, cluster, starts,
+        name, id, cluster, starts = start_count,
         peers = %config.peer_address, local = %config.http_address, "agent starts"
     );
 }
--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -34,7 +34,7 @@
 /// Content of a store, ready to be printed.
 struct Inspection {
     identity: Identity,
-    starts: u64,
+    start_count: u64,
     usage: Usage,
     hard_state: Option<HardState>,
     snapshot: Option<SnapshotSummary>,
@@ -76,7 +76,7 @@
             }
         }
         let identity = store.identity().clone();
-        Ok(Self { identity, starts: store.starts(), usage, hard_state, snapshot, scrub, entries })
+        Ok(Self { identity, start_count: store.start_count(), usage, hard_state, snapshot, scrub, entries })
     }
 
     /// Describes each corrupt value that the scrub found.
@@ -96,7 +96,7 @@
             "name": self.identity.name,
             "id": format!("{:016x}", self.identity.id),
             "cluster": self.identity.cluster,
-            "starts": self.starts,
+            "starts": self.start_count,
             "usage": self.usage,
             "hard": self.hard_state,
             "sound": self.scrub.as_ref().map(|scrub| scrub.valid_count),
@@ -109,7 +109,7 @@
     fn text(&self) -> String {
         let Identity { name, id, cluster } = &self.identity;
         let mut lines =
-            vec![format!("{name} ({id:016x}) of cluster {cluster}, opened {} times", self.starts)];
+            vec![format!("{name} ({id:016x}) of cluster {cluster}, opened {} times", self.start_count)];
         if let Some(hard) = self.hard_state {
             lines.push(format!(
                 "  term {}, vote {:016x}, committed up to {}",
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -96,7 +96,7 @@
     let read = start.elapsed();
     let settings = RaftSettings { compact_every: u64::MAX / 2, ..RaftSettings::default() };
     let mut node =
-        RaftNode::start(settings, InstanceId(1), store.starts(), persisted).expect("the node starts");
+        RaftNode::start(settings, InstanceId(1), store.start_count(), persisted).expect("the node starts");
     while node.ready().expect("the node prepares its output").is_some() {
         node.on_persisted().expect("the node continues after the write");
     }
--- a/crates/store/src/store/keys.rs
+++ b/crates/store/src/store/keys.rs
@@ -12,7 +12,7 @@
     ///
     /// # Errors
     /// Returns an error if the value is corrupt or the device fails.
-    pub fn key(&self, key: &str) -> Result<Option<Vec<u8>>, StoreError> {
+    pub fn value(&self, key: &str) -> Result<Option<Vec<u8>>, StoreError> {
         let keys = self.db.begin_read()?.open_table(KEYS)?;
         let Some(stored) = keys.get(key)? else { return Ok(None) };
         Ok(Some(decode_key_value(key, stored.value())?.to_vec()))
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     /// Returns an error if a value is corrupt or the device fails.
-    pub fn keys_with_prefix(&self, prefix: &str) -> Result<Vec<(String, Vec<u8>)>, StoreError> {
+    pub fn entries_with_prefix(&self, prefix: &str) -> Result<Vec<(String, Vec<u8>)>, StoreError> {
         let keys = self.db.begin_read()?.open_table(KEYS)?;
         let mut pairs = Vec::new();
         for item in keys.range(prefix..)? {
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -21,7 +21,7 @@
     db: Database,
     identity: Identity,
     /// Number of times that the owner has opened the store.
-    starts: u64,
+    start_count: u64,
     log_end: LogEnd,
     /// Text of the error of the commit that failed, if one has: no more commits are accepted then.
     failure: Option<String>,
@@ -43,8 +43,8 @@
     }
 
     /// Returns the number of times that the owner has opened the store, including this one.
-    pub fn starts(&self) -> u64 {
-        self.starts
+    pub fn start_count(&self) -> u64 {
+        self.start_count
     }
 
     /// Returns unused space of the file to the file system. The duration grows with the number of pages.
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -62,11 +62,11 @@
         }
         // The count must be durable: it distinguishes operations in flight from an earlier run from those of
         // this run.
-        let starts = read_start_count(&txn)? + 1;
-        write_meta(&txn, STARTS_KEY, &starts)?;
+        let start_count = read_start_count(&txn)? + 1;
+        write_meta(&txn, STARTS_KEY, &start_count)?;
         let log_end = create_missing_tables(&txn)?;
         txn.commit()?;
-        Ok(Self { db, identity: owner, starts, log_end, failure: None })
+        Ok(Self { db, identity: owner, start_count, log_end, failure: None })
     }
 
     /// Opens an existing file of any owner for inspection. No stored value is changed, but redb may write to
@@ -85,10 +85,10 @@
             StoredSchema::Empty => return Err(StoreError::Empty),
             StoredSchema::Version(version) => upgrade(&txn, version)?,
         };
-        let starts = read_start_count(&txn)?;
+        let start_count = read_start_count(&txn)?;
         let log_end = create_missing_tables(&txn)?;
         txn.abort()?;
-        Ok(Self { db, identity: owner, starts, log_end, failure: None })
+        Ok(Self { db, identity: owner, start_count, log_end, failure: None })
     }
 
     /// Returns the owner of the file at `path`, or `None` if the file does not exist.
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -51,7 +51,7 @@
         let (mut hard_state, mut snapshot, mut log) =
             (HardState::default(), None::<Snapshot>, Vec::<LogEntry>::new());
         let mut keys = std::collections::BTreeMap::new();
-        let (mut term, mut starts) = (1, 1);
+        let (mut term, mut start_count) = (1, 1);
         for operation in operations {
             term += 1;
             let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
@@ -96,8 +96,8 @@
                     drop(store);
                     disk = FaultyDisk::holding(disk.image());
                     store = Store::open_on(disk.clone(), &identity).unwrap();
-                    starts += 1;
-                    prop_assert_eq!(store.starts(), starts);
+                    start_count += 1;
+                    prop_assert_eq!(store.start_count(), start_count);
                 }
             }
         }
@@ -105,7 +105,7 @@
         prop_assert_eq!(persisted.hard_state, hard_state);
         prop_assert_eq!(persisted.snapshot, snapshot);
         prop_assert_eq!(persisted.entries, log);
-        prop_assert_eq!(store.keys_with_prefix("k/").unwrap(), keys.into_iter().collect::<Vec<_>>());
+        prop_assert_eq!(store.entries_with_prefix("k/").unwrap(), keys.into_iter().collect::<Vec<_>>());
         prop_assert!(store.scrub().unwrap().corrupt.is_empty());
     }
 }
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -36,7 +36,7 @@
 type StoredState = (PersistedState, Vec<(String, Vec<u8>)>);
 
 fn read_state(store: &Store) -> StoredState {
-    (store.load().expect("the state loads"), store.keys_with_prefix("").expect("the keys can be read"))
+    (store.load().expect("the state loads"), store.entries_with_prefix("").expect("the keys can be read"))
 }
 
 /// Returns the expected state after each number of committed batches, from a run without faults.
@@ -84,7 +84,7 @@
                 continue;
             };
             let acknowledged = acknowledged.unwrap_or(0);
-            let found = (store.load().ok(), store.keys_with_prefix("").ok());
+            let found = (store.load().ok(), store.entries_with_prefix("").ok());
             let matches_state_after = |batch_count: usize| {
                 states
                     .get(batch_count)
@@ -169,7 +169,7 @@
         corrupt_image[offset] ^= 1 << rng.u8(0..8);
         let found = std::panic::catch_unwind(|| {
             let store = Store::open_on(FaultyDisk::holding(corrupt_image), &identity())?;
-            Ok::<_, StoreError>((store.load()?, store.keys_with_prefix("")?))
+            Ok::<_, StoreError>((store.load()?, store.entries_with_prefix("")?))
         });
         match found {
             Ok(Ok(found)) => assert_eq!(found, expected, "the flip at offset {offset} changed the data"),
@@ -209,7 +209,7 @@
     assert!(matches!(error, StoreError::WrongOwner { .. }), "{error}");
 
     let mut store = Store::open_on(FaultyDisk::holding(disk.image()), &identity()).unwrap();
-    assert_eq!(store.starts(), 2);
+    assert_eq!(store.start_count(), 2);
     for out_of_order in [
         Batch { entries: vec![entry(45, 5)], ..Batch::default() },
         Batch { entries: vec![entry(40, 5)], ..Batch::default() },
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -93,7 +93,7 @@
     let mut text = String::new();
     let owner = store.identity();
     let _ = writeln!(text, "identity cluster={} name={} id={:016x}", owner.cluster, owner.name, owner.id);
-    let _ = writeln!(text, "starts {}", store.starts());
+    let _ = writeln!(text, "starts {}", store.start_count());
     let persisted = store.load().expect("the state loads");
     let hard_state = persisted.hard_state;
     let _ = writeln!(
@@ -116,11 +116,11 @@
             hex(&entry.context)
         );
     }
-    for (key, value) in store.keys_with_prefix("").expect("the keys can be read") {
-        assert_eq!(store.key(&key).expect("the key can be read"), Some(value.clone()));
+    for (key, value) in store.entries_with_prefix("").expect("the keys can be read") {
+        assert_eq!(store.value(&key).expect("the key can be read"), Some(value.clone()));
         let _ = writeln!(text, "key {key}={}", hex(&value));
     }
-    assert_eq!(store.key("gone").expect("the lookup succeeds"), None);
+    assert_eq!(store.value("gone").expect("the lookup succeeds"), None);
     assert_same_text(&text, "store.txt");
 }
 
@@ -128,7 +128,7 @@
 fn the_fixture_has_the_expected_terms_indexes_kinds_and_keys() {
     let (_directory, path) = copy_fixture();
     let store = Store::inspect(&path).expect("the store opens");
-    assert_eq!(store.starts(), 3);
+    assert_eq!(store.start_count(), 3);
     let persisted = store.load().expect("the state loads");
     assert_eq!(persisted.hard_state, HardState { term: 4, vote: 0x0a11_ce00_0000_0001, commit: 329 });
     let snapshot = persisted.snapshot.as_ref().expect("the store has a snapshot");
@@ -143,12 +143,12 @@
         .map(|entry| (entry.index, entry.kind))
         .collect();
     assert_eq!(kinds, [(329, 1), (330, 1)], "one committed and one uncommitted membership change");
-    let keys = store.keys_with_prefix("gate/").expect("the keys can be read");
+    let key_values = store.entries_with_prefix("gate/").expect("the keys can be read");
     assert_eq!(
-        keys,
+        key_values,
         [("gate/orders".to_owned(), vec![0, 1, 2, 0xff]), ("gate/votes".to_owned(), b"epoch 2".to_vec())]
     );
-    assert_eq!(store.key("empty").expect("the key can be read"), Some(Vec::new()));
+    assert_eq!(store.value("empty").expect("the key can be read"), Some(Vec::new()));
     let usage = store.usage().expect("the usage can be read");
     assert_eq!((usage.entries, usage.first, usage.last, usage.keys), (49, Some(283), Some(331), 3));
     let scrub = store.scrub().expect("the scrub succeeds");
@@ -184,7 +184,7 @@
     let expected = table_lines(&path);
     let store = Store::inspect(&path).expect("the store opens");
     let persisted = store.load().expect("the state loads");
-    let keys = store.keys_with_prefix("").expect("the keys can be read");
+    let key_values = store.entries_with_prefix("").expect("the keys can be read");
     let new_path = directory.path().join("new.redb");
     // The new store is opened three times, like the fixture, so that the start counts are equal.
     for _ in 0..2 {
@@ -195,7 +195,7 @@
         hard_state: Some(persisted.hard_state),
         snapshot: persisted.snapshot,
         entries: persisted.entries,
-        keys: keys.into_iter().map(|(key, value)| (key, Some(value))).collect(),
+        keys: key_values.into_iter().map(|(key, value)| (key, Some(value))).collect(),
     };
     new_store.commit(&batch).expect("the batch is committed");
     drop(new_store);
