--- a/crates/cli/tests/golden_json.rs
+++ b/crates/cli/tests/golden_json.rs
@@ -474,9 +474,9 @@
     let log_entry = |(index, (kind, data))| LogEntry { index, term: 2, kind, data, context: Vec::new() };
     let entries = (2..).zip(kinds_and_data).map(log_entry).collect();
     let hard = HardState { term: 2, vote: 0xab, commit: 8 };
-    let keys = vec![("k".to_owned(), Some(vec![1]))];
+    let key_changes = vec![("k".to_owned(), Some(vec![1]))];
     store
-        .commit(&Batch { hard_state: Some(hard), entries, keys, ..Batch::default() })
+        .commit(&Batch { hard_state: Some(hard), entries, key_changes, ..Batch::default() })
         .expect("the batch can be committed");
 }
 
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -64,7 +64,7 @@
     /// Entries to append, in order. They replace all stored entries from the index of the first one on.
     pub entries: Vec<LogEntry>,
     /// Changes to the keys of other subsystems: `Some` sets the key's value, `None` removes the key.
-    pub keys: Vec<(String, Option<Vec<u8>>)>,
+    pub key_changes: Vec<(String, Option<Vec<u8>>)>,
 }
 
 impl Batch {
--- a/crates/store/src/store/commit.rs
+++ b/crates/store/src/store/commit.rs
@@ -89,8 +89,8 @@
         if !batch.entries.is_empty() {
             write_entries(&txn, &batch.entries, log_end.snapshot_index)?;
         }
-        if !batch.keys.is_empty() {
-            write_keys(&txn, &batch.keys)?;
+        if !batch.key_changes.is_empty() {
+            write_keys(&txn, &batch.key_changes)?;
         }
         txn.commit()?;
         Ok(())
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -90,7 +90,7 @@
                         Some(value) => drop(keys.insert(change.0.clone(), value)),
                         None => drop(keys.remove(&change.0)),
                     }
-                    store.commit(&Batch { keys: vec![change], ..Batch::default() }).unwrap();
+                    store.commit(&Batch { key_changes: vec![change], ..Batch::default() }).unwrap();
                 }
                 Operation::Restart => {
                     drop(store);
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -23,12 +23,24 @@
     let entries = |from: u64, to: u64, term| (from..=to).map(|index| entry(index, term)).collect::<Vec<_>>();
     vec![
         Batch { hard_state: hard_state(1, 7, 0), ..Batch::default() },
-        Batch { entries: entries(1, 6, 1), keys: vec![key("gate/orders", Some(b"3"))], ..Batch::default() },
+        Batch {
+            entries: entries(1, 6, 1),
+            key_changes: vec![key("gate/orders", Some(b"3"))],
+            ..Batch::default()
+        },
         Batch { hard_state: hard_state(2, 8, 3), entries: entries(4, 9, 2), ..Batch::default() },
         Batch { snapshot: snapshot(5, 2, 150_000), hard_state: hard_state(2, 8, 6), ..Batch::default() },
-        Batch { entries: entries(10, 14, 2), keys: vec![key("gate/orders", None)], ..Batch::default() },
+        Batch {
+            entries: entries(10, 14, 2),
+            key_changes: vec![key("gate/orders", None)],
+            ..Batch::default()
+        },
         Batch { snapshot: snapshot(40, 5, 70_000), hard_state: hard_state(5, 0, 40), ..Batch::default() },
-        Batch { entries: entries(41, 43, 5), keys: vec![key("gate/votes", Some(b"9"))], ..Batch::default() },
+        Batch {
+            entries: entries(41, 43, 5),
+            key_changes: vec![key("gate/votes", Some(b"9"))],
+            ..Batch::default()
+        },
     ]
 }
 
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -195,7 +195,7 @@
         hard_state: Some(persisted.hard_state),
         snapshot: persisted.snapshot,
         entries: persisted.entries,
-        keys: key_values.into_iter().map(|(key, value)| (key, Some(value))).collect(),
+        key_changes: key_values.into_iter().map(|(key, value)| (key, Some(value))).collect(),
     };
     new_store.commit(&batch).expect("the batch is committed");
     drop(new_store);
