--- a/crates/agent/src/found.rs
+++ b/crates/agent/src/found.rs
@@ -2,7 +2,7 @@
 
 use garnetcrank_agent::config::Config;
 use garnetcrank_consensus::raft_node;
-use garnetcrank_store::{Identity, Store, StoreError};
+use garnetcrank_store::{OwnerIdentity, Store, StoreError};
 
 use crate::error::AgentError;
 use crate::identity::{InstanceIdentity, as_member};
@@ -24,7 +24,7 @@
     Ok(())
 }
 
-fn create_store(config: &Config, identity: &Identity) -> Result<(), StoreError> {
+fn create_store(config: &Config, identity: &OwnerIdentity) -> Result<(), StoreError> {
     let mut store = Store::open(&config.store, identity)?;
     store.commit(&raft_node::initial_state(&[as_member(config, identity)]))
 }
--- a/crates/agent/src/identity.rs
+++ b/crates/agent/src/identity.rs
@@ -3,14 +3,14 @@
 use garnetcrank_agent::config::Config;
 use garnetcrank_consensus::ids::InstanceId;
 use garnetcrank_consensus::replicated_state::Member;
-use garnetcrank_store::{Identity, Store, StoreError};
+use garnetcrank_store::{OwnerIdentity, Store, StoreError};
 
 /// The identity of this instance, by its origin.
 pub(crate) enum InstanceIdentity {
     /// The identity recorded in the store.
-    Stored(Identity),
+    Stored(OwnerIdentity),
     /// An identity with a newly generated id; there is no store yet.
-    New(Identity),
+    New(OwnerIdentity),
 }
 
 impl InstanceIdentity {
@@ -27,19 +27,19 @@
     }
 
     /// Returns the identity regardless of its origin.
-    pub(crate) fn into_inner(self) -> Identity {
+    pub(crate) fn into_inner(self) -> OwnerIdentity {
         match self {
             Self::Stored(identity) | Self::New(identity) => identity,
         }
     }
 }
 
-fn with_id(config: &Config, id: u64) -> Identity {
-    Identity { cluster: config.cluster.clone(), name: config.name.clone(), id }
+fn with_id(config: &Config, id: u64) -> OwnerIdentity {
+    OwnerIdentity { cluster: config.cluster.clone(), name: config.name.clone(), id }
 }
 
 /// Returns this instance as a member of its cluster.
-pub(crate) fn as_member(config: &Config, identity: &Identity) -> Member {
+pub(crate) fn as_member(config: &Config, identity: &OwnerIdentity) -> Member {
     let address = config.announced().to_string();
     Member { id: InstanceId(identity.id), name: identity.name.clone(), address }
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -13,7 +13,7 @@
 use garnetcrank_agent::peer_transport::{self, PeerContext};
 use garnetcrank_agent::storage_writer;
 use garnetcrank_consensus::raft_node::{RaftNode, RaftSettings};
-use garnetcrank_store::{Batch, Identity, PersistedState, Store, StoreError};
+use garnetcrank_store::{Batch, OwnerIdentity, PersistedState, Store, StoreError};
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{SignalKind, signal};
@@ -35,7 +35,7 @@
 
 /// The opened store, its owner's identity and the persisted state.
 struct OpenedStore {
-    identity: Identity,
+    identity: OwnerIdentity,
     store: Store,
     persisted: PersistedState,
 }
@@ -90,8 +90,8 @@
     Ok(result?)
 }
 
-fn log_start(config: &Config, identity: &Identity, start_count: u64) {
-    let Identity { cluster, name, id } = identity;
+fn log_start(config: &Config, identity: &OwnerIdentity, start_count: u64) {
+    let OwnerIdentity { cluster, name, id } = identity;
     let id = format!("{id:016x}");
     info!(
         name, id, cluster, starts = start_count,
--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -4,7 +4,7 @@
 
 use garnetcrank_consensus::replicated_state::Proposal;
 use garnetcrank_store::{
-    HardState, Identity, LogEntry, PersistedState, ScrubReport, Store, StoreError, Usage,
+    HardState, LogEntry, OwnerIdentity, PersistedState, ScrubReport, Store, StoreError, Usage,
 };
 use serde_json::{Value, json};
 
@@ -33,7 +33,7 @@
 
 /// Content of a store, ready to be printed.
 struct Inspection {
-    identity: Identity,
+    identity: OwnerIdentity,
     start_count: u64,
     usage: Usage,
     hard_state: Option<HardState>,
@@ -107,7 +107,7 @@
     }
 
     fn text(&self) -> String {
-        let Identity { name, id, cluster } = &self.identity;
+        let OwnerIdentity { name, id, cluster } = &self.identity;
         let mut lines =
             vec![format!("{name} ({id:016x}) of cluster {cluster}, opened {} times", self.start_count)];
         if let Some(hard) = self.hard_state {
--- a/crates/cli/tests/golden_json.rs
+++ b/crates/cli/tests/golden_json.rs
@@ -12,7 +12,7 @@
 use garnetcrank_consensus::ids::{Epoch, InstanceId, Role, Sequence, SessionId, Subject};
 use garnetcrank_consensus::raft_node;
 use garnetcrank_consensus::replicated_state::{Command as LedgerCommand, Member, Proposal};
-use garnetcrank_store::{Batch, HardState, Identity, LogEntry, Store};
+use garnetcrank_store::{Batch, HardState, LogEntry, OwnerIdentity, Store};
 use serde_json::{Value, json};
 
 /// Request as the agent receives it, with all white space removed from the body.
@@ -451,7 +451,7 @@
 
 /// Writes a store like that of a stopped agent, with a log entry of each kind.
 fn write_store(path: &Path) {
-    let identity = Identity { cluster: "fronts".into(), name: "n1".into(), id: 0xab };
+    let identity = OwnerIdentity { cluster: "fronts".into(), name: "n1".into(), id: 0xab };
     let mut store = Store::open(path, &identity).expect("the store can be created");
     let member = Member { id: InstanceId(0xab), name: "n1".into(), address: "10.0.0.1:7001".into() };
     store.commit(&raft_node::initial_state(&[member])).expect("the batch can be committed");
--- a/crates/consensus/examples/handover/disk.rs
+++ b/crates/consensus/examples/handover/disk.rs
@@ -1,7 +1,7 @@
 //! Disks of simulated instances: a fast model of the store, or the real store on a disk that simulates power loss.
 
 use garnetcrank_consensus::ids::InstanceId;
-use garnetcrank_store::{Batch, Identity, PersistedState, Store, StoreError};
+use garnetcrank_store::{Batch, OwnerIdentity, PersistedState, Store, StoreError};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
 /// Kind of a simulated disk.
@@ -18,7 +18,7 @@
     /// See [`DiskKind::Model`].
     Model { durable: PersistedState, unsynced: Vec<Batch>, ignore_syncs: bool },
     /// See [`DiskKind::Store`].
-    Real { disk: FaultyDisk, store: Option<Store>, identity: Identity },
+    Real { disk: FaultyDisk, store: Option<Store>, identity: OwnerIdentity },
 }
 
 /// Applies a batch to the model as the store would.
@@ -47,7 +47,7 @@
                 Self::Model { durable: PersistedState::default(), unsynced: Vec::new(), ignore_syncs: false }
             }
             DiskKind::Store => {
-                let identity = Identity { cluster: "sim".into(), name: format!("i{id}"), id: id.0 };
+                let identity = OwnerIdentity { cluster: "sim".into(), name: format!("i{id}"), id: id.0 };
                 let disk = FaultyDisk::new();
                 let store = Store::open_on(disk.clone(), &identity).ok();
                 Self::Real { disk, store, identity }
--- a/crates/consensus/examples/recovery.rs
+++ b/crates/consensus/examples/recovery.rs
@@ -10,7 +10,7 @@
 use garnetcrank_consensus::pending_requests::Answer;
 use garnetcrank_consensus::raft_node::{self, Message, RaftNode, RaftSettings};
 use garnetcrank_consensus::replicated_state::{Command, Member, Proposal, Reply};
-use garnetcrank_store::{Batch, HardState, Identity, LogEntry, PersistedState, Store};
+use garnetcrank_store::{Batch, HardState, LogEntry, OwnerIdentity, PersistedState, Store};
 
 const KIB_PER_MIB: f64 = 1024.0;
 const BYTES_PER_MIB: f64 = 1_048_576.0;
@@ -39,8 +39,8 @@
     duration.as_secs_f64() * 1e3
 }
 
-fn identity() -> Identity {
-    Identity { cluster: "measure".into(), name: "n1".into(), id: 1 }
+fn identity() -> OwnerIdentity {
+    OwnerIdentity { cluster: "measure".into(), name: "n1".into(), id: 1 }
 }
 
 fn member(id: u64) -> Member {
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -43,7 +43,7 @@
 
 /// Identity of the instance that owns a store. It is fixed when the store is created.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Identity {
+pub struct OwnerIdentity {
     /// Name of the cluster.
     pub cluster: String,
     /// Name of the instance.
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use crate::batch::Identity;
+use crate::batch::OwnerIdentity;
 use crate::checksum::{CorruptValue, Corruption};
 
 /// Table name that errors report if the corruption is not in a single table.
@@ -32,9 +32,9 @@
     #[error("the store belongs to {}, not to {}", describe_owner(found), describe_owner(expected))]
     WrongOwner {
         /// Owner of the file.
-        found: Box<Identity>,
+        found: Box<OwnerIdentity>,
         /// Instance that tried to open the file.
-        expected: Box<Identity>,
+        expected: Box<OwnerIdentity>,
     },
     /// The batch does not continue the stored log. Nothing was changed.
     #[error("batch does not continue the stored log: {0}")]
@@ -114,7 +114,7 @@
     }
 }
 
-fn describe_owner(identity: &Identity) -> String {
+fn describe_owner(identity: &OwnerIdentity) -> String {
     format!("{} ({:016x}) of cluster {}", identity.name, identity.id, identity.cluster)
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -31,7 +31,7 @@
 mod store;
 mod synced_device;
 
-pub use batch::{Batch, HardState, Identity, LogEntry, Snapshot};
+pub use batch::{Batch, HardState, LogEntry, OwnerIdentity, Snapshot};
 pub use checksum::{CorruptValue, Corruption};
 pub use error::{BatchOrderError, StoreError};
 pub use schema::{SCHEMA_VERSION, StoredSchema};
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -3,7 +3,7 @@
 
 use redb::Database;
 
-use crate::batch::Identity;
+use crate::batch::OwnerIdentity;
 use crate::error::StoreError;
 
 mod commit;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct Store {
     db: Database,
-    identity: Identity,
+    identity: OwnerIdentity,
     /// Number of times that the owner has opened the store.
     start_count: u64,
     log_end: LogEnd,
@@ -38,7 +38,7 @@
 
 impl Store {
     /// Returns the identity of the owner.
-    pub fn identity(&self) -> &Identity {
+    pub fn identity(&self) -> &OwnerIdentity {
         &self.identity
     }
 
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -10,7 +10,7 @@
 use redb::{Database, ReadableTable, StorageBackend, WriteTransaction};
 
 use super::{LogEnd, Store};
-use crate::batch::Identity;
+use crate::batch::OwnerIdentity;
 use crate::checksum::{CorruptValue, Corruption};
 use crate::codec::{SnapshotHeader, read_meta, write_meta};
 use crate::error::StoreError;
@@ -30,7 +30,7 @@
     /// # Errors
     /// Returns an error if the file belongs to another owner, has an unsupported schema version or is
     /// corrupt, or if the device fails.
-    pub fn open(path: &Path, identity: &Identity) -> Result<Self, StoreError> {
+    pub fn open(path: &Path, identity: &OwnerIdentity) -> Result<Self, StoreError> {
         let file = open_file(path).map_err(|source| StoreError::File { path: path.to_owned(), source })?;
         // If the file is new, its directory entry must be durable as well.
         if let Some(directory) = path.parent().filter(|directory| !directory.as_os_str().is_empty()) {
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// Returns the same errors as [`Store::open`].
-    pub fn open_on(device: impl StorageBackend, identity: &Identity) -> Result<Self, StoreError> {
+    pub fn open_on(device: impl StorageBackend, identity: &OwnerIdentity) -> Result<Self, StoreError> {
         let db = open_database(|| {
             Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(SyncedDevice(device))
         })?;
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// Returns the same errors as [`Store::inspect`].
-    pub fn owner(path: &Path) -> Result<Option<Identity>, StoreError> {
+    pub fn owner(path: &Path) -> Result<Option<OwnerIdentity>, StoreError> {
         if !path.is_file() {
             return Ok(None);
         }
@@ -123,13 +123,13 @@
 }
 
 /// Writes the schema version and the owner to a new file.
-fn initialize(txn: &WriteTransaction, owner: &Identity) -> Result<(), StoreError> {
+fn initialize(txn: &WriteTransaction, owner: &OwnerIdentity) -> Result<(), StoreError> {
     schema::write_version(txn, SCHEMA_VERSION)?;
     write_meta(txn, IDENTITY_KEY, owner)
 }
 
 /// Upgrades a file to this program's schema version. Returns the owner.
-fn upgrade(txn: &WriteTransaction, version: u32) -> Result<Identity, StoreError> {
+fn upgrade(txn: &WriteTransaction, version: u32) -> Result<OwnerIdentity, StoreError> {
     schema::upgrade(txn, version, SCHEMA_VERSION, schema::UPGRADES)?;
     match read_meta(txn, IDENTITY_KEY)? {
         Some(owner) => Ok(owner),
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,7 +1,7 @@
 //! Compares a store with an in-memory model over random batches and restarts. Guards against stored data that
 //! is lost, stale or altered when appends, overwrites and snapshots interleave.
 
-use garnetcrank_store::{Batch, HardState, Identity, LogEntry, Snapshot, Store};
+use garnetcrank_store::{Batch, HardState, LogEntry, OwnerIdentity, Snapshot, Store};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -45,7 +45,7 @@
 
     #[test]
     fn the_loaded_state_matches_the_model(operations in prop::collection::vec(operation(), 1..30)) {
-        let identity = Identity { cluster: "c".into(), name: "n".into(), id: 1 };
+        let identity = OwnerIdentity { cluster: "c".into(), name: "n".into(), id: 1 };
         let mut disk = FaultyDisk::new();
         let mut store = Store::open_on(disk.clone(), &identity).unwrap();
         let (mut hard_state, mut snapshot, mut log) =
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -1,11 +1,13 @@
 //! Guards against lost or partial batches and against corrupt data that reaches callers. The device has power
 //! cuts at each operation (unsynced writes are lost, kept or torn), failed syncs, no space or flipped bits.
 
-use garnetcrank_store::{Batch, HardState, Identity, LogEntry, PersistedState, Snapshot, Store, StoreError};
+use garnetcrank_store::{
+    Batch, HardState, LogEntry, OwnerIdentity, PersistedState, Snapshot, Store, StoreError,
+};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
-fn identity() -> Identity {
-    Identity { cluster: "test".into(), name: "one".into(), id: 7 }
+fn identity() -> OwnerIdentity {
+    OwnerIdentity { cluster: "test".into(), name: "one".into(), id: 7 }
 }
 
 fn entry(index: u64, term: u64) -> LogEntry {
@@ -215,7 +217,7 @@
 fn a_wrong_owner_and_out_of_order_batches_are_rejected() {
     let disk = FaultyDisk::new();
     run_workload(&disk).unwrap();
-    let other = Identity { id: 8, ..identity() };
+    let other = OwnerIdentity { id: 8, ..identity() };
     let same_disk = FaultyDisk::holding(disk.image());
     let error = Store::open_on(same_disk, &other).unwrap_err();
     assert!(matches!(error, StoreError::WrongOwner { .. }), "{error}");
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -12,7 +12,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use garnetcrank_store::{Batch, HardState, Identity, Store, StoreError, StoredSchema};
+use garnetcrank_store::{Batch, HardState, OwnerIdentity, Store, StoreError, StoredSchema};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 /// Index of the fixture's snapshot: entries up to it are no longer read.
@@ -31,8 +31,8 @@
     (directory, path)
 }
 
-fn identity() -> Identity {
-    Identity { cluster: "eger".to_owned(), name: "alma".to_owned(), id: 0x0a11_ce00_0000_0001 }
+fn identity() -> OwnerIdentity {
+    OwnerIdentity { cluster: "eger".to_owned(), name: "alma".to_owned(), id: 0x0a11_ce00_0000_0001 }
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -163,7 +163,7 @@
 #[test]
 fn another_instance_is_rejected_with_the_names_and_ids_of_both() {
     let (_directory, path) = copy_fixture();
-    let other = Identity { id: 7, ..identity() };
+    let other = OwnerIdentity { id: 7, ..identity() };
     let error = Store::open(&path, &other).expect_err("the store belongs to another instance");
     assert!(matches!(error, StoreError::WrongOwner { .. }));
     assert_eq!(
