--- a/crates/consensus/src/fencing.rs
+++ b/crates/consensus/src/fencing.rs
@@ -66,7 +66,7 @@
 /// The error for an epoch that is not the newest one that the gate has observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the newest epoch that the fencing gate has observed is {newest}")]
-pub struct NewerEpoch {
+pub struct EpochNotCurrent {
     /// The newest epoch observed.
     pub newest: Epoch,
 }
@@ -83,10 +83,10 @@
     ///
     /// # Errors
     /// A newer epoch has been observed.
-    pub fn observe_epoch(&mut self, role: &Role, epoch: Epoch) -> Result<(), NewerEpoch> {
+    pub fn observe_epoch(&mut self, role: &Role, epoch: Epoch) -> Result<(), EpochNotCurrent> {
         let fence = self.roles.entry(role.clone()).or_default();
         if epoch < fence.newest_epoch {
-            return Err(NewerEpoch { newest: fence.newest_epoch });
+            return Err(EpochNotCurrent { newest: fence.newest_epoch });
         }
         if epoch > fence.newest_epoch {
             fence.newest_epoch = epoch;
@@ -97,7 +97,7 @@
 
     /// Decides whether an order may be executed under `epoch`, and remembers it if so.
     pub fn admit(&mut self, role: &Role, epoch: Epoch, order: &Subject) -> FencingDecision {
-        if let Err(NewerEpoch { newest }) = self.observe_epoch(role, epoch) {
+        if let Err(EpochNotCurrent { newest }) = self.observe_epoch(role, epoch) {
             return FencingDecision::StaleEpoch { newest };
         }
         let fence = self.roles.entry(role.clone()).or_default();
@@ -116,10 +116,10 @@
     ///
     /// # Errors
     /// `epoch` is not the newest one observed.
-    pub fn was_executed(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, NewerEpoch> {
+    pub fn was_executed(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, EpochNotCurrent> {
         let newest = self.current_epoch(role);
         if epoch != newest {
-            return Err(NewerEpoch { newest });
+            return Err(EpochNotCurrent { newest });
         }
         Ok(self.roles.get(role).is_some_and(|fence| fence.admitted.contains_key(order)))
     }
