--- a/crates/consensus/examples/handover/world/gate.rs
+++ b/crates/consensus/examples/handover/world/gate.rs
@@ -102,7 +102,7 @@
     }
 
     fn query_order(&mut self, epoch: Epoch, number: u64) -> Packet {
-        match self.gate.fencing_gate.was_executed(&role(), epoch, &order(number)) {
+        match self.gate.fencing_gate.was_admitted(&role(), epoch, &order(number)) {
             Ok(executed) => Packet::OrderStatus { epoch, order: number, executed },
             Err(error) => Packet::NewerEpoch(error.newest),
         }
--- a/crates/consensus/src/fencing.rs
+++ b/crates/consensus/src/fencing.rs
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     /// `epoch` is not the newest one observed.
-    pub fn was_executed(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, EpochNotCurrent> {
+    pub fn was_admitted(&self, role: &Role, epoch: Epoch, order: &Subject) -> Result<bool, EpochNotCurrent> {
         let newest = self.current_epoch(role);
         if epoch != newest {
             return Err(EpochNotCurrent { newest });
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -10,15 +10,15 @@
     assert_eq!(gate.admit(&role, Epoch(1), &order(1)), FencingDecision::Admit);
     assert_eq!(gate.admit(&role, Epoch(1), &order(1)), FencingDecision::Duplicate { epoch: Epoch(1) });
     assert_eq!(
-        gate.was_executed(&role, Epoch(2), &order(1)),
+        gate.was_admitted(&role, Epoch(2), &order(1)),
         Err(EpochNotCurrent { newest: Epoch(1) }),
         "a query is rejected until its epoch has been observed"
     );
     gate.observe_epoch(&role, Epoch(2)).unwrap();
-    assert_eq!(gate.was_executed(&role, Epoch(2), &order(2)), Ok(false));
+    assert_eq!(gate.was_admitted(&role, Epoch(2), &order(2)), Ok(false));
     assert_eq!(gate.admit(&role, Epoch(1), &order(2)), FencingDecision::StaleEpoch { newest: Epoch(2) });
     assert_eq!(gate.observe_epoch(&role, Epoch(1)), Err(EpochNotCurrent { newest: Epoch(2) }));
-    assert_eq!(gate.was_executed(&role, Epoch(2), &order(1)), Ok(true));
+    assert_eq!(gate.was_admitted(&role, Epoch(2), &order(1)), Ok(true));
     assert_eq!(gate.admit(&role, Epoch(2), &order(2)), FencingDecision::Admit);
     let other = Role("votes".into());
     assert_eq!(
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -109,7 +109,7 @@
             return None;
         }
         let mut next = self.clone();
-        match self.gate.was_executed(&role(), Epoch(self.epoch), &order()) {
+        match self.gate.was_admitted(&role(), Epoch(self.epoch), &order()) {
             Ok(true) => next.resolved = true,
             Ok(false) => next.dispatched = None,
             Err(_) => return None,
