--- a/crates/agent/src/engine/mod.rs
+++ b/crates/agent/src/engine/mod.rs
@@ -174,7 +174,7 @@
     fn handle_input(&mut self, input: EngineInput) -> Result<(), EngineError> {
         match input {
             EngineInput::PeerMessage(message) => self.receive(*message),
-            EngineInput::PeerUnreachable(id) => self.node.unreachable(id),
+            EngineInput::PeerUnreachable(id) => self.node.report_unreachable(id),
             EngineInput::PeerDiscovered(member) => self.peers.on_discovered(member),
             EngineInput::BatchPersisted { file_bytes } => self.on_batch_persisted(file_bytes)?,
             EngineInput::StorageFailed(error) => return Err(error.into()),
--- a/crates/agent/src/engine/requests.rs
+++ b/crates/agent/src/engine/requests.rs
@@ -130,7 +130,7 @@
         match self.find_member(to) {
             Ok(id) => {
                 let ticket = self.replies.register(PendingReply::Operation(reply));
-                self.node.transfer(ticket, id);
+                self.node.transfer_leadership(ticket, id);
             }
             Err(error) => reject(reply, &error),
         }
--- a/crates/consensus/examples/handover/world/faults.rs
+++ b/crates/consensus/examples/handover/world/faults.rs
@@ -130,7 +130,7 @@
             let Some(process) = &mut instance.process else { continue };
             if process.node.is_leader() {
                 let ticket = process.new_ticket(TicketOwner::Ignored);
-                process.node.transfer(ticket, successor);
+                process.node.transfer_leadership(ticket, successor);
             }
         }
     }
--- a/crates/consensus/src/raft_node/membership_changes.rs
+++ b/crates/consensus/src/raft_node/membership_changes.rs
@@ -54,7 +54,7 @@
 
     /// Transfers leadership to another voter. The answer confirms that the transfer has started, not that it
     /// is complete.
-    pub fn transfer(&mut self, ticket: Ticket, transferee: InstanceId) {
+    pub fn transfer_leadership(&mut self, ticket: Ticket, transferee: InstanceId) {
         let answer = if !self.is_leader() {
             Answer::NotLeader(self.leader())
         } else if !self.is_voter(transferee) {
--- a/crates/consensus/src/raft_node/mod.rs
+++ b/crates/consensus/src/raft_node/mod.rs
@@ -178,7 +178,7 @@
     }
 
     /// Reports that a member is unreachable; it is probed before more entries are sent to it.
-    pub fn unreachable(&mut self, id: InstanceId) {
+    pub fn report_unreachable(&mut self, id: InstanceId) {
         self.raw.report_unreachable(id.0);
     }
 
--- a/crates/consensus/src/raft_node/proposals.rs
+++ b/crates/consensus/src/raft_node/proposals.rs
@@ -13,7 +13,7 @@
 
 impl RaftNode {
     /// Generates the nonce of a [`Command::OpenSession`], which no other command in the cluster uses.
-    pub fn nonce(&mut self) -> u64 {
+    pub fn next_nonce(&mut self) -> u64 {
         self.counter += 1;
         split_mix_64(self.id.0) ^ split_mix_64(self.incarnation << NONCE_COUNTER_BITS | self.counter)
     }
@@ -31,7 +31,7 @@
 
     /// Opens a session for a proposer. The answer follows within `timeout` ticks.
     pub fn open_session(&mut self, ticket: Ticket, timeout: u64) {
-        let command = Command::OpenSession { nonce: self.nonce() };
+        let command = Command::OpenSession { nonce: self.next_nonce() };
         let proposal = Proposal { session: SessionId(0), sequence: Sequence(0), command };
         self.propose(ticket, proposal, timeout);
     }
--- a/crates/consensus/tests/golden_bytes.rs
+++ b/crates/consensus/tests/golden_bytes.rs
@@ -380,7 +380,7 @@
     assert!(cluster.node(1).is_voter(InstanceId(4)), "the added instance is a voter");
     cluster.node(1).change_membership(Ticket(4), MembershipChange::Remove(InstanceId(3)), 100);
     cluster.tick_all(1);
-    cluster.node(1).transfer(Ticket(5), InstanceId(2));
+    cluster.node(1).transfer_leadership(Ticket(5), InstanceId(2));
     cluster.deliver_all();
     assert!(cluster.node(2).is_leader(), "leadership has been transferred");
     assert_golden("transcript.txt", include_str!("golden/transcript.txt"), &cluster.sent);
