--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -94,7 +94,7 @@
                 }
                 Operation::Restart => {
                     drop(store);
-                    disk = FaultyDisk::holding(disk.image());
+                    disk = FaultyDisk::from_image(disk.image());
                     store = Store::open_on(disk.clone(), &identity).unwrap();
                     start_count += 1;
                     prop_assert_eq!(store.start_count(), start_count);
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -182,7 +182,7 @@
         let mut corrupt_image = image.clone();
         corrupt_image[offset] ^= 1 << rng.u8(0..8);
         let found = std::panic::catch_unwind(|| {
-            let store = Store::open_on(FaultyDisk::holding(corrupt_image), &identity())?;
+            let store = Store::open_on(FaultyDisk::from_image(corrupt_image), &identity())?;
             Ok::<_, StoreError>((store.load()?, store.entries_with_prefix("")?))
         });
         match found {
@@ -207,7 +207,7 @@
     for offset in offsets {
         image[offset] ^= 4;
     }
-    let store = Store::open_on(FaultyDisk::holding(image), &identity()).unwrap();
+    let store = Store::open_on(FaultyDisk::from_image(image), &identity()).unwrap();
     let report = store.scrub().unwrap();
     assert!(report.corrupt.iter().any(|corrupt| corrupt.table == "log" && corrupt.key == "42"), "{report:?}");
     assert!(report.valid_count > 3);
@@ -218,11 +218,11 @@
     let disk = FaultyDisk::new();
     run_workload(&disk).unwrap();
     let other = OwnerIdentity { id: 8, ..identity() };
-    let same_disk = FaultyDisk::holding(disk.image());
+    let same_disk = FaultyDisk::from_image(disk.image());
     let error = Store::open_on(same_disk, &other).unwrap_err();
     assert!(matches!(error, StoreError::WrongOwner { .. }), "{error}");
 
-    let mut store = Store::open_on(FaultyDisk::holding(disk.image()), &identity()).unwrap();
+    let mut store = Store::open_on(FaultyDisk::from_image(disk.image()), &identity()).unwrap();
     assert_eq!(store.start_count(), 2);
     for out_of_order in [
         Batch { entries: vec![entry(45, 5)], ..Batch::default() },
--- a/crates/test-support/src/faulty_disk.rs
+++ b/crates/test-support/src/faulty_disk.rs
@@ -91,7 +91,7 @@
     }
 
     /// Creates a disk that holds `image`, all of it synced.
-    pub fn holding(image: Vec<u8>) -> Self {
+    pub fn from_image(image: Vec<u8>) -> Self {
         Self(Arc::new(Mutex::new(State { written: image.clone(), durable: image, ..State::default() })))
     }
 
@@ -138,7 +138,7 @@
                 _ => operation.apply(&mut image, Some(&mut rng)),
             }
         }
-        FaultyDisk::holding(image)
+        FaultyDisk::from_image(image)
     }
 
     /// Returns the bytes of the disk, the unsynced ones included.
