--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -86,7 +86,7 @@
     /// Starts `client_count` clients, and a proxy at each agent.
     pub fn start(cluster: &AgentCluster, client_count: usize) -> Self {
         let shared = Arc::new(SharedState::default());
-        let agents: Vec<SocketAddr> = (0..cluster.len()).map(|agent| cluster.local(agent)).collect();
+        let agents: Vec<SocketAddr> = (0..cluster.len()).map(|agent| cluster.http_address(agent)).collect();
         let started = Instant::now();
         let mut clients = Vec::new();
         for number in 0..client_count {
@@ -143,7 +143,7 @@
 ) -> Vec<String> {
     let http = client(COMPARE_TIMEOUT);
     let mut decided = BTreeMap::new();
-    wait_until("an agent returns all subjects", || match read_subjects(&http, cluster.local(agent)) {
+    wait_until("an agent returns all subjects", || match read_subjects(&http, cluster.http_address(agent)) {
         Some(subjects) => {
             decided = subjects;
             true
--- a/crates/agent/examples/freeze/main.rs
+++ b/crates/agent/examples/freeze/main.rs
@@ -96,19 +96,19 @@
     let duration = Duration::from_millis(*rng.choice(&FAULT_MS).unwrap_or(&90));
     match rng.u8(..10) {
         0 => cluster.kill(victim),
-        1 => cluster.isolate(victim, true),
-        2 => cluster.cut(victim, other, true),
+        1 => cluster.set_isolated(victim, true),
+        2 => cluster.set_cut(victim, other, true),
         3 => {
-            cluster.freeze(victim);
-            cluster.freeze(other);
+            cluster.suspend(victim);
+            cluster.suspend(other);
         }
-        _ => cluster.freeze(victim),
+        _ => cluster.suspend(victim),
     }
     std::thread::sleep(duration);
-    cluster.wake(victim);
-    cluster.wake(other);
+    cluster.resume(victim);
+    cluster.resume(other);
     for agent in 0..agents {
-        cluster.isolate(agent, false);
+        cluster.set_isolated(agent, false);
         if !cluster.is_running(agent) {
             cluster.start_agent(agent);
         }
--- a/crates/agent/examples/throughput/main.rs
+++ b/crates/agent/examples/throughput/main.rs
@@ -76,7 +76,7 @@
     let started = Instant::now();
     let mut threads = Vec::new();
     for number in 0..clients {
-        let agent = cluster.local(number % agents);
+        let agent = cluster.http_address(number % agents);
         let stop = stop.clone();
         threads.push(std::thread::spawn(move || run_client(agent, number as u64, &stop)));
     }
@@ -156,19 +156,19 @@
         let started = Instant::now();
         match fault {
             LeaderFault::Kill => cluster.kill(leader),
-            LeaderFault::Freeze => cluster.freeze(leader),
+            LeaderFault::Freeze => cluster.suspend(leader),
         }
         let subject = json!({"space": "gap", "number": number});
         let body = json!({"command": {"Decide": {"subject": subject, "value": []}}, "within_ms": 4000});
         wait_until("the other agents decide", || {
-            let response = post(&http, cluster.local((leader + 1) % 3), "/v1/propose", &body);
+            let response = post(&http, cluster.http_address((leader + 1) % 3), "/v1/propose", &body);
             matches!(response, Ok((200, response)) if response["result"] == "applied")
         });
         gaps.record(started.elapsed().as_micros() as u64)
             .expect("the duration is in the range of the histogram");
         match fault {
             LeaderFault::Kill => cluster.start_agent(leader),
-            LeaderFault::Freeze => cluster.wake(leader),
+            LeaderFault::Freeze => cluster.resume(leader),
         }
         std::thread::sleep(RECOVERY_PAUSE);
     }
--- a/crates/agent/tests/processes.rs
+++ b/crates/agent/tests/processes.rs
@@ -21,7 +21,7 @@
 /// Proposes a value for a subject. Returns the agent's response, or null if there is none.
 fn decide(cluster: &AgentCluster, agent: usize, number: u64, value: u8) -> serde_json::Value {
     let command = json!({"command": {"Decide": {"subject": {"space": "s", "number": number}, "value": [value]}}, "within_ms": 3000});
-    post(&client(Duration::from_secs(5)), cluster.local(agent), "/v1/propose", &command)
+    post(&client(Duration::from_secs(5)), cluster.http_address(agent), "/v1/propose", &command)
         .map(|(_, response)| response)
         .unwrap_or_default()
 }
@@ -33,10 +33,10 @@
     // Elections take longer on a busy host, so rounds are added until there are enough decisions to check.
     for round in (0..120).take_while(|round| *round < 20 || load.decisions() <= 50) {
         let leader = cluster.leader().unwrap_or(round % 3);
-        cluster.freeze(leader);
+        cluster.suspend(leader);
         // From shorter than an election timeout to longer than the duration of a lease.
         std::thread::sleep(Duration::from_millis([40, 250, 700][round % 3]));
-        cluster.wake(leader);
+        cluster.resume(leader);
         std::thread::sleep(Duration::from_millis(60));
     }
     let report = load.end(&cluster);
@@ -54,19 +54,19 @@
     for round in (0..80).take_while(|round| *round < 8 || load.decisions() <= 50) {
         let (one, other) = (round % 5, (round + 2) % 5);
         match round % 4 {
-            0 => cluster.isolate(cluster.leader().unwrap_or(0), true),
-            1 => (0..5).filter(|agent| *agent != one).for_each(|agent| cluster.cut(one, agent, true)),
+            0 => cluster.set_isolated(cluster.leader().unwrap_or(0), true),
+            1 => (0..5).filter(|agent| *agent != one).for_each(|agent| cluster.set_cut(one, agent, true)),
             2 => {
                 cluster.kill(one);
                 cluster.kill(other);
             }
             _ => {
-                cluster.isolate(one, true);
-                cluster.isolate(other, true);
+                cluster.set_isolated(one, true);
+                cluster.set_isolated(other, true);
             }
         }
         std::thread::sleep(Duration::from_millis(500));
-        (0..5).for_each(|agent| cluster.isolate(agent, false));
+        (0..5).for_each(|agent| cluster.set_isolated(agent, false));
         if round % 4 == 2 {
             cluster.start_agent(one);
             cluster.start_agent(other);
@@ -88,8 +88,9 @@
     wait_until("the hello to the wrong instance is rejected", || {
         cluster.log(0).contains("the peer rejected the hello: this is n2")
     });
-    let status =
-        get(&client(Duration::from_secs(2)), cluster.local(2), "/v1/status").expect("the agent responds").1;
+    let status = get(&client(Duration::from_secs(2)), cluster.http_address(2), "/v1/status")
+        .expect("the agent responds")
+        .1;
     assert_eq!(status["me"]["part"], "none", "an instance without its store must not vote");
     let me = &status["me"];
     let add = json!({"add": {"id": me["id"], "name": me["name"], "address": me["address"]}});
@@ -97,7 +98,7 @@
     wait_until("the old member is removed", || {
         cluster.post_to_leader("/v1/members", &json!({"remove": "n2"}))
     });
-    cluster.add(2);
+    cluster.add_member(2);
     wait_until("the new member votes", || cluster.role(2) == "voter");
     assert_eq!(decide(&cluster, 2, 1, 9)["reply"]["Decided"], json!({"value": [7], "first": false}));
 }
@@ -108,7 +109,7 @@
         start_cluster(&ClusterOptions { compact_every: 100, ..ClusterOptions::default() });
     cluster.kill(2);
     let http = client(Duration::from_secs(5));
-    let (from, count) = (cluster.local(0), 700);
+    let (from, count) = (cluster.http_address(0), 700);
     std::thread::scope(|threads| {
         for remainder in 0..7 {
             let http = http.clone();
@@ -128,7 +129,7 @@
         cluster.post_to_leader("/v1/members", &json!({"remove": "n2"}))
     });
     cluster.start_agent(2);
-    cluster.add(2);
+    cluster.add_member(2);
     wait_until("the new member votes", || cluster.role(2) == "voter");
     wait_until("the new member holds all subjects", || cluster.status(2)["subjects"] == count);
 }
@@ -146,10 +147,10 @@
         "{response}"
     );
     assert!(started.elapsed() < Duration::from_secs(5));
-    let (code, _) = get(&client(Duration::from_secs(5)), cluster.local(0), "/v1/ledger?within_ms=300")
+    let (code, _) = get(&client(Duration::from_secs(5)), cluster.http_address(0), "/v1/ledger?within_ms=300")
         .expect("the agent responds");
     assert_eq!(code, 503, "a linearizable read must not return a state that may be stale");
-    let (code, _) = get(&client(Duration::from_secs(5)), cluster.local(0), "/v1/ledger?stale=1")
+    let (code, _) = get(&client(Duration::from_secs(5)), cluster.http_address(0), "/v1/ledger?stale=1")
         .expect("the agent responds");
     assert_eq!(code, 200);
     cluster.start_agent(1);
@@ -187,7 +188,7 @@
     let report = |agent: usize| {
         let verdict =
             json!({"front": format!("front-{agent}"), "opinion": {"build": 42, "stage": 1, "word": "back"}});
-        post(&http, cluster.local(agent), "/v1/verdicts", &verdict)
+        post(&http, cluster.http_address(agent), "/v1/verdicts", &verdict)
             .is_ok_and(|(_, response)| response["heard"] == true)
     };
     wait_until("the verdict is accepted", || report(1));
@@ -197,7 +198,7 @@
     let report_again = |agent: usize| move || report(agent);
     let caster =
         wait_for_event(&cluster, &[0, 1, 2], "one proxy is assigned the vote", report_again(1), is_rollback);
-    cluster.freeze(caster);
+    cluster.suspend(caster);
     let others: Vec<usize> = (0..3).filter(|agent| *agent != caster).collect();
     wait_until("the others have a leader", || report(others[0]));
     let next = wait_for_event(
@@ -208,7 +209,7 @@
         is_rollback,
     );
     assert_ne!(next, caster);
-    cluster.wake(caster);
+    cluster.resume(caster);
     let is_unassigned = |event: &serde_json::Value| event["cast"].is_null() && event["condemned"][0] == 42;
     wait_for_event(
         &cluster,
@@ -237,10 +238,10 @@
         ),
         ("/v1/nothing", json!({}), "no such path"),
     ] {
-        let (_, response) = post(&http, cluster.local(0), path, &body).expect("the agent responds");
+        let (_, response) = post(&http, cluster.http_address(0), path, &body).expect("the agent responds");
         assert!(response.to_string().contains(expected), "{path} {body}: {response}");
     }
     let (code, response) =
-        get(&http, cluster.local(0), "/v1/ledger/condemned/x").expect("the agent responds");
+        get(&http, cluster.http_address(0), "/v1/ledger/condemned/x").expect("the agent responds");
     assert!(code == 400 && response.to_string().contains("condemned/42"), "{response}");
 }
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -27,7 +27,7 @@
 fn ledger_commands_work_against_a_cluster_of_real_agents() {
     let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let mut cluster = AgentCluster::start(&agent_program(), folder.path(), &ClusterOptions::default());
-    let addresses: Vec<String> = (0..3).map(|index| cluster.local(index).to_string()).collect();
+    let addresses: Vec<String> = (0..3).map(|index| cluster.http_address(index).to_string()).collect();
     let addresses = addresses.join(",");
     let run = |arguments: &[&str]| garnetcrank(&addresses, arguments);
 
--- a/crates/test-support/src/agent_cluster.rs
+++ b/crates/test-support/src/agent_cluster.rs
@@ -197,7 +197,7 @@
             cluster.start_agent(index);
         }
         for index in 1..count {
-            cluster.add(index);
+            cluster.add_member(index);
         }
         wait_until("all agents are voters", || (0..count).all(|index| cluster.role(index) == "voter"));
         cluster
@@ -225,7 +225,7 @@
     }
 
     /// Returns the HTTP address of an agent.
-    pub fn local(&self, index: usize) -> SocketAddr {
+    pub fn http_address(&self, index: usize) -> SocketAddr {
         self.agents[index].http_address
     }
 
@@ -239,10 +239,10 @@
     }
 
     /// Adds a running agent that is not yet a member to the cluster.
-    pub fn add(&self, index: usize) {
+    pub fn add_member(&self, index: usize) {
         let mut agent = Value::Null;
         wait_until("the new agent reports that it is no member", || {
-            let response = get(&self.http, self.local(index), "/v1/status");
+            let response = get(&self.http, self.http_address(index), "/v1/status");
             agent = response.map(|(_, status)| status["me"].clone()).unwrap_or_default();
             agent["part"] == "none"
         });
@@ -254,7 +254,7 @@
     pub fn post_to_leader(&self, path: &str, body: &Value) -> bool {
         let done = |index| {
             matches!(
-                post(&self.http, self.local(index), path, body),
+                post(&self.http, self.http_address(index), path, body),
                 Ok((200, response)) if response["result"] == "done"
             )
         };
@@ -269,7 +269,7 @@
 
     /// Returns an agent's status; null if it does not respond.
     pub fn status(&self, index: usize) -> Value {
-        get(&self.http, self.local(index), "/v1/status").map(|(_, status)| status).unwrap_or_default()
+        get(&self.http, self.http_address(index), "/v1/status").map(|(_, status)| status).unwrap_or_default()
     }
 
     /// Returns the agent with the latest term of those that report themselves as leader.
@@ -290,12 +290,12 @@
     }
 
     /// Suspends an agent at an arbitrary point (SIGSTOP).
-    pub fn freeze(&self, index: usize) {
+    pub fn suspend(&self, index: usize) {
         self.signal(index, Signal::STOP);
     }
 
     /// Resumes a suspended agent (SIGCONT).
-    pub fn wake(&self, index: usize) {
+    pub fn resume(&self, index: usize) {
         self.signal(index, Signal::CONT);
     }
 
@@ -325,17 +325,17 @@
     }
 
     /// Cuts or heals the connection in one direction.
-    pub fn cut(&self, from: usize, to: usize, cut: bool) {
+    pub fn set_cut(&self, from: usize, to: usize, cut: bool) {
         if let Some(Some(relay)) = self.agents[from].relays.get(to) {
             relay.set_cut(cut);
         }
     }
 
     /// Cuts or heals the connections between one agent and all others, in both directions.
-    pub fn isolate(&self, index: usize, cut: bool) {
+    pub fn set_isolated(&self, index: usize, isolated: bool) {
         for other in 0..self.len() {
-            self.cut(index, other, cut);
-            self.cut(other, index, cut);
+            self.set_cut(index, other, isolated);
+            self.set_cut(other, index, isolated);
         }
     }
 
@@ -356,7 +356,7 @@
     /// the agent ends or the receiver is dropped.
     pub fn watch(&self, index: usize, proxy: &str) -> std::sync::mpsc::Receiver<Value> {
         let (events, receiver) = std::sync::mpsc::channel();
-        let url = format!("http://{}/v1/watch?front={proxy}", self.local(index));
+        let url = format!("http://{}/v1/watch?front={proxy}", self.http_address(index));
         std::thread::spawn(move || {
             let Ok(mut response) = ureq::get(&url).call() else { return };
             for line in BufReader::new(response.body_mut().as_reader()).lines() {
