--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -122,7 +122,7 @@
             }
         }
         let history = lock(&self.shared.history).clone();
-        report.violations.extend(history.not_linearizable());
+        report.violations.extend(history.violations());
         let acknowledged: BTreeMap<u64, Vec<u8>> = history.acknowledged().into_iter().collect();
         report.decisions = acknowledged.len() as u64;
         for agent in 0..cluster.len() {
@@ -252,7 +252,7 @@
     fn decide(&mut self, subject: u64, session: &Value) {
         self.sequence += 1;
         let value = [self.number as u8, (self.sequence >> 8) as u8, self.sequence as u8];
-        let operation = lock(&self.shared.history).begin_decide(subject, value.to_vec(), self.now());
+        let operation = lock(&self.shared.history).begin_proposal(subject, value.to_vec(), self.now());
         let command = json!({"Decide": {"subject": {"space": "s", "number": subject}, "value": value}});
         let proposal = json!({"session": session, "sequence": self.sequence, "command": command});
         let body = json!({"proposal": proposal, "within_ms": 800});
@@ -264,7 +264,7 @@
                 _ => Value::Null,
             };
             if let Some(decided) = response["reply"]["Decided"]["value"].as_array() {
-                lock(&self.shared.history).end_decide(operation, bytes(decided), self.now());
+                lock(&self.shared.history).end_proposal(operation, bytes(decided), self.now());
                 return;
             }
             let session_expired = response["reply"] == "SessionLost";
--- a/crates/consensus/examples/handover/world/checks.rs
+++ b/crates/consensus/examples/handover/world/checks.rs
@@ -85,7 +85,7 @@
         let settled = self.is_settled();
         let lost = self.lost_decisions(settled);
         self.report.lost.extend(lost);
-        self.report.conflicts.extend(self.history.not_linearizable());
+        self.report.conflicts.extend(self.history.violations());
         self.report.decisions = self.decision_count();
         if self.report.conflicts.is_empty() {
             let mismatches = self.mismatched_executions();
--- a/crates/consensus/examples/handover/world/clients.rs
+++ b/crates/consensus/examples/handover/world/clients.rs
@@ -109,7 +109,7 @@
         if self.rng.bool() {
             client.sequence += 1;
             let value = vec![position as u8, client.sequence as u8];
-            client.operation = self.history.begin_decide(number, value.clone(), now);
+            client.operation = self.history.begin_proposal(number, value.clone(), now);
             client.activity = Activity::Deciding { number, value };
         } else {
             client.operation = self.history.begin_read(number, now);
@@ -157,7 +157,7 @@
                 true
             }
             (Activity::Deciding { .. }, Answer::Applied(Reply::Decided { value, .. })) => {
-                self.history.end_decide(client.operation, value, now);
+                self.history.end_proposal(client.operation, value, now);
                 true
             }
             (Activity::Deciding { .. }, Answer::Applied(reply)) => {
--- a/crates/consensus/tests/linearizability.rs
+++ b/crates/consensus/tests/linearizability.rs
@@ -88,12 +88,12 @@
     for operation in operations {
         let started_at = operation.started_at;
         let id = match operation.proposed_value {
-            Some(value) => history.begin_decide(1, vec![value], started_at),
+            Some(value) => history.begin_proposal(1, vec![value], started_at),
             None => history.begin_read(1, started_at),
         };
         let Some(Returned { value, duration }) = operation.returned else { continue };
         match (operation.proposed_value, value) {
-            (Some(_), Some(value)) => history.end_decide(id, vec![value], started_at + duration),
+            (Some(_), Some(value)) => history.end_proposal(id, vec![value], started_at + duration),
             (Some(_), None) => {}
             (None, value) => history.end_read(id, value.map(|value| vec![value]), started_at + duration),
         }
@@ -102,7 +102,7 @@
 }
 
 fn is_linearizable_fast(operations: &[Operation]) -> bool {
-    history(operations).not_linearizable().is_empty()
+    history(operations).violations().is_empty()
 }
 
 proptest! {
--- a/crates/test-support/src/linearizability.rs
+++ b/crates/test-support/src/linearizability.rs
@@ -44,7 +44,7 @@
     }
 
     /// Records a proposal that is sent for the first time. Returns its index.
-    pub fn begin_decide(&mut self, subject: u64, value: Vec<u8>, now: u64) -> usize {
+    pub fn begin_proposal(&mut self, subject: u64, value: Vec<u8>, now: u64) -> usize {
         self.begin(subject, Some(value), now)
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Records the response to a proposal: the decided value.
-    pub fn end_decide(&mut self, operation: usize, value: Vec<u8>, now: u64) {
+    pub fn end_proposal(&mut self, operation: usize, value: Vec<u8>, now: u64) {
         self.operations[operation].outcome = OperationOutcome::Value(Some(value), now);
     }
 
@@ -77,7 +77,7 @@
     /// As a subject is decided once, one possible time of its decision suffices: within the interval of a
     /// proposal of that value, not before the start of any read that returned none, and not after the end of
     /// any operation that returned the value. The interval of a proposal without a response has no end.
-    pub fn not_linearizable(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let mut subjects: BTreeMap<u64, Vec<&Operation>> = BTreeMap::new();
         for operation in &self.operations {
             subjects.entry(operation.subject).or_default().push(operation);
