--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -13,7 +13,7 @@
 use garnetcrank_consensus::build_verdicts;
 use garnetcrank_consensus::fencing::{FencingDecision, FencingGate};
 use garnetcrank_consensus::ids::{Epoch, Subject};
-use garnetcrank_test_support::agent_cluster::{AgentCluster, client, get, post, wait_until};
+use garnetcrank_test_support::agent_cluster::{AgentCluster, get, http_client, post, wait_until};
 use garnetcrank_test_support::linearizability::History;
 use serde_json::{Value, json};
 
@@ -141,7 +141,7 @@
     agent: usize,
     acknowledged: &BTreeMap<u64, Vec<u8>>,
 ) -> Vec<String> {
-    let http = client(COMPARE_TIMEOUT);
+    let http = http_client(COMPARE_TIMEOUT);
     let mut decided = BTreeMap::new();
     wait_until("an agent returns all subjects", || match read_subjects(&http, cluster.http_address(agent)) {
         Some(subjects) => {
@@ -196,7 +196,7 @@
 
 impl Client {
     fn new(number: usize, agents: Vec<SocketAddr>, started: Instant, shared: Arc<SharedState>) -> Self {
-        let http = client(RESPONSE_TIMEOUT);
+        let http = http_client(RESPONSE_TIMEOUT);
         Self { number, agents, requests: number, http, started, shared, session: None, sequence: 0 }
     }
 
--- a/crates/agent/examples/throughput/main.rs
+++ b/crates/agent/examples/throughput/main.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions, client, post, wait_until};
+use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions, http_client, post, wait_until};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -102,7 +102,7 @@
 /// Runs one client at one agent, in a session of its own, until it is stopped. Returns the latency of each
 /// decision in microseconds.
 fn run_client(agent: SocketAddr, number: u64, stop: &AtomicBool) -> Histogram<u64> {
-    let http = client(Duration::from_secs(10));
+    let http = http_client(Duration::from_secs(10));
     let mut latencies = Histogram::new(3).expect("the precision is valid");
     let (_, opened) = post(&http, agent, "/v1/sessions", &json!({})).expect("the agent opens a session");
     let session: Value = opened["reply"]["Opened"].clone();
@@ -149,7 +149,7 @@
 fn measure_gaps(program: &Path, fault: LeaderFault, times: u64) -> Histogram<u64> {
     let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let mut cluster = AgentCluster::start(program, folder.path(), &default_options(3));
-    let http = client(Duration::from_secs(5));
+    let http = http_client(Duration::from_secs(5));
     let mut gaps = Histogram::<u64>::new(3).expect("the precision is valid");
     for number in 0..times {
         let leader = wait_for_leader(&cluster);
--- a/crates/agent/tests/golden_http.rs
+++ b/crates/agent/tests/golden_http.rs
@@ -22,7 +22,7 @@
 use garnetcrank_consensus::ids::{Epoch, Index, InstanceId, Role, Sequence, SessionId, Subject, Term};
 use garnetcrank_consensus::raft_node::{self, NodeStatus};
 use garnetcrank_consensus::replicated_state::{Command, Proposal, Reply, SubjectState};
-use garnetcrank_test_support::agent_cluster::client;
+use garnetcrank_test_support::agent_cluster::http_client;
 use serde_json::{Value, json};
 use tokio::sync::watch;
 
@@ -55,7 +55,7 @@
             runtime.block_on(tokio::net::TcpListener::bind("127.0.0.1:0")).expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
         runtime.spawn(async move { axum::serve(listener, routes(api)).await });
-        let http = client(Duration::from_secs(20));
+        let http = http_client(Duration::from_secs(20));
         Self { address, inputs: Arc::new(Mutex::new(inputs)), published, counters, http, _runtime: runtime }
     }
 
--- a/crates/agent/tests/processes.rs
+++ b/crates/agent/tests/processes.rs
@@ -6,7 +6,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions, client, get, post, wait_until};
+use garnetcrank_test_support::agent_cluster::{
+    AgentCluster, ClusterOptions, get, http_client, post, wait_until,
+};
 use load::Load;
 use serde_json::json;
 
@@ -21,7 +23,7 @@
 /// Proposes a value for a subject. Returns the agent's response, or null if there is none.
 fn decide(cluster: &AgentCluster, agent: usize, number: u64, value: u8) -> serde_json::Value {
     let command = json!({"command": {"Decide": {"subject": {"space": "s", "number": number}, "value": [value]}}, "within_ms": 3000});
-    post(&client(Duration::from_secs(5)), cluster.http_address(agent), "/v1/propose", &command)
+    post(&http_client(Duration::from_secs(5)), cluster.http_address(agent), "/v1/propose", &command)
         .map(|(_, response)| response)
         .unwrap_or_default()
 }
@@ -88,7 +90,7 @@
     wait_until("the hello to the wrong instance is rejected", || {
         cluster.log(0).contains("the peer rejected the hello: this is n2")
     });
-    let status = get(&client(Duration::from_secs(2)), cluster.http_address(2), "/v1/status")
+    let status = get(&http_client(Duration::from_secs(2)), cluster.http_address(2), "/v1/status")
         .expect("the agent responds")
         .1;
     assert_eq!(status["me"]["part"], "none", "an instance without its store must not vote");
@@ -108,7 +110,7 @@
     let (_folder, mut cluster) =
         start_cluster(&ClusterOptions { compact_every: 100, ..ClusterOptions::default() });
     cluster.kill(2);
-    let http = client(Duration::from_secs(5));
+    let http = http_client(Duration::from_secs(5));
     let (from, count) = (cluster.http_address(0), 700);
     std::thread::scope(|threads| {
         for remainder in 0..7 {
@@ -147,10 +149,11 @@
         "{response}"
     );
     assert!(started.elapsed() < Duration::from_secs(5));
-    let (code, _) = get(&client(Duration::from_secs(5)), cluster.http_address(0), "/v1/ledger?within_ms=300")
-        .expect("the agent responds");
+    let (code, _) =
+        get(&http_client(Duration::from_secs(5)), cluster.http_address(0), "/v1/ledger?within_ms=300")
+            .expect("the agent responds");
     assert_eq!(code, 503, "a linearizable read must not return a state that may be stale");
-    let (code, _) = get(&client(Duration::from_secs(5)), cluster.http_address(0), "/v1/ledger?stale=1")
+    let (code, _) = get(&http_client(Duration::from_secs(5)), cluster.http_address(0), "/v1/ledger?stale=1")
         .expect("the agent responds");
     assert_eq!(code, 200);
     cluster.start_agent(1);
@@ -184,7 +187,7 @@
 #[test]
 fn one_proxy_casts_a_rollback_verdict_and_another_one_after_its_agent_freezes() {
     let (_folder, cluster) = start_cluster(&ClusterOptions::default());
-    let http = client(Duration::from_secs(3));
+    let http = http_client(Duration::from_secs(3));
     let report = |agent: usize| {
         let verdict =
             json!({"front": format!("front-{agent}"), "opinion": {"build": 42, "stage": 1, "word": "back"}});
@@ -223,7 +226,7 @@
 #[test]
 fn an_invalid_request_gets_an_error_that_names_the_fault() {
     let (_folder, cluster) = start_cluster(&ClusterOptions { agents: 1, ..ClusterOptions::default() });
-    let http = client(Duration::from_secs(3));
+    let http = http_client(Duration::from_secs(3));
     for (path, body, expected) in [
         ("/v1/propose", json!({"command": {"Decide": {"subject": {"space": "s"}, "value": []}}}), "number"),
         ("/v1/propose", json!({}), "either"),
--- a/crates/agent/tests/stored_data.rs
+++ b/crates/agent/tests/stored_data.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use garnetcrank_test_support::agent_cluster::{client, get, wait_until};
+use garnetcrank_test_support::agent_cluster::{get, http_client, wait_until};
 use serde_json::{Value, json};
 
 /// Agent that runs on a copy of the fixture.
@@ -49,7 +49,7 @@
 
     /// Gets JSON; null if the agent does not respond.
     fn get(&self, path: &str) -> Value {
-        let response = get(&client(Duration::from_secs(5)), self.http_address, path);
+        let response = get(&http_client(Duration::from_secs(5)), self.http_address, path);
         response.map(|(_, value)| value).unwrap_or_default()
     }
 }
--- a/crates/test-support/src/agent_cluster.rs
+++ b/crates/test-support/src/agent_cluster.rs
@@ -91,7 +91,7 @@
 }
 
 /// Creates an HTTP client with a timeout for each request. No status counts as an error.
-pub fn client(timeout: Duration) -> ureq::Agent {
+pub fn http_client(timeout: Duration) -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
         .timeout_connect(Some(CONNECT_TIMEOUT))
@@ -190,7 +190,7 @@
         for index in 0..count {
             agents.push(Agent::configure(index, &peer_addresses, folder, options));
         }
-        let mut cluster = Self { program: program.to_owned(), agents, http: client(REQUEST_TIMEOUT) };
+        let mut cluster = Self { program: program.to_owned(), agents, http: http_client(REQUEST_TIMEOUT) };
         let output = cluster.command("found", 0).output().expect("the agent runs");
         assert!(output.status.success(), "{output:?}");
         for index in 0..count {
