--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -60,7 +60,13 @@
                 Operation::Append { overlap, count } => {
                     let first_index = (last_index + 1).saturating_sub(overlap).max(snapshot_index + 1);
                     let entries: Vec<LogEntry> = (first_index..first_index + count)
-                        .map(|index| LogEntry { index, term, kind: 1, data: vec![term as u8; 9], context: vec![] })
+                        .map(|index| LogEntry {
+                            index,
+                            term,
+                            kind: 1,
+                            data: vec![term as u8; 9],
+                            context: vec![],
+                        })
                         .collect();
                     log.retain(|entry| entry.index < first_index);
                     log.extend(entries.clone());
