--- a/crates/agent/examples/freeze/load.rs
+++ b/crates/agent/examples/freeze/load.rs
@@ -13,7 +13,7 @@
 use garnetcrank_consensus::build_verdicts;
 use garnetcrank_consensus::fencing::{FencingDecision, FencingGate};
 use garnetcrank_consensus::ids::{Epoch, Subject};
-use garnetcrank_test_support::agent_cluster::{AgentCluster, client, get, post, wait_until};
+use garnetcrank_test_support::agent_cluster::{AgentCluster, get, http_client, post, wait_until};
 use garnetcrank_test_support::linearizability::History;
 use serde_json::{Value, json};
 
@@ -86,7 +86,7 @@
     /// Starts `client_count` clients, and a proxy at each agent.
     pub fn start(cluster: &AgentCluster, client_count: usize) -> Self {
         let shared = Arc::new(SharedState::default());
-        let agents: Vec<SocketAddr> = (0..cluster.len()).map(|agent| cluster.local(agent)).collect();
+        let agents: Vec<SocketAddr> = (0..cluster.len()).map(|agent| cluster.http_address(agent)).collect();
         let started = Instant::now();
         let mut clients = Vec::new();
         for number in 0..client_count {
@@ -122,7 +122,7 @@
             }
         }
         let history = lock(&self.shared.history).clone();
-        report.violations.extend(history.not_linearizable());
+        report.violations.extend(history.violations());
         let acknowledged: BTreeMap<u64, Vec<u8>> = history.acknowledged().into_iter().collect();
         report.decisions = acknowledged.len() as u64;
         for agent in 0..cluster.len() {
@@ -141,9 +141,9 @@
     agent: usize,
     acknowledged: &BTreeMap<u64, Vec<u8>>,
 ) -> Vec<String> {
-    let http = client(COMPARE_TIMEOUT);
+    let http = http_client(COMPARE_TIMEOUT);
     let mut decided = BTreeMap::new();
-    wait_until("an agent returns all subjects", || match read_subjects(&http, cluster.local(agent)) {
+    wait_until("an agent returns all subjects", || match read_subjects(&http, cluster.http_address(agent)) {
         Some(subjects) => {
             decided = subjects;
             true
@@ -196,7 +196,7 @@
 
 impl Client {
     fn new(number: usize, agents: Vec<SocketAddr>, started: Instant, shared: Arc<SharedState>) -> Self {
-        let http = client(RESPONSE_TIMEOUT);
+        let http = http_client(RESPONSE_TIMEOUT);
         Self { number, agents, requests: number, http, started, shared, session: None, sequence: 0 }
     }
 
@@ -252,7 +252,7 @@
     fn decide(&mut self, subject: u64, session: &Value) {
         self.sequence += 1;
         let value = [self.number as u8, (self.sequence >> 8) as u8, self.sequence as u8];
-        let operation = lock(&self.shared.history).begin_decide(subject, value.to_vec(), self.now());
+        let operation = lock(&self.shared.history).begin_proposal(subject, value.to_vec(), self.now());
         let command = json!({"Decide": {"subject": {"space": "s", "number": subject}, "value": value}});
         let proposal = json!({"session": session, "sequence": self.sequence, "command": command});
         let body = json!({"proposal": proposal, "within_ms": 800});
@@ -264,7 +264,7 @@
                 _ => Value::Null,
             };
             if let Some(decided) = response["reply"]["Decided"]["value"].as_array() {
-                lock(&self.shared.history).end_decide(operation, bytes(decided), self.now());
+                lock(&self.shared.history).end_proposal(operation, bytes(decided), self.now());
                 return;
             }
             let session_expired = response["reply"] == "SessionLost";
--- a/crates/agent/examples/throughput/main.rs
+++ b/crates/agent/examples/throughput/main.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions, client, post, wait_until};
+use garnetcrank_test_support::agent_cluster::{AgentCluster, ClusterOptions, http_client, post, wait_until};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -76,7 +76,7 @@
     let started = Instant::now();
     let mut threads = Vec::new();
     for number in 0..clients {
-        let agent = cluster.local(number % agents);
+        let agent = cluster.http_address(number % agents);
         let stop = stop.clone();
         threads.push(std::thread::spawn(move || run_client(agent, number as u64, &stop)));
     }
@@ -102,7 +102,7 @@
 /// Runs one client at one agent, in a session of its own, until it is stopped. Returns the latency of each
 /// decision in microseconds.
 fn run_client(agent: SocketAddr, number: u64, stop: &AtomicBool) -> Histogram<u64> {
-    let http = client(Duration::from_secs(10));
+    let http = http_client(Duration::from_secs(10));
     let mut latencies = Histogram::new(3).expect("the precision is valid");
     let (_, opened) = post(&http, agent, "/v1/sessions", &json!({})).expect("the agent opens a session");
     let session: Value = opened["reply"]["Opened"].clone();
@@ -149,26 +149,26 @@
 fn measure_gaps(program: &Path, fault: LeaderFault, times: u64) -> Histogram<u64> {
     let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let mut cluster = AgentCluster::start(program, folder.path(), &default_options(3));
-    let http = client(Duration::from_secs(5));
+    let http = http_client(Duration::from_secs(5));
     let mut gaps = Histogram::<u64>::new(3).expect("the precision is valid");
     for number in 0..times {
         let leader = wait_for_leader(&cluster);
         let started = Instant::now();
         match fault {
             LeaderFault::Kill => cluster.kill(leader),
-            LeaderFault::Freeze => cluster.freeze(leader),
+            LeaderFault::Freeze => cluster.suspend(leader),
         }
         let subject = json!({"space": "gap", "number": number});
         let body = json!({"command": {"Decide": {"subject": subject, "value": []}}, "within_ms": 4000});
         wait_until("the other agents decide", || {
-            let response = post(&http, cluster.local((leader + 1) % 3), "/v1/propose", &body);
+            let response = post(&http, cluster.http_address((leader + 1) % 3), "/v1/propose", &body);
             matches!(response, Ok((200, response)) if response["result"] == "applied")
         });
         gaps.record(started.elapsed().as_micros() as u64)
             .expect("the duration is in the range of the histogram");
         match fault {
             LeaderFault::Kill => cluster.start_agent(leader),
-            LeaderFault::Freeze => cluster.wake(leader),
+            LeaderFault::Freeze => cluster.resume(leader),
         }
         std::thread::sleep(RECOVERY_PAUSE);
     }
--- a/crates/cli/src/ledger/inspect.rs
+++ b/crates/cli/src/ledger/inspect.rs
@@ -3,14 +3,16 @@
 use std::path::Path;
 
 use garnetcrank_consensus::replicated_state::Proposal;
-use garnetcrank_store::{HardState, Identity, Loaded, Record, Scrub, Store, StoreError, Usage};
+use garnetcrank_store::{
+    HardState, LogEntry, OwnerIdentity, PersistedState, ScrubReport, Store, StoreError, Usage,
+};
 use serde_json::{Value, json};
 
 use crate::command_text::command_text;
 use crate::error::CliError;
 use crate::output::{self, OutputFormat};
 
-/// Value of [`Record::kind`] for an entry with a proposal. All other kinds are membership changes.
+/// Value of [`LogEntry::kind`] for an entry with a proposal. All other kinds are membership changes.
 const KIND_NORMAL: u8 = 0;
 
 /// Optional parts of the output.
@@ -31,12 +33,12 @@
 
 /// Content of a store, ready to be printed.
 struct Inspection {
-    identity: Identity,
-    starts: u64,
+    identity: OwnerIdentity,
+    start_count: u64,
     usage: Usage,
     hard_state: Option<HardState>,
     snapshot: Option<SnapshotSummary>,
-    scrub: Option<Scrub>,
+    scrub: Option<ScrubReport>,
     /// Index, term and text of each entry.
     entries: Vec<[String; 3]>,
 }
@@ -58,23 +60,23 @@
     fn of(store: &Store, options: InspectOptions) -> Result<Self, StoreError> {
         let usage = store.usage()?;
         let scrub = if options.scrub { Some(store.scrub()?) } else { None };
-        let loaded = load(store, scrub.as_ref())?;
+        let persisted = load(store, scrub.as_ref())?;
         let mut entries = Vec::new();
         let mut snapshot = None;
         let mut hard_state = None;
-        if let Some(loaded) = loaded {
-            hard_state = Some(loaded.hard_state);
-            snapshot = loaded.snapshot.map(|snapshot| SnapshotSummary {
+        if let Some(persisted) = persisted {
+            hard_state = Some(persisted.hard_state);
+            snapshot = persisted.snapshot.map(|snapshot| SnapshotSummary {
                 index: snapshot.index,
                 term: snapshot.term,
                 bytes: snapshot.data.len(),
             });
             if options.entries {
-                entries = loaded.entries.iter().map(entry_row).collect();
+                entries = persisted.entries.iter().map(entry_row).collect();
             }
         }
         let identity = store.identity().clone();
-        Ok(Self { identity, starts: store.starts(), usage, hard_state, snapshot, scrub, entries })
+        Ok(Self { identity, start_count: store.start_count(), usage, hard_state, snapshot, scrub, entries })
     }
 
     /// Describes each corrupt value that the scrub found.
@@ -94,10 +96,10 @@
             "name": self.identity.name,
             "id": format!("{:016x}", self.identity.id),
             "cluster": self.identity.cluster,
-            "starts": self.starts,
+            "starts": self.start_count,
             "usage": self.usage,
             "hard": self.hard_state,
-            "sound": self.scrub.as_ref().map(|scrub| scrub.sound),
+            "sound": self.scrub.as_ref().map(|scrub| scrub.valid_count),
             "snapshot": snapshot,
             "corrupt": self.corrupt_texts(),
             "entries": self.entries,
@@ -105,9 +107,9 @@
     }
 
     fn text(&self) -> String {
-        let Identity { name, id, cluster } = &self.identity;
+        let OwnerIdentity { name, id, cluster } = &self.identity;
         let mut lines =
-            vec![format!("{name} ({id:016x}) of cluster {cluster}, opened {} times", self.starts)];
+            vec![format!("{name} ({id:016x}) of cluster {cluster}, opened {} times", self.start_count)];
         if let Some(hard) = self.hard_state {
             lines.push(format!(
                 "  term {}, vote {:016x}, committed up to {}",
@@ -119,7 +121,7 @@
         }
         lines.push(self.usage_text());
         if let Some(scrub) = &self.scrub {
-            lines.push(format!("  {} values are intact, {} corrupt", scrub.sound, scrub.corrupt.len()));
+            lines.push(format!("  {} values are intact, {} corrupt", scrub.valid_count, scrub.corrupt.len()));
         }
         for corrupt in self.corrupt_texts() {
             lines.push(format!("  corrupt: {corrupt}"));
@@ -141,27 +143,27 @@
 }
 
 /// Loads a store. Returns `None` if corrupt values prevent that and the scrub has already reported them.
-fn load(store: &Store, scrub: Option<&Scrub>) -> Result<Option<Loaded>, StoreError> {
+fn load(store: &Store, scrub: Option<&ScrubReport>) -> Result<Option<PersistedState>, StoreError> {
     let is_reported = scrub.is_some_and(|scrub| !scrub.corrupt.is_empty());
     match store.load() {
-        Ok(loaded) => Ok(Some(loaded)),
+        Ok(persisted) => Ok(Some(persisted)),
         Err(StoreError::Corrupt(_)) if is_reported => Ok(None),
         Err(error) => Err(error),
     }
 }
 
-fn entry_row(record: &Record) -> [String; 3] {
-    [record.index.to_string(), record.term.to_string(), entry_text(record)]
+fn entry_row(entry: &LogEntry) -> [String; 3] {
+    [entry.index.to_string(), entry.term.to_string(), entry_text(entry)]
 }
 
-fn entry_text(record: &Record) -> String {
-    if record.kind != KIND_NORMAL {
+fn entry_text(entry: &LogEntry) -> String {
+    if entry.kind != KIND_NORMAL {
         return "(a change of members)".to_owned();
     }
-    if record.data.is_empty() {
+    if entry.data.is_empty() {
         return "(a leader's first)".to_owned();
     }
-    match postcard::from_bytes::<Proposal>(&record.data) {
+    match postcard::from_bytes::<Proposal>(&entry.data) {
         Ok(Proposal { session, sequence, command }) => {
             format!("session {session} no. {sequence}: {}", command_text(&command))
         }
--- a/crates/cli/tests/golden_json.rs
+++ b/crates/cli/tests/golden_json.rs
@@ -12,7 +12,7 @@
 use garnetcrank_consensus::ids::{Epoch, InstanceId, Role, Sequence, SessionId, Subject};
 use garnetcrank_consensus::raft_node;
 use garnetcrank_consensus::replicated_state::{Command as LedgerCommand, Member, Proposal};
-use garnetcrank_store::{Batch, HardState, Identity, Record, Store};
+use garnetcrank_store::{Batch, HardState, LogEntry, OwnerIdentity, Store};
 use serde_json::{Value, json};
 
 /// Request as the agent receives it, with all white space removed from the body.
@@ -451,7 +451,7 @@
 
 /// Writes a store like that of a stopped agent, with a log entry of each kind.
 fn write_store(path: &Path) {
-    let identity = Identity { cluster: "fronts".into(), name: "n1".into(), id: 0xab };
+    let identity = OwnerIdentity { cluster: "fronts".into(), name: "n1".into(), id: 0xab };
     let mut store = Store::open(path, &identity).expect("the store can be created");
     let member = Member { id: InstanceId(0xab), name: "n1".into(), address: "10.0.0.1:7001".into() };
     store.commit(&raft_node::initial_state(&[member])).expect("the batch can be committed");
@@ -462,7 +462,7 @@
     let role = || Role("votes".into());
     let decide = LedgerCommand::Decide { subject: Subject::new("condemned", 42), value: vec![97] };
     let renew = LedgerCommand::RenewLease { role: role(), epoch: Epoch(4) };
-    let records = [
+    let kinds_and_data = [
         (0, Vec::new()),
         (0, proposal(0, LedgerCommand::OpenSession { nonce: 7 })),
         (0, proposal(1, decide)),
@@ -471,12 +471,12 @@
         (2, vec![1, 2]),
         (0, vec![0xff]),
     ];
-    let record = |(index, (kind, data))| Record { index, term: 2, kind, data, context: Vec::new() };
-    let entries = (2..).zip(records).map(record).collect();
+    let log_entry = |(index, (kind, data))| LogEntry { index, term: 2, kind, data, context: Vec::new() };
+    let entries = (2..).zip(kinds_and_data).map(log_entry).collect();
     let hard = HardState { term: 2, vote: 0xab, commit: 8 };
-    let keys = vec![("k".to_owned(), Some(vec![1]))];
+    let key_changes = vec![("k".to_owned(), Some(vec![1]))];
     store
-        .commit(&Batch { hard_state: Some(hard), entries, keys, ..Batch::default() })
+        .commit(&Batch { hard_state: Some(hard), entries, key_changes, ..Batch::default() })
         .expect("the batch can be committed");
 }
 
--- a/crates/consensus/src/raft_log.rs
+++ b/crates/consensus/src/raft_log.rs
@@ -21,8 +21,8 @@
 const KIND_CONF_CHANGE_V2: u8 = 2;
 
 /// Converts an entry to its stored form.
-pub(crate) fn to_record(entry: &Entry) -> store::Record {
-    store::Record {
+pub(crate) fn to_log_entry(entry: &Entry) -> store::LogEntry {
+    store::LogEntry {
         index: entry.index,
         term: entry.term,
         kind: match entry.get_entry_type() {
@@ -35,17 +35,17 @@
     }
 }
 
-fn to_entry(record: store::Record) -> Result<Entry, RaftNodeError> {
-    let kind = match record.kind {
+fn to_entry(log_entry: store::LogEntry) -> Result<Entry, RaftNodeError> {
+    let kind = match log_entry.kind {
         KIND_NORMAL => EntryType::EntryNormal,
         KIND_CONF_CHANGE => EntryType::EntryConfChange,
         KIND_CONF_CHANGE_V2 => EntryType::EntryConfChangeV2,
-        kind => return Err(RaftNodeError::UnknownEntryKind { index: Index(record.index), kind }),
+        kind => return Err(RaftNodeError::UnknownEntryKind { index: Index(log_entry.index), kind }),
     };
-    let mut entry = Entry { index: record.index, term: record.term, ..Entry::default() };
+    let mut entry = Entry { index: log_entry.index, term: log_entry.term, ..Entry::default() };
     entry.set_entry_type(kind);
-    entry.data = record.data.into();
-    entry.context = record.context.into();
+    entry.data = log_entry.data.into();
+    entry.context = log_entry.context.into();
     Ok(entry)
 }
 
@@ -128,23 +128,23 @@
     ///
     /// # Errors
     /// An entry is of an unknown kind, or the snapshot's members can't be decoded.
-    pub(crate) fn restore(loaded: store::Loaded) -> Result<Self, RaftNodeError> {
+    pub(crate) fn restore(persisted: store::PersistedState) -> Result<Self, RaftNodeError> {
         let mut state = LogState {
             hard_state: HardState {
-                term: loaded.hard_state.term,
-                vote: loaded.hard_state.vote,
-                commit: loaded.hard_state.commit,
+                term: persisted.hard_state.term,
+                vote: persisted.hard_state.vote,
+                commit: persisted.hard_state.commit,
                 ..HardState::default()
             },
             ..LogState::default()
         };
-        if let Some(stored) = loaded.snapshot {
+        if let Some(stored) = persisted.snapshot {
             state.before_first = EntryId { index: stored.index, term: stored.term };
             state.snapshot = from_stored_snapshot(stored)?;
         }
         // The commit index is written together with the entries that it covers, but a snapshot may be newer.
         state.hard_state.commit = state.hard_state.commit.max(state.before_first.index);
-        state.entries = loaded.entries.into_iter().map(to_entry).collect::<Result<_, _>>()?;
+        state.entries = persisted.entries.into_iter().map(to_entry).collect::<Result<_, _>>()?;
         Ok(Self(Rc::new(RefCell::new(state))))
     }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -31,8 +31,8 @@
 mod store;
 mod synced_device;
 
-pub use batch::{Batch, HardState, Identity, Record, Snapshot};
+pub use batch::{Batch, HardState, LogEntry, OwnerIdentity, Snapshot};
 pub use checksum::{CorruptValue, Corruption};
 pub use error::{BatchOrderError, StoreError};
 pub use schema::{SCHEMA_VERSION, StoredSchema};
-pub use store::{Loaded, Scrub, Store, Usage};
+pub use store::{PersistedState, ScrubReport, Store, Usage};
--- a/crates/store/src/store/load.rs
+++ b/crates/store/src/store/load.rs
@@ -3,7 +3,7 @@
 use redb::{ReadTransaction, ReadableDatabase};
 
 use super::Store;
-use crate::batch::{HardState, Record, Snapshot};
+use crate::batch::{HardState, LogEntry, Snapshot};
 use crate::checksum::{CorruptValue, Corruption};
 use crate::codec::{SnapshotHeader, decode_chunk, decode_entry, read_meta_from_table};
 use crate::error::StoreError;
@@ -11,13 +11,13 @@
 
 /// State that an instance resumes from.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Loaded {
+pub struct PersistedState {
     /// Hard state; the default if none was ever written.
     pub hard_state: HardState,
     /// Latest snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
     /// Log entries after the snapshot, with consecutive indexes.
-    pub entries: Vec<Record>,
+    pub entries: Vec<LogEntry>,
 }
 
 impl Store {
@@ -26,7 +26,7 @@
     /// # Errors
     /// Returns an error if a value is corrupt, if a log entry or a snapshot chunk is missing, or if the
     /// device fails.
-    pub fn load(&self) -> Result<Loaded, StoreError> {
+    pub fn load(&self) -> Result<PersistedState, StoreError> {
         let txn = self.db.begin_read()?;
         let meta = txn.open_table(META)?;
         let hard_state = read_meta_from_table(&meta, HARD_STATE_KEY)?.unwrap_or_default();
@@ -36,7 +36,7 @@
         };
         let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let entries = load_entries(&txn, snapshot_index)?;
-        Ok(Loaded { hard_state, snapshot, entries })
+        Ok(PersistedState { hard_state, snapshot, entries })
     }
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// Reads the log entries after the snapshot.
-fn load_entries(txn: &ReadTransaction, snapshot_index: u64) -> Result<Vec<Record>, StoreError> {
+fn load_entries(txn: &ReadTransaction, snapshot_index: u64) -> Result<Vec<LogEntry>, StoreError> {
     let mut entries = Vec::new();
     let log = txn.open_table(LOG)?;
     for item in log.range(snapshot_index + 1..)? {
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -3,7 +3,7 @@
 
 use redb::Database;
 
-use crate::batch::Identity;
+use crate::batch::OwnerIdentity;
 use crate::error::StoreError;
 
 mod commit;
@@ -12,16 +12,16 @@
 mod open;
 mod scrub;
 
-pub use load::Loaded;
-pub use scrub::{Scrub, Usage};
+pub use load::PersistedState;
+pub use scrub::{ScrubReport, Usage};
 
 /// Store in a file that only one process at a time can open.
 #[derive(Debug)]
 pub struct Store {
     db: Database,
-    identity: Identity,
+    identity: OwnerIdentity,
     /// Number of times that the owner has opened the store.
-    starts: u64,
+    start_count: u64,
     log_end: LogEnd,
     /// Text of the error of the commit that failed, if one has: no more commits are accepted then.
     failure: Option<String>,
@@ -38,13 +38,13 @@
 
 impl Store {
     /// Returns the identity of the owner.
-    pub fn identity(&self) -> &Identity {
+    pub fn identity(&self) -> &OwnerIdentity {
         &self.identity
     }
 
     /// Returns the number of times that the owner has opened the store, including this one.
-    pub fn starts(&self) -> u64 {
-        self.starts
+    pub fn start_count(&self) -> u64 {
+        self.start_count
     }
 
     /// Returns unused space of the file to the file system. The duration grows with the number of pages.
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -10,7 +10,7 @@
 use redb::{Database, ReadableTable, StorageBackend, WriteTransaction};
 
 use super::{LogEnd, Store};
-use crate::batch::Identity;
+use crate::batch::OwnerIdentity;
 use crate::checksum::{CorruptValue, Corruption};
 use crate::codec::{SnapshotHeader, read_meta, write_meta};
 use crate::error::StoreError;
@@ -30,7 +30,7 @@
     /// # Errors
     /// Returns an error if the file belongs to another owner, has an unsupported schema version or is
     /// corrupt, or if the device fails.
-    pub fn open(path: &Path, identity: &Identity) -> Result<Self, StoreError> {
+    pub fn open(path: &Path, identity: &OwnerIdentity) -> Result<Self, StoreError> {
         let file = open_file(path).map_err(|source| StoreError::File { path: path.to_owned(), source })?;
         // If the file is new, its directory entry must be durable as well.
         if let Some(directory) = path.parent().filter(|directory| !directory.as_os_str().is_empty()) {
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// Returns the same errors as [`Store::open`].
-    pub fn open_on(device: impl StorageBackend, identity: &Identity) -> Result<Self, StoreError> {
+    pub fn open_on(device: impl StorageBackend, identity: &OwnerIdentity) -> Result<Self, StoreError> {
         let db = open_database(|| {
             Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(SyncedDevice(device))
         })?;
@@ -62,11 +62,11 @@
         }
         // The count must be durable: it distinguishes operations in flight from an earlier run from those of
         // this run.
-        let starts = read_start_count(&txn)? + 1;
-        write_meta(&txn, STARTS_KEY, &starts)?;
+        let start_count = read_start_count(&txn)? + 1;
+        write_meta(&txn, STARTS_KEY, &start_count)?;
         let log_end = create_missing_tables(&txn)?;
         txn.commit()?;
-        Ok(Self { db, identity: owner, starts, log_end, failure: None })
+        Ok(Self { db, identity: owner, start_count, log_end, failure: None })
     }
 
     /// Opens an existing file of any owner for inspection. No stored value is changed, but redb may write to
@@ -85,17 +85,17 @@
             StoredSchema::Empty => return Err(StoreError::Empty),
             StoredSchema::Version(version) => upgrade(&txn, version)?,
         };
-        let starts = read_start_count(&txn)?;
+        let start_count = read_start_count(&txn)?;
         let log_end = create_missing_tables(&txn)?;
         txn.abort()?;
-        Ok(Self { db, identity: owner, starts, log_end, failure: None })
+        Ok(Self { db, identity: owner, start_count, log_end, failure: None })
     }
 
     /// Returns the owner of the file at `path`, or `None` if the file does not exist.
     ///
     /// # Errors
     /// Returns the same errors as [`Store::inspect`].
-    pub fn owner(path: &Path) -> Result<Option<Identity>, StoreError> {
+    pub fn owner(path: &Path) -> Result<Option<OwnerIdentity>, StoreError> {
         if !path.is_file() {
             return Ok(None);
         }
@@ -123,13 +123,13 @@
 }
 
 /// Writes the schema version and the owner to a new file.
-fn initialize(txn: &WriteTransaction, owner: &Identity) -> Result<(), StoreError> {
+fn initialize(txn: &WriteTransaction, owner: &OwnerIdentity) -> Result<(), StoreError> {
     schema::write_version(txn, SCHEMA_VERSION)?;
     write_meta(txn, IDENTITY_KEY, owner)
 }
 
 /// Upgrades a file to this program's schema version. Returns the owner.
-fn upgrade(txn: &WriteTransaction, version: u32) -> Result<Identity, StoreError> {
+fn upgrade(txn: &WriteTransaction, version: u32) -> Result<OwnerIdentity, StoreError> {
     schema::upgrade(txn, version, SCHEMA_VERSION, schema::UPGRADES)?;
     match read_meta(txn, IDENTITY_KEY)? {
         Some(owner) => Ok(owner),
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,7 +1,7 @@
 //! Compares a store with an in-memory model over random batches and restarts. Guards against stored data that
 //! is lost, stale or altered when appends, overwrites and snapshots interleave.
 
-use garnetcrank_store::{Batch, HardState, Identity, Record, Snapshot, Store};
+use garnetcrank_store::{Batch, HardState, LogEntry, OwnerIdentity, Snapshot, Store};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -45,13 +45,13 @@
 
     #[test]
     fn the_loaded_state_matches_the_model(operations in prop::collection::vec(operation(), 1..30)) {
-        let identity = Identity { cluster: "c".into(), name: "n".into(), id: 1 };
+        let identity = OwnerIdentity { cluster: "c".into(), name: "n".into(), id: 1 };
         let mut disk = FaultyDisk::new();
         let mut store = Store::open_on(disk.clone(), &identity).unwrap();
         let (mut hard_state, mut snapshot, mut log) =
-            (HardState::default(), None::<Snapshot>, Vec::<Record>::new());
+            (HardState::default(), None::<Snapshot>, Vec::<LogEntry>::new());
         let mut keys = std::collections::BTreeMap::new();
-        let (mut term, mut starts) = (1, 1);
+        let (mut term, mut start_count) = (1, 1);
         for operation in operations {
             term += 1;
             let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
@@ -59,8 +59,14 @@
             match operation {
                 Operation::Append { overlap, count } => {
                     let first_index = (last_index + 1).saturating_sub(overlap).max(snapshot_index + 1);
-                    let entries: Vec<Record> = (first_index..first_index + count)
-                        .map(|index| Record { index, term, kind: 1, data: vec![term as u8; 9], context: vec![] })
+                    let entries: Vec<LogEntry> = (first_index..first_index + count)
+                        .map(|index| LogEntry {
+                            index,
+                            term,
+                            kind: 1,
+                            data: vec![term as u8; 9],
+                            context: vec![],
+                        })
                         .collect();
                     log.retain(|entry| entry.index < first_index);
                     log.extend(entries.clone());
@@ -90,22 +96,22 @@
                         Some(value) => drop(keys.insert(change.0.clone(), value)),
                         None => drop(keys.remove(&change.0)),
                     }
-                    store.commit(&Batch { keys: vec![change], ..Batch::default() }).unwrap();
+                    store.commit(&Batch { key_changes: vec![change], ..Batch::default() }).unwrap();
                 }
                 Operation::Restart => {
                     drop(store);
-                    disk = FaultyDisk::holding(disk.image());
+                    disk = FaultyDisk::from_image(disk.image());
                     store = Store::open_on(disk.clone(), &identity).unwrap();
-                    starts += 1;
-                    prop_assert_eq!(store.starts(), starts);
+                    start_count += 1;
+                    prop_assert_eq!(store.start_count(), start_count);
                 }
             }
         }
-        let loaded = store.load().unwrap();
-        prop_assert_eq!(loaded.hard_state, hard_state);
-        prop_assert_eq!(loaded.snapshot, snapshot);
-        prop_assert_eq!(loaded.entries, log);
-        prop_assert_eq!(store.keys_with_prefix("k/").unwrap(), keys.into_iter().collect::<Vec<_>>());
+        let persisted = store.load().unwrap();
+        prop_assert_eq!(persisted.hard_state, hard_state);
+        prop_assert_eq!(persisted.snapshot, snapshot);
+        prop_assert_eq!(persisted.entries, log);
+        prop_assert_eq!(store.entries_with_prefix("k/").unwrap(), keys.into_iter().collect::<Vec<_>>());
         prop_assert!(store.scrub().unwrap().corrupt.is_empty());
     }
 }
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -1,15 +1,17 @@
 //! Guards against lost or partial batches and against corrupt data that reaches callers. The device has power
 //! cuts at each operation (unsynced writes are lost, kept or torn), failed syncs, no space or flipped bits.
 
-use garnetcrank_store::{Batch, HardState, Identity, Loaded, Record, Snapshot, Store, StoreError};
+use garnetcrank_store::{
+    Batch, HardState, LogEntry, OwnerIdentity, PersistedState, Snapshot, Store, StoreError,
+};
 use garnetcrank_test_support::faulty_disk::FaultyDisk;
 
-fn identity() -> Identity {
-    Identity { cluster: "test".into(), name: "one".into(), id: 7 }
+fn identity() -> OwnerIdentity {
+    OwnerIdentity { cluster: "test".into(), name: "one".into(), id: 7 }
 }
 
-fn entry(index: u64, term: u64) -> Record {
-    Record { index, term, kind: 0, data: vec![index as u8; 300], context: vec![term as u8; 20] }
+fn entry(index: u64, term: u64) -> LogEntry {
+    LogEntry { index, term, kind: 0, data: vec![index as u8; 300], context: vec![term as u8; 20] }
 }
 
 /// Returns batches with appends, overwritten tails, a snapshot of the stored log and one of a different
@@ -23,20 +25,32 @@
     let entries = |from: u64, to: u64, term| (from..=to).map(|index| entry(index, term)).collect::<Vec<_>>();
     vec![
         Batch { hard_state: hard_state(1, 7, 0), ..Batch::default() },
-        Batch { entries: entries(1, 6, 1), keys: vec![key("gate/orders", Some(b"3"))], ..Batch::default() },
+        Batch {
+            entries: entries(1, 6, 1),
+            key_changes: vec![key("gate/orders", Some(b"3"))],
+            ..Batch::default()
+        },
         Batch { hard_state: hard_state(2, 8, 3), entries: entries(4, 9, 2), ..Batch::default() },
         Batch { snapshot: snapshot(5, 2, 150_000), hard_state: hard_state(2, 8, 6), ..Batch::default() },
-        Batch { entries: entries(10, 14, 2), keys: vec![key("gate/orders", None)], ..Batch::default() },
+        Batch {
+            entries: entries(10, 14, 2),
+            key_changes: vec![key("gate/orders", None)],
+            ..Batch::default()
+        },
         Batch { snapshot: snapshot(40, 5, 70_000), hard_state: hard_state(5, 0, 40), ..Batch::default() },
-        Batch { entries: entries(41, 43, 5), keys: vec![key("gate/votes", Some(b"9"))], ..Batch::default() },
+        Batch {
+            entries: entries(41, 43, 5),
+            key_changes: vec![key("gate/votes", Some(b"9"))],
+            ..Batch::default()
+        },
     ]
 }
 
-/// Loaded state, with all keys and their values.
-type StoredState = (Loaded, Vec<(String, Vec<u8>)>);
+/// Persisted state, with all keys and their values.
+type StoredState = (PersistedState, Vec<(String, Vec<u8>)>);
 
 fn read_state(store: &Store) -> StoredState {
-    (store.load().expect("the state loads"), store.keys_with_prefix("").expect("the keys can be read"))
+    (store.load().expect("the state loads"), store.entries_with_prefix("").expect("the keys can be read"))
 }
 
 /// Returns the expected state after each number of committed batches, from a run without faults.
@@ -84,11 +98,11 @@
                 continue;
             };
             let acknowledged = acknowledged.unwrap_or(0);
-            let found = (store.load().ok(), store.keys_with_prefix("").ok());
+            let found = (store.load().ok(), store.entries_with_prefix("").ok());
             let matches_state_after = |batch_count: usize| {
                 states
                     .get(batch_count)
-                    .is_some_and(|(loaded, keys)| found == (Some(loaded.clone()), Some(keys.clone())))
+                    .is_some_and(|(persisted, keys)| found == (Some(persisted.clone()), Some(keys.clone())))
             };
             if !matches_state_after(acknowledged) && !matches_state_after(acknowledged + 1) {
                 return Some(format!("cut {cut} seed {seed}: {acknowledged} acknowledged, found {found:?}"));
@@ -168,8 +182,8 @@
         let mut corrupt_image = image.clone();
         corrupt_image[offset] ^= 1 << rng.u8(0..8);
         let found = std::panic::catch_unwind(|| {
-            let store = Store::open_on(FaultyDisk::holding(corrupt_image), &identity())?;
-            Ok::<_, StoreError>((store.load()?, store.keys_with_prefix("")?))
+            let store = Store::open_on(FaultyDisk::from_image(corrupt_image), &identity())?;
+            Ok::<_, StoreError>((store.load()?, store.entries_with_prefix("")?))
         });
         match found {
             Ok(Ok(found)) => assert_eq!(found, expected, "the flip at offset {offset} changed the data"),
@@ -193,23 +207,23 @@
     for offset in offsets {
         image[offset] ^= 4;
     }
-    let store = Store::open_on(FaultyDisk::holding(image), &identity()).unwrap();
+    let store = Store::open_on(FaultyDisk::from_image(image), &identity()).unwrap();
     let report = store.scrub().unwrap();
     assert!(report.corrupt.iter().any(|corrupt| corrupt.table == "log" && corrupt.key == "42"), "{report:?}");
-    assert!(report.sound > 3);
+    assert!(report.valid_count > 3);
 }
 
 #[test]
 fn a_wrong_owner_and_out_of_order_batches_are_rejected() {
     let disk = FaultyDisk::new();
     run_workload(&disk).unwrap();
-    let other = Identity { id: 8, ..identity() };
-    let same_disk = FaultyDisk::holding(disk.image());
+    let other = OwnerIdentity { id: 8, ..identity() };
+    let same_disk = FaultyDisk::from_image(disk.image());
     let error = Store::open_on(same_disk, &other).unwrap_err();
     assert!(matches!(error, StoreError::WrongOwner { .. }), "{error}");
 
-    let mut store = Store::open_on(FaultyDisk::holding(disk.image()), &identity()).unwrap();
-    assert_eq!(store.starts(), 2);
+    let mut store = Store::open_on(FaultyDisk::from_image(disk.image()), &identity()).unwrap();
+    assert_eq!(store.start_count(), 2);
     for out_of_order in [
         Batch { entries: vec![entry(45, 5)], ..Batch::default() },
         Batch { entries: vec![entry(40, 5)], ..Batch::default() },
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -12,7 +12,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use garnetcrank_store::{Batch, HardState, Identity, Store, StoreError, StoredSchema};
+use garnetcrank_store::{Batch, HardState, OwnerIdentity, Store, StoreError, StoredSchema};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 /// Index of the fixture's snapshot: entries up to it are no longer read.
@@ -31,8 +31,8 @@
     (directory, path)
 }
 
-fn identity() -> Identity {
-    Identity { cluster: "eger".to_owned(), name: "alma".to_owned(), id: 0x0a11_ce00_0000_0001 }
+fn identity() -> OwnerIdentity {
+    OwnerIdentity { cluster: "eger".to_owned(), name: "alma".to_owned(), id: 0x0a11_ce00_0000_0001 }
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -93,19 +93,19 @@
     let mut text = String::new();
     let owner = store.identity();
     let _ = writeln!(text, "identity cluster={} name={} id={:016x}", owner.cluster, owner.name, owner.id);
-    let _ = writeln!(text, "starts {}", store.starts());
-    let loaded = store.load().expect("the state loads");
-    let hard_state = loaded.hard_state;
+    let _ = writeln!(text, "starts {}", store.start_count());
+    let persisted = store.load().expect("the state loads");
+    let hard_state = persisted.hard_state;
     let _ = writeln!(
         text,
         "hard term={} vote={:016x} commit={}",
         hard_state.term, hard_state.vote, hard_state.commit
     );
-    let snapshot = loaded.snapshot.expect("the store has a snapshot");
+    let snapshot = persisted.snapshot.expect("the store has a snapshot");
     let _ = writeln!(text, "snapshot index={} term={}", snapshot.index, snapshot.term);
     let _ = writeln!(text, "snapshot members={}", hex(&snapshot.members));
     let _ = writeln!(text, "snapshot data={}", hex(&snapshot.data));
-    for entry in &loaded.entries {
+    for entry in &persisted.entries {
         let _ = writeln!(
             text,
             "entry index={} term={} kind={} data={} context={}",
@@ -116,11 +116,11 @@
             hex(&entry.context)
         );
     }
-    for (key, value) in store.keys_with_prefix("").expect("the keys can be read") {
-        assert_eq!(store.key(&key).expect("the key can be read"), Some(value.clone()));
+    for (key, value) in store.entries_with_prefix("").expect("the keys can be read") {
+        assert_eq!(store.value(&key).expect("the key can be read"), Some(value.clone()));
         let _ = writeln!(text, "key {key}={}", hex(&value));
     }
-    assert_eq!(store.key("gone").expect("the lookup succeeds"), None);
+    assert_eq!(store.value("gone").expect("the lookup succeeds"), None);
     assert_same_text(&text, "store.txt");
 }
 
@@ -128,27 +128,27 @@
 fn the_fixture_has_the_expected_terms_indexes_kinds_and_keys() {
     let (_directory, path) = copy_fixture();
     let store = Store::inspect(&path).expect("the store opens");
-    assert_eq!(store.starts(), 3);
-    let loaded = store.load().expect("the state loads");
-    assert_eq!(loaded.hard_state, HardState { term: 4, vote: 0x0a11_ce00_0000_0001, commit: 329 });
-    let snapshot = loaded.snapshot.as_ref().expect("the store has a snapshot");
+    assert_eq!(store.start_count(), 3);
+    let persisted = store.load().expect("the state loads");
+    assert_eq!(persisted.hard_state, HardState { term: 4, vote: 0x0a11_ce00_0000_0001, commit: 329 });
+    let snapshot = persisted.snapshot.as_ref().expect("the store has a snapshot");
     assert_eq!((snapshot.index, snapshot.term), (SNAPSHOT_INDEX, 4));
-    let indexes: Vec<u64> = loaded.entries.iter().map(|entry| entry.index).collect();
+    let indexes: Vec<u64> = persisted.entries.iter().map(|entry| entry.index).collect();
     assert_eq!(indexes, (SNAPSHOT_INDEX + 1..=331).collect::<Vec<_>>());
-    assert!(loaded.entries.iter().all(|entry| entry.term == 4 && entry.context.is_empty()));
-    let kinds: Vec<(u64, u8)> = loaded
+    assert!(persisted.entries.iter().all(|entry| entry.term == 4 && entry.context.is_empty()));
+    let kinds: Vec<(u64, u8)> = persisted
         .entries
         .iter()
         .filter(|entry| entry.kind != 0)
         .map(|entry| (entry.index, entry.kind))
         .collect();
     assert_eq!(kinds, [(329, 1), (330, 1)], "one committed and one uncommitted membership change");
-    let keys = store.keys_with_prefix("gate/").expect("the keys can be read");
+    let key_values = store.entries_with_prefix("gate/").expect("the keys can be read");
     assert_eq!(
-        keys,
+        key_values,
         [("gate/orders".to_owned(), vec![0, 1, 2, 0xff]), ("gate/votes".to_owned(), b"epoch 2".to_vec())]
     );
-    assert_eq!(store.key("empty").expect("the key can be read"), Some(Vec::new()));
+    assert_eq!(store.value("empty").expect("the key can be read"), Some(Vec::new()));
     let usage = store.usage().expect("the usage can be read");
     assert_eq!((usage.entries, usage.first, usage.last, usage.keys), (49, Some(283), Some(331), 3));
     let scrub = store.scrub().expect("the scrub succeeds");
@@ -157,13 +157,13 @@
     // checksum.
     let values =
         std::fs::read_to_string(fixture("tables.txt")).expect("the fixture file can be read").lines().count();
-    assert_eq!(scrub.sound, values as u64 - 2);
+    assert_eq!(scrub.valid_count, values as u64 - 2);
 }
 
 #[test]
 fn another_instance_is_rejected_with_the_names_and_ids_of_both() {
     let (_directory, path) = copy_fixture();
-    let other = Identity { id: 7, ..identity() };
+    let other = OwnerIdentity { id: 7, ..identity() };
     let error = Store::open(&path, &other).expect_err("the store belongs to another instance");
     assert!(matches!(error, StoreError::WrongOwner { .. }));
     assert_eq!(
@@ -183,8 +183,8 @@
     let (directory, path) = copy_fixture();
     let expected = table_lines(&path);
     let store = Store::inspect(&path).expect("the store opens");
-    let loaded = store.load().expect("the state loads");
-    let keys = store.keys_with_prefix("").expect("the keys can be read");
+    let persisted = store.load().expect("the state loads");
+    let key_values = store.entries_with_prefix("").expect("the keys can be read");
     let new_path = directory.path().join("new.redb");
     // The new store is opened three times, like the fixture, so that the start counts are equal.
     for _ in 0..2 {
@@ -192,10 +192,10 @@
     }
     let mut new_store = Store::open(&new_path, &identity()).expect("the new store opens");
     let batch = Batch {
-        hard_state: Some(loaded.hard_state),
-        snapshot: loaded.snapshot,
-        entries: loaded.entries,
-        keys: keys.into_iter().map(|(key, value)| (key, Some(value))).collect(),
+        hard_state: Some(persisted.hard_state),
+        snapshot: persisted.snapshot,
+        entries: persisted.entries,
+        key_changes: key_values.into_iter().map(|(key, value)| (key, Some(value))).collect(),
     };
     new_store.commit(&batch).expect("the batch is committed");
     drop(new_store);
