--- a/crates/test-support/src/agent_cluster.rs
+++ b/crates/test-support/src/agent_cluster.rs
@@ -39,7 +39,7 @@
     pub lease_ttl_ms: u64,
     /// Number of applied entries after which the log is compacted.
     pub compact_every: u64,
-    /// Whether there is a relay for each direction between two agents, which [`AgentCluster::cut`] needs.
+    /// Whether there is a relay for each direction between two agents, which [`AgentCluster::set_cut`] needs.
     pub relays: bool,
 }
 
