--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -112,7 +112,7 @@
     if let Some(message) = payload.downcast_ref::<String>() {
         return message;
     }
-    payload.downcast_ref::<&str>().copied().unwrap_or("panic with a payload that is not a string")
+    payload.downcast_ref::<&str>().copied().unwrap_or("panic without words")
 }
 
 fn push_line(reply: &mut String, output: &Output) -> Result<(), ProtocolError> {
