--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -132,10 +132,10 @@
         comparable: Option<f64>,
     ) {
         let sample = OutcomeSample {
-            at: self.now,
+            recorded_at: self.now,
             outcome: completed.outcome,
             slowdown: comparable,
-            excess: self.excess_over_zone(completed, slowdown),
+            excess_over_zone: self.excess_over_zone(completed, slowdown),
             endpoint: completed.attempt.endpoint,
         };
         let attempt = completed.attempt;
--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -177,15 +177,15 @@
     }
 
     /// Assesses a build's latency over all classes together. Each outcome counts by its
-    /// [`OutcomeSample::excess`]: the logarithm of its latency relative to the baseline of its class and kind
-    /// of endpoint, and to the released builds in its zone at that time.
+    /// [`OutcomeSample::excess_over_zone`]: the logarithm of its latency relative to the baseline of its
+    /// class and kind of endpoint, and to the released builds in its zone at that time.
     ///
     /// Without it, a build that is slow but returns no errors would pass until it overloads the fleet.
     fn assess_latency(&self, record: &BuildRecord) -> Assessment {
         let excesses = record
             .samples
             .iter()
-            .filter_map(|s| Some(EndpointValue { endpoint: s.endpoint, value: s.excess? }));
+            .filter_map(|s| Some(EndpointValue { endpoint: s.endpoint, value: s.excess_over_zone? }));
         let excesses: Vec<EndpointValue> = excesses.collect();
         let summary = SampleSummary::of(&excesses);
         if summary.count < self.min_samples(RECENT_OUTCOMES) {
--- a/crates/policy/src/build_health/build_record.rs
+++ b/crates/policy/src/build_health/build_record.rs
@@ -114,7 +114,7 @@
         if sent < self.created_at {
             return;
         }
-        self.last_outcome_at = sample.at;
+        self.last_outcome_at = sample.recorded_at;
         for samples in [&mut self.samples_by_class[class.0], &mut self.samples] {
             samples.push_back(sample);
             if samples.len() > RETAINED_OUTCOMES {
--- a/crates/policy/src/build_health/fleet_health.rs
+++ b/crates/policy/src/build_health/fleet_health.rs
@@ -151,7 +151,7 @@
 
     fn recent_slowdowns(&self, record: Option<&BuildRecord>) -> Vec<EndpointValue> {
         let Some(record) = record else { return Vec::new() };
-        let recent = record.samples.iter().filter(|sample| sample.at + COMPARISON_WINDOW > self.now);
+        let recent = record.samples.iter().filter(|sample| sample.recorded_at + COMPARISON_WINDOW > self.now);
         let slowdowns =
             recent.filter_map(|s| Some(EndpointValue { endpoint: s.endpoint, value: s.slowdown? }));
         slowdowns.collect()
--- a/crates/policy/src/build_health/samples.rs
+++ b/crates/policy/src/build_health/samples.rs
@@ -7,13 +7,13 @@
 /// One outcome in a build's record.
 #[derive(Clone, Copy)]
 pub(crate) struct OutcomeSample {
-    pub(crate) at: Micros,
+    pub(crate) recorded_at: Micros,
     pub(crate) outcome: Outcome,
     /// Natural logarithm of the latency relative to the baseline of its class and kind of endpoint; none
     /// where the two can't be compared.
     pub(crate) slowdown: Option<f64>,
     /// Slowdown beyond that of the released builds in the endpoint's zone at that time; none where unknown.
-    pub(crate) excess: Option<f64>,
+    pub(crate) excess_over_zone: Option<f64>,
     pub(crate) endpoint: EndpointId,
 }
 
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -105,8 +105,13 @@
     /// Records an error of the endpoint's build: a client reported a wrong response that looked successful.
     fn on_answer_flagged(&mut self, endpoint: EndpointId, class: ClassId, age: Micros) {
         let Some(build) = self.endpoints.get(endpoint).map(|e| e.record.build) else { return };
-        let sample =
-            OutcomeSample { at: self.now, outcome: Outcome::Error, slowdown: None, excess: None, endpoint };
+        let sample = OutcomeSample {
+            recorded_at: self.now,
+            outcome: Outcome::Error,
+            slowdown: None,
+            excess_over_zone: None,
+            endpoint,
+        };
         let sent = self.now.saturating_sub(age);
         self.build_record(build).add(class, sample, sent);
     }
