--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -25,7 +25,7 @@
 /// explain them.
 const CONCLUSIVE_ERRORS: f64 = 3.0;
 /// Age up to which an outcome is valid for a comparison with current ones.
-pub(crate) const COMPARISON_WINDOW: Micros = 4 * SECOND;
+pub(crate) const MAX_COMPARISON_AGE: Micros = 4 * SECOND;
 
 /// Margin over the earlier build's failure ratio above which a build fails, for a ratio over 20 outcomes.
 const FAILURE_MARGIN: f64 = 0.1;
@@ -134,7 +134,7 @@
         earlier: Option<&BuildRecord>,
         criterion: Criterion,
     ) -> Assessment {
-        let comparable = earlier.is_some_and(|e| e.last_outcome_at + COMPARISON_WINDOW > self.now);
+        let comparable = earlier.is_some_and(|e| e.last_outcome_at + MAX_COMPARISON_AGE > self.now);
         let is_error = |s: &OutcomeSample| s.outcome == Outcome::Error;
         let is_timeout = |s: &OutcomeSample| comparable && s.outcome == Outcome::TimedOut;
         let is_failure = |s: &OutcomeSample| is_error(s) || is_timeout(s);
--- a/crates/policy/src/build_health/fleet_health.rs
+++ b/crates/policy/src/build_health/fleet_health.rs
@@ -5,7 +5,7 @@
 
 use super::samples::{EndpointValue, SampleSummary};
 use super::{
-    Assessment, BuildRecord, COMPARISON_WINDOW, MIN_OUTCOMES, MIN_SAMPLE_DEVIATION, RECENT_OUTCOMES,
+    Assessment, BuildRecord, MAX_COMPARISON_AGE, MIN_OUTCOMES, MIN_SAMPLE_DEVIATION, RECENT_OUTCOMES,
     SUSTAINED_FAILURE_TIME,
 };
 use crate::api::{EndpointId, Micros, RolloutPhase, RolloutStatus};
@@ -151,7 +151,8 @@
 
     fn recent_slowdowns(&self, record: Option<&BuildRecord>) -> Vec<EndpointValue> {
         let Some(record) = record else { return Vec::new() };
-        let recent = record.samples.iter().filter(|sample| sample.recorded_at + COMPARISON_WINDOW > self.now);
+        let recent =
+            record.samples.iter().filter(|sample| sample.recorded_at + MAX_COMPARISON_AGE > self.now);
         let slowdowns =
             recent.filter_map(|s| Some(EndpointValue { endpoint: s.endpoint, value: s.slowdown? }));
         slowdowns.collect()
--- a/crates/policy/src/load_balancing/latency.rs
+++ b/crates/policy/src/load_balancing/latency.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::api::{ClassId, KindId, Micros, Request, ZoneId};
-use crate::build_health::{COMPARISON_WINDOW, MIN_OUTCOMES, MIN_SAMPLES};
+use crate::build_health::{MAX_COMPARISON_AGE, MIN_OUTCOMES, MIN_SAMPLES};
 use crate::units::MILLISECOND;
 
 /// Number of outcomes after which a baseline is no longer updated while a build is on trial.
@@ -39,7 +39,7 @@
 
     /// Returns whether the last value is recent enough for a comparison.
     fn is_recent(&self, now: Micros) -> bool {
-        self.updated_at + COMPARISON_WINDOW > now
+        self.updated_at + MAX_COMPARISON_AGE > now
     }
 }
 
@@ -140,7 +140,7 @@
 
     pub(crate) fn add_to_zone(&mut self, now: Micros, zone: ZoneId, slowdown: f64) {
         let estimate = self.zones.entry(zone).or_default();
-        estimate.add(now, slowdown, ZONE_SMOOTHING, COMPARISON_WINDOW);
+        estimate.add(now, slowdown, ZONE_SMOOTHING, MAX_COMPARISON_AGE);
     }
 
     /// Returns the recent slowdown of a zone; 0 without recent values, so that a slow zone is tried again.
