--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -120,7 +120,7 @@
         self.set_timer();
         self.update_served_loads();
         self.assess_newest_build();
-        self.cast_vote();
+        self.cast_vote_if_due();
         self.request_watch_if_due();
         self.count_overdue_attempts();
         let endpoint_count = self.endpoints.active_count();
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -73,7 +73,7 @@
     /// Attempts at a build on trial may not exceed the allowance plus the cap times the requests received,
     /// over the window that ends now; both are counted per class where so configured. No attempt is allowed
     /// at a cap of 0, nor for a class that is not idempotent in a guarded stage.
-    pub(crate) fn exposure_allows(&mut self, build: Build, class: ClassId) -> bool {
+    pub(crate) fn exposure_allows_attempt(&mut self, build: Build, class: ClassId) -> bool {
         if !self.is_on_trial(build) {
             return true;
         }
@@ -118,7 +118,7 @@
     /// Returns whether a request with this idempotency key may go to a build. If keys are forward-only, one
     /// that the newest build answered on trial goes to no earlier build, unless the newest is being rolled
     /// back or has been withdrawn.
-    pub(crate) fn key_allows(&self, key: Option<KeyId>, build: Build) -> bool {
+    pub(crate) fn key_allows_build(&self, key: Option<KeyId>, build: Build) -> bool {
         let Some(answered_by) = key.and_then(|key| self.exposure.answered_keys.get(&key)) else {
             return true;
         };
--- a/crates/policy/src/load_balancing.rs
+++ b/crates/policy/src/load_balancing.rs
@@ -89,8 +89,8 @@
         let ejected = endpoint.health.is_ejected(self.now);
         let unreachable = endpoint.health.is_unreachable();
         let fault_ratio = endpoint.health.fault_ratio();
-        let eligible = self.exposure_allows(record.build, in_flight.request.class)
-            && self.key_allows(in_flight.request.key, record.build)
+        let eligible = self.exposure_allows_attempt(record.build, in_flight.request.class)
+            && self.key_allows_build(in_flight.request.key, record.build)
             && self.retry_allows(in_flight, &record)
             && self.slow_start_allows(id, &in_flight.request);
         if !eligible {
--- a/crates/policy/src/rollout_vote.rs
+++ b/crates/policy/src/rollout_vote.rs
@@ -59,7 +59,7 @@
 
 impl Policy {
     /// Casts a vote if one is due.
-    pub(crate) fn cast_vote(&mut self) {
+    pub(crate) fn cast_vote_if_due(&mut self) {
         if self.awaits_vote_result() {
             return;
         }
