--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -139,7 +139,7 @@
             endpoint: completed.attempt.endpoint,
         };
         let attempt = completed.attempt;
-        self.build_record(attempt.build).add(completed.request.class, sample, attempt.sent);
+        self.build_record(attempt.build).add(completed.request.class, sample, attempt.sent_at);
     }
 
     /// Returns how much slower an attempt at a build on trial was than the released builds in its zone at
@@ -167,7 +167,7 @@
         if let Some(suspicion) = &mut record.suspicion
             && let Some(slowdown) = comparable
         {
-            suspicion.add(attempt.sent, attempt.endpoint, slowdown);
+            suspicion.add(attempt.sent_at, attempt.endpoint, slowdown);
         }
     }
 
--- a/crates/policy/src/build_health/build_record.rs
+++ b/crates/policy/src/build_health/build_record.rs
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Adds the outcome of an attempt sent at `sent`, unless the record was created later.
-    pub(crate) fn add(&mut self, class: ClassId, sample: OutcomeSample, sent: Micros) {
-        if sent < self.created_at {
+    /// Adds the outcome of an attempt sent at `sent_at`, unless the record was created later.
+    pub(crate) fn add(&mut self, class: ClassId, sample: OutcomeSample, sent_at: Micros) {
+        if sent_at < self.created_at {
             return;
         }
         self.last_outcome_at = sample.recorded_at;
--- a/crates/policy/src/build_health/fleet_health.rs
+++ b/crates/policy/src/build_health/fleet_health.rs
@@ -41,8 +41,8 @@
     }
 
     /// Adds the slowdown of an attempt at an earlier build, unless it was sent while the fleet was settling.
-    pub(crate) fn add(&mut self, sent: Micros, endpoint: EndpointId, slowdown: f64) {
-        let age = sent.saturating_sub(self.since);
+    pub(crate) fn add(&mut self, sent_at: Micros, endpoint: EndpointId, slowdown: f64) {
+        let age = sent_at.saturating_sub(self.since);
         if age % SUSTAINED_FAILURE_TIME < SETTLING_TIME {
             return;
         }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -112,8 +112,8 @@
             excess_over_zone: None,
             endpoint,
         };
-        let sent = self.now.saturating_sub(age);
-        self.build_record(build).add(class, sample, sent);
+        let sent_at = self.now.saturating_sub(age);
+        self.build_record(build).add(class, sample, sent_at);
     }
 
     fn run_periodic_work(&mut self) {
--- a/crates/policy/src/request_lifecycle.rs
+++ b/crates/policy/src/request_lifecycle.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) build: Build,
-    pub(crate) sent: Micros,
+    pub(crate) sent_at: Micros,
     /// Slow-start factor of the endpoint when the attempt was sent; none if it was not warming up.
     pub(crate) slow_start_factor: Option<f64>,
     /// Whether the attempt was open for its latency objective and has been counted as overdue.
@@ -73,7 +73,7 @@
     fn mark_overdue(&mut self, now: Micros, latency_objective: Micros) -> i32 {
         let mut newly_overdue = 0;
         for attempt in &mut self.attempts {
-            if attempt.is_open() && !attempt.counted_overdue && now >= attempt.sent + latency_objective {
+            if attempt.is_open() && !attempt.counted_overdue && now >= attempt.sent_at + latency_objective {
                 attempt.counted_overdue = true;
                 newly_overdue += 1;
             }
@@ -174,7 +174,7 @@
         in_flight.attempts.push(Attempt {
             endpoint: id,
             build: record.build,
-            sent: now,
+            sent_at: now,
             slow_start_factor: self.slow_start_factor(&record),
             counted_overdue: false,
             outcome: None,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -39,13 +39,13 @@
     /// Returns whether an endpoint may get a further attempt, given the earlier ones that may have run.
     pub(crate) fn retry_allows(&self, in_flight: &InFlightRequest, candidate: &EndpointRecord) -> bool {
         let earlier = || in_flight.attempts.iter().filter(|attempt| attempt.may_have_run());
-        let Some(first_sent) = earlier().map(|attempt| attempt.sent).min() else { return true };
+        let Some(first_sent_at) = earlier().map(|attempt| attempt.sent_at).min() else { return true };
         let may_overlap = self.config.hedging || !in_flight.has_open_attempt();
         match self.config.classes[in_flight.request.class.0].idempotency {
             Idempotency::Idempotent => may_overlap,
             Idempotency::NonIdempotent => false,
             Idempotency::Keyed { scope, window } => {
-                let within_window = self.now + TRANSIT_MARGIN < first_sent + window;
+                let within_window = self.now + TRANSIT_MARGIN < first_sent_at + window;
                 may_overlap
                     && within_window
                     && earlier().all(|attempt| self.discards_repeat(attempt, candidate, scope))
