--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: the concurrency limit, priorities and tenant quotas.
 
 use crate::api::{ClassId, Micros, Request, TenantId};
-use crate::engine::{Policy, TICK};
+use crate::engine::{PERIODIC_WORK_INTERVAL, Policy};
 use crate::units::SECOND;
 
 /// Mean ratio of latency to objective above which the limit is lowered: queues are building up.
@@ -10,7 +10,7 @@
 const HEADROOM_RATIO: f64 = 0.45;
 /// Weight of the newest outcome in that mean.
 const LATENCY_SMOOTHING: f64 = 0.05;
-/// Relative change of the limit per tick: faster changes make it oscillate.
+/// Relative change of the limit per [`PERIODIC_WORK_INTERVAL`]: faster changes make it oscillate.
 const LIMIT_ADJUSTMENT: f64 = 0.01;
 /// Minimum limit per endpoint, over all instances: some outcomes are needed to measure the latency.
 const MIN_LIMIT_PER_ENDPOINT: f64 = 2.0;
@@ -76,7 +76,7 @@
         self.latency_ratio < OVERLOAD_RATIO
     }
 
-    /// Raises or lowers the limit; called once per tick.
+    /// Raises or lowers the limit; called once per [`PERIODIC_WORK_INTERVAL`].
     pub(crate) fn update(&mut self, endpoints: usize, instances: u32) {
         let in_flight = f64::from(self.in_flight);
         if self.latency_ratio > OVERLOAD_RATIO {
@@ -84,8 +84,8 @@
             let min_limit = min_by_endpoints.max(MIN_LIMIT_NORMAL_MULTIPLE * self.normal_in_flight);
             self.limit = (self.limit.min(in_flight) * (1.0 - LIMIT_ADJUSTMENT)).max(min_limit).max(1.0);
         } else if self.latency_ratio < HEADROOM_RATIO {
-            self.normal_in_flight +=
-                (in_flight - self.normal_in_flight) * (TICK as f64 / NORMAL_IN_FLIGHT_TIME_CONSTANT as f64);
+            self.normal_in_flight += (in_flight - self.normal_in_flight)
+                * (PERIODIC_WORK_INTERVAL as f64 / NORMAL_IN_FLIGHT_TIME_CONSTANT as f64);
             self.limit = (self.limit * (1.0 + LIMIT_ADJUSTMENT)).min(MAX_LIMIT);
         }
     }
--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -51,8 +51,8 @@
 }
 
 impl Policy {
-    /// Updates the record of the newest build: its assessments, failure timers and state. Runs once per tick;
-    /// an assessment at every outcome would produce more false positives.
+    /// Updates the record of the newest build: its assessments, failure timers and state. Part of the
+    /// periodic work; an assessment at every outcome would produce more false positives.
     pub(crate) fn assess_newest_build(&mut self) {
         let Some(status) = self.rollout.active_status() else { return };
         let build = status.build;
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -18,7 +18,7 @@
 use crate::units::MILLISECOND;
 
 /// Interval of the periodic work, such as the assessment of the build, votes and the concurrency limit.
-pub(crate) const TICK: Micros = 25 * MILLISECOND;
+pub(crate) const PERIODIC_WORK_INTERVAL: Micros = 25 * MILLISECOND;
 
 /// Mean number of instances that log an event which all instances of the tier see.
 const MEAN_SHARED_EVENT_LOGGERS: f64 = 8.0;
@@ -129,7 +129,7 @@
     }
 
     fn set_timer(&mut self) {
-        self.actions.push(Action::SetTimer { after: TICK, token: 0 });
+        self.actions.push(Action::SetTimer { after: PERIODIC_WORK_INTERVAL, token: 0 });
     }
 
     /// Logs a line about what this instance alone has seen or decided.
--- a/crates/policy/src/rollout_vote.rs
+++ b/crates/policy/src/rollout_vote.rs
@@ -4,7 +4,7 @@
 
 use crate::api::{Action, Build, Micros, RolloutPhase, RolloutStatus, Verdict, VoteMode, VoteResult};
 use crate::build_health::{BuildRecord, SUSTAINED_FAILURE_TIME};
-use crate::engine::{Policy, TICK};
+use crate::engine::{PERIODIC_WORK_INTERVAL, Policy};
 use crate::units::{MILLISECOND, SECOND};
 
 /// Mean wait after the first vote that was not counted; doubled after each further one.
@@ -113,7 +113,7 @@
     fn vote_renewal_interval(&self) -> Micros {
         let ttl = self.config.rollout.vote_ttl;
         let timeout = self.config.rollout.vote_timeout;
-        MAX_RENEWAL_INTERVAL.min(ttl.saturating_sub(timeout + 4 * TICK).max(ttl / 2))
+        MAX_RENEWAL_INTERVAL.min(ttl.saturating_sub(timeout + 4 * PERIODIC_WORK_INTERVAL).max(ttl / 2))
     }
 
     /// Returns the vote that follows from this instance's assessment of the newest build, if any.
