--- a/crates/policy/src/request_lifecycle.rs
+++ b/crates/policy/src/request_lifecycle.rs
@@ -94,7 +94,7 @@
     pub(crate) fn on_request(&mut self, request: Request) {
         self.exposure.requests.add(self.now, request.class);
         self.latency.add_request(self.now, &request);
-        self.retry_budget.earn();
+        self.retry_budget.deposit();
         self.traffic.record_request(request.class, request.tenant);
         let id = request.id;
         let admitted = self.admits(&request);
@@ -125,7 +125,7 @@
             NextAction::Finish => self.finish_request(id),
             NextAction::Wait => {}
             NextAction::Retry => {
-                self.retry_budget.spend();
+                self.retry_budget.withdraw();
                 self.forward(id);
             }
             NextAction::GiveUp => self.give_up(id),
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -22,7 +22,7 @@
         RetryBudget { retries: MAX_BUDGET }
     }
 
-    pub(crate) fn earn(&mut self) {
+    pub(crate) fn deposit(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_BUDGET);
     }
 
@@ -30,7 +30,7 @@
         self.retries >= 1.0
     }
 
-    pub(crate) fn spend(&mut self) {
+    pub(crate) fn withdraw(&mut self) {
         self.retries -= 1.0;
     }
 }
