--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -140,7 +140,7 @@
     }
 
     /// Records a response, or a time-out, and whether it missed the latency objective.
-    pub(crate) fn record_answer(&mut self, class: ClassId, tenant: Option<TenantId>, missed: bool) {
+    pub(crate) fn record_response(&mut self, class: ClassId, tenant: Option<TenantId>, missed: bool) {
         self.classes[class.0].record_answer(missed);
         if let Some(tenant) = tenant {
             self.tenants[tenant.0].record_answer(missed);
--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -106,7 +106,7 @@
             self.concurrency.record_latency(ratio);
         }
         if matches!(outcome, Outcome::Success | Outcome::TimedOut) {
-            self.traffic.record_answer(request.class, request.tenant, ratio >= 1.0);
+            self.traffic.record_response(request.class, request.tenant, ratio >= 1.0);
         }
     }
 
