--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -116,9 +116,9 @@
         let update = if !updates_baseline {
             BaselineUpdate::Skip
         } else if self.rollout.build_on_trial().is_some() {
-            BaselineUpdate::LearnUntilKnown
+            BaselineUpdate::UpdateUntilKnown
         } else {
-            BaselineUpdate::Learn
+            BaselineUpdate::Update
         };
         let kind = completed.record.kind;
         self.latency.slowdown(self.now, completed.request, kind, completed.latency, update)
--- a/crates/policy/src/load_balancing/latency.rs
+++ b/crates/policy/src/load_balancing/latency.rs
@@ -49,10 +49,10 @@
     /// No update.
     Skip,
     /// An update.
-    Learn,
+    Update,
     /// An update only while a baseline has too few samples: a build is on trial, and its effect on the fleet
     /// must not become part of the baseline.
-    LearnUntilKnown,
+    UpdateUntilKnown,
 }
 
 /// The class and kind of endpoint of a baseline.
@@ -129,8 +129,8 @@
         let baseline = self.baselines.entry(key).or_default();
         let updates_baseline = match update {
             BaselineUpdate::Skip => false,
-            BaselineUpdate::Learn => true,
-            BaselineUpdate::LearnUntilKnown => baseline.count < BASELINE_SAMPLES,
+            BaselineUpdate::Update => true,
+            BaselineUpdate::UpdateUntilKnown => baseline.count < BASELINE_SAMPLES,
         };
         if updates_baseline {
             baseline.add(now, value, 0.5 / f64::from(BASELINE_SAMPLES), Micros::MAX);
