--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -105,7 +105,7 @@
     /// Price of an attempt at an endpoint in another zone.
     pub cross_zone_price: f64,
     /// Whether the ratings of endpoints are a measure of their sizes.
-    pub rated: bool,
+    pub ratings_compare_sizes: bool,
     /// Settings of rollouts.
     pub rollout: Rollout,
 }
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -46,7 +46,7 @@
         overload_multiple: raw.safety.overload_multiple,
         overload_window: micros_from_ms(raw.safety.overload_window),
         cross_zone_price: raw.prices.cross_zone,
-        rated: raw.weights != NO_WEIGHTS,
+        ratings_compare_sizes: raw.weights != NO_WEIGHTS,
         rollout: rollout(&raw.rollout),
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -95,7 +95,7 @@
         (&settings.zones[..], &settings.tenants[..]),
         (&["south".to_owned(), "north".to_owned()][..], &["acme".to_owned()][..])
     );
-    assert!(config.poll_endpoints && config.priority_by_work && config.rated);
+    assert!(config.poll_endpoints && config.priority_by_work && config.ratings_compare_sizes);
     assert_eq!((config.over_quota_weight, config.cross_zone_price), (0.25, 0.125));
     assert_eq!((config.tenants[0].share, config.tenants[0].quota_per_s), (0.75, 12.5));
     assert!(config.cancellation && config.hedging && config.gossip && config.health_checks);
