--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -190,9 +190,10 @@
         priority * if over_quota { self.config.over_quota_weight } else { 1.0 }
     }
 
-    /// Returns whether a tenant's fraction of the traffic is above its `share`. Ignores `quota_per_s`.
+    /// Returns whether a tenant's fraction of the traffic is above its `service_share`. Ignores
+    /// `quota_per_s`.
     fn is_over_quota(&self, tenant: TenantId) -> bool {
-        let share = self.config.tenants[tenant.0].share;
-        self.traffic.tenant_fraction(tenant) > OVER_QUOTA_MULTIPLE * share
+        let service_share = self.config.tenants[tenant.0].service_share;
+        self.traffic.tenant_fraction(tenant) > OVER_QUOTA_MULTIPLE * service_share
     }
 }
--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone)]
 pub struct Tenant {
     /// Fraction of the service that is the tenant's, 0 to 1.
-    pub share: f64,
+    pub service_share: f64,
     /// Quota in requests per second, over all instances.
     pub quota_per_s: f64,
 }
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -27,7 +27,7 @@
         tenants: raw
             .tenants
             .iter()
-            .map(|tenant| Tenant { share: tenant.share, quota_per_s: tenant.quota_per_s })
+            .map(|tenant| Tenant { service_share: tenant.service_share, quota_per_s: tenant.quota_per_s })
             .collect(),
         priority_by_work: raw.priority_by == VALUE_BY_WORK,
         over_quota_weight: raw.over_quota_weight,
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -231,7 +231,7 @@
 pub(crate) struct RawTenant {
     pub(crate) name: String,
     #[serde(rename = "portion", default)]
-    pub(crate) share: f64,
+    pub(crate) service_share: f64,
     #[serde(rename = "quotaRps", default)]
     pub(crate) quota_per_s: f64,
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -97,7 +97,7 @@
     );
     assert!(config.poll_endpoints && config.priority_by_work && config.ratings_compare_sizes);
     assert_eq!((config.over_quota_weight, config.cross_zone_price), (0.25, 0.125));
-    assert_eq!((config.tenants[0].share, config.tenants[0].quota_per_s), (0.75, 12.5));
+    assert_eq!((config.tenants[0].service_share, config.tenants[0].quota_per_s), (0.75, 12.5));
     assert!(config.cancellation && config.hedging && config.gossip && config.health_checks);
     assert_eq!((config.retry_after, config.max_attempts, config.resolution), (Some(900_000), 3, 5_000));
     assert_eq!((config.poll_timeout, config.drain_grace), (6_000_000, 500_000));
