--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -43,7 +43,7 @@
     /// Value of one request (or of one unit of work), 0 or more.
     pub priority_weight: f64,
     /// Fraction of that value that a response after the latency objective earns, 0 to 1.
-    pub late_priority_weight: f64,
+    pub late_response_value: f64,
     /// Whether responses are streamed.
     pub streamed: bool,
 }
--- a/crates/policy/src/request_lifecycle.rs
+++ b/crates/policy/src/request_lifecycle.rs
@@ -189,7 +189,7 @@
     fn attempt_timeout(&self, in_flight: &InFlightRequest) -> Option<Micros> {
         let class = &self.config.classes[in_flight.request.class.0];
         let deadline = in_flight.request.deadline;
-        let useful_until = if class.late_priority_weight > 0.0 {
+        let useful_until = if class.late_response_value > 0.0 {
             deadline
         } else {
             in_flight.arrived + class.latency_objective
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -122,7 +122,7 @@
 fn overdue_attempts_lower_the_limit_before_they_are_answered() {
     let mut long_deadlines = config();
     for class in &mut long_deadlines.classes {
-        class.late_priority_weight = 0.2;
+        class.late_response_value = 0.2;
         class.deadline = 60_000 * MS;
     }
     let mut harness = Harness::new(long_deadlines);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -22,7 +22,7 @@
         latency_objective: 400 * MS,
         deadline: 1_000 * MS,
         priority_weight: 1.0,
-        late_priority_weight: 0.0,
+        late_response_value: 0.0,
         streamed: false,
     }
 }
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -58,7 +58,7 @@
         latency_objective: micros_from_ms(raw.latency_objective),
         deadline: micros_from_ms(raw.deadline),
         priority_weight: raw.priority_weight,
-        late_priority_weight: raw.late_priority_weight,
+        late_response_value: raw.late_response_value,
         streamed: raw.streamed,
     }
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -83,7 +83,7 @@
     #[serde(rename = "credit", default = "default_credit")]
     pub(crate) priority_weight: f64,
     #[serde(rename = "lateShare", default)]
-    pub(crate) late_priority_weight: f64,
+    pub(crate) late_response_value: f64,
     #[serde(rename = "dedupScope", default)]
     pub(crate) key_scope: RawKeyScope,
     #[serde(rename = "repeatWindow", default)]
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -118,10 +118,10 @@
         ("look", Idempotency::Idempotent, true)
     );
     assert_eq!((look.latency_objective, look.deadline), (400_000, 1_000_000));
-    assert_eq!((look.priority_weight, look.late_priority_weight), (2.5, 0.5));
+    assert_eq!((look.priority_weight, look.late_response_value), (2.5, 0.5));
     let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: 3_000_000 };
     assert_eq!((book.idempotency, book.priority_weight, book.streamed), (keyed, 1.0, false));
-    assert_eq!((pay.idempotency, pay.late_priority_weight), (Idempotency::NonIdempotent, 0.0));
+    assert_eq!((pay.idempotency, pay.late_response_value), (Idempotency::NonIdempotent, 0.0));
 }
 
 #[test]
--- a/crates/test-support/src/virtual_fleet.rs
+++ b/crates/test-support/src/virtual_fleet.rs
@@ -88,7 +88,7 @@
             latency_objective: LATENCY_OBJECTIVE,
             deadline: SECOND,
             priority_weight: 1.0,
-            late_priority_weight: 0.0,
+            late_response_value: 0.0,
             streamed: false,
         }],
         cancellation: true,
