--- a/crates/policy/src/api/rollout.rs
+++ b/crates/policy/src/api/rollout.rs
@@ -9,7 +9,7 @@
     #[default]
     Any,
     /// Votes to advance from a number of instances.
-    Share,
+    InstanceCount,
     /// The end of the stage's duration, whose clock votes can hold.
     Timer,
 }
--- a/crates/policy/tests/rollout_vote.rs
+++ b/crates/policy/tests/rollout_vote.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_healthy_build_is_advanced_after_the_soak() {
-    for mode in [VoteMode::Any, VoteMode::Share] {
+    for mode in [VoteMode::Any, VoteMode::InstanceCount] {
         let mut harness = trial_with_vote_mode(mode);
         let started = Some(harness.now);
         harness.send(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![EndpointRecord {
@@ -211,9 +211,9 @@
 #[test]
 fn outcomes_of_all_classes_together_advance_a_build_with_a_large_quorum() {
     let succeeds = |_| Outcome::Success;
-    let votes = run_traffic_until(&mut instance_of_large_tier(VoteMode::Share, 15), 6, succeeds);
+    let votes = run_traffic_until(&mut instance_of_large_tier(VoteMode::InstanceCount, 15), 6, succeeds);
     assert!(votes.contains(&Verdict::Advance), "{votes:?}");
     // No vote is cast if one vote suffices, or on fewer outcomes.
-    assert_eq!(run_traffic_until(&mut instance_of_large_tier(VoteMode::Share, 1), 12, succeeds), []);
-    assert_eq!(run_traffic_until(&mut instance_of_large_tier(VoteMode::Share, 15), 3, succeeds), []);
+    assert_eq!(run_traffic_until(&mut instance_of_large_tier(VoteMode::InstanceCount, 1), 12, succeeds), []);
+    assert_eq!(run_traffic_until(&mut instance_of_large_tier(VoteMode::InstanceCount, 15), 3, succeeds), []);
 }
--- a/crates/proxy/src/feature_settings.rs
+++ b/crates/proxy/src/feature_settings.rs
@@ -127,7 +127,7 @@
 
     fn validate(&self, settings: &Settings) -> Result<(), InvalidFeature> {
         let rollout = &settings.config.rollout;
-        if rollout.mode == VoteMode::Share || rollout.rollback_quorum > 1 {
+        if rollout.mode == VoteMode::InstanceCount || rollout.rollback_quorum > 1 {
             // With consensus, one vote would be cast where several are required, so no build would ever be advanced or
             // rolled back.
             return Err(InvalidFeature::SeveralVotesNeeded { rollback_quorum: rollout.rollback_quorum });
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -85,7 +85,7 @@
     Rollout {
         mode: match raw.vote_mode {
             RawVoteMode::Any => VoteMode::Any,
-            RawVoteMode::Share => VoteMode::Share,
+            RawVoteMode::InstanceCount => VoteMode::InstanceCount,
             RawVoteMode::Timer => VoteMode::Timer,
         },
         replacement: match raw.replacement {
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -221,7 +221,8 @@
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RawVoteMode {
     Any,
-    Share,
+    #[serde(rename = "share")]
+    InstanceCount,
     Timer,
 }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -128,7 +128,7 @@
 fn every_key_of_the_rollout_sets_its_value() {
     let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
     let rollout = &settings.config.rollout;
-    assert_eq!((rollout.mode, rollout.replacement), (VoteMode::Share, ReplacementMode::SideBySide));
+    assert_eq!((rollout.mode, rollout.replacement), (VoteMode::InstanceCount, ReplacementMode::SideBySide));
     assert_eq!((&rollout.stages[..], &rollout.exposure_caps[..]), (&[0.1, 1.0][..], &[0.2, 1.0][..]));
     assert_eq!((rollout.exposure_window, rollout.exposure_allowance), (3_000_000, 2.0));
     assert!(rollout.exposure_by_class && rollout.forward_only_keys);
