--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -48,7 +48,7 @@
     /// The release controller's response to this instance's vote, with the rollout status if it is known.
     VoteCompleted(VoteResult, Option<RolloutStatus>),
     /// The release controller's totals for one build and class over a past period.
-    Tally {
+    BuildTally {
         /// The build.
         build: Build,
         /// The class.
@@ -63,7 +63,7 @@
         age: Micros,
     },
     /// A client's report that a response was wrong.
-    AnswerFlagged {
+    ResponseFlagged {
         /// Endpoint that sent the response.
         endpoint: EndpointId,
         /// The class.
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -95,15 +95,15 @@
             Event::Timer(_) => self.run_periodic_work(),
             Event::RolloutUpdated(status) => self.on_rollout_updated(status),
             Event::VoteCompleted(result, status) => self.on_vote_completed(result, status),
-            Event::AnswerFlagged { endpoint, class, age } => self.on_answer_flagged(endpoint, class, age),
+            Event::ResponseFlagged { endpoint, class, age } => self.on_response_flagged(endpoint, class, age),
             // Part of the interface, but not used: no measurement has shown a need for them so far.
-            Event::Tally { .. } | Event::HealthCheckCompleted { .. } | Event::GossipReceived { .. } => {}
+            Event::BuildTally { .. } | Event::HealthCheckCompleted { .. } | Event::GossipReceived { .. } => {}
         }
         out.append(&mut self.actions);
     }
 
     /// Records an error of the endpoint's build: a client reported a wrong response that looked successful.
-    fn on_answer_flagged(&mut self, endpoint: EndpointId, class: ClassId, age: Micros) {
+    fn on_response_flagged(&mut self, endpoint: EndpointId, class: ClassId, age: Micros) {
         let Some(build) = self.endpoints.get(endpoint).map(|e| e.record.build) else { return };
         let sample = OutcomeSample {
             recorded_at: self.now,
--- a/crates/policy/tests/build_health.rs
+++ b/crates/policy/tests/build_health.rs
@@ -87,7 +87,7 @@
     let mut votes = Vec::new();
     for _ in 0..240 {
         if let Some(endpoint) = harness.serve(READ, |_| Outcome::Success).filter(|endpoint| endpoint.0 >= 8) {
-            harness.send(Event::AnswerFlagged { endpoint, class: READ, age: 10 * MS });
+            harness.send(Event::ResponseFlagged { endpoint, class: READ, age: 10 * MS });
         }
         votes.extend(harness.tick_and_vote(25));
     }
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -34,8 +34,8 @@
     }])));
     harness.send(Event::RolloutUpdated(rollout_status(Build(99), 7, RolloutPhase::OnTrial, 0.5)));
     harness.send(Event::VoteCompleted(VoteResult::Unknown, None));
-    harness.send(Event::Tally { build: Build(3), class: READ, count: 0, errors: 9, mean: 0, age: 0 });
-    harness.send(Event::AnswerFlagged { endpoint: EndpointId(400), class: READ, age: u64::MAX / 4 });
+    harness.send(Event::BuildTally { build: Build(3), class: READ, count: 0, errors: 9, mean: 0, age: 0 });
+    harness.send(Event::ResponseFlagged { endpoint: EndpointId(400), class: READ, age: u64::MAX / 4 });
     harness.send(Event::GossipReceived { from: PeerId(9), bytes: vec![1, 2] });
     harness.send(Event::HealthCheckCompleted {
         endpoint: EndpointId(3),
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -123,7 +123,7 @@
                     load_report: load_report.unwrap_or_default(),
                 }
             }
-            Input::BuildTally { class, build, latency, errors, age, count, .. } => Event::Tally {
+            Input::BuildTally { class, build, latency, errors, age, count, .. } => Event::BuildTally {
                 build: Build(build),
                 class: self.class(&class)?,
                 count,
@@ -131,7 +131,7 @@
                 mean: micros_from_ms(latency),
                 age: micros_from_ms(age),
             },
-            Input::AnswerFlagged { endpoint, age, class, .. } => Event::AnswerFlagged {
+            Input::ResponseFlagged { endpoint, age, class, .. } => Event::ResponseFlagged {
                 endpoint: self.endpoint(&endpoint),
                 class: self.class(&class)?,
                 age: micros_from_ms(age),
@@ -240,7 +240,7 @@
             | Input::Gossip { instance, .. }
             | Input::RolloutStatus { instance, .. }
             | Input::BuildTally { instance, .. }
-            | Input::AnswerFlagged { instance, .. } => instance,
+            | Input::ResponseFlagged { instance, .. } => instance,
         }
     }
 }
--- a/crates/sim-adapter/src/protocol.rs
+++ b/crates/sim-adapter/src/protocol.rs
@@ -192,7 +192,7 @@
     },
     /// Report of a client that a response was wrong.
     #[serde(rename = "reportedWrong")]
-    AnswerFlagged {
+    ResponseFlagged {
         #[serde(rename = "front")]
         instance: u32,
         #[serde(rename = "machine")]
