--- a/crates/proxy/benches/brain.rs
+++ b/crates/proxy/benches/brain.rs
@@ -26,7 +26,7 @@
 
 fn new_policy() -> Policy {
     let value = serde_json::from_str(include_str!("../tests/settings.json")).expect("valid JSON");
-    let settings = Settings::read(&value).expect("valid settings");
+    let settings = Settings::from_json(&value).expect("valid settings");
     let mut policy = Policy::new(7, settings.config);
     let record = |number| EndpointRecord {
         endpoint: EndpointId(number),
--- a/crates/proxy/src/classify/tests.rs
+++ b/crates/proxy/src/classify/tests.rs
@@ -8,7 +8,7 @@
 
 fn read_and_classify(target: &str, headers: &str) -> Result<Classification, ClassifyError> {
     let settings = serde_json::from_str(include_str!("../../tests/settings.json")).expect("valid JSON");
-    let settings = Settings::read(&settings).expect("valid settings");
+    let settings = Settings::from_json(&settings).expect("valid settings");
     let mut ring = Ring::new(4096);
     let text = format!("GET {target} HTTP/1.1\r\nHost: x\r\n{headers}\r\n");
     ring.push(text.as_bytes()).expect("request fits");
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -16,7 +16,7 @@
 
 fn discovery() -> Discovery {
     let settings = serde_json::from_str(include_str!("../../tests/settings.json")).expect("JSON");
-    let settings = Settings::read(&settings).expect("valid settings");
+    let settings = Settings::from_json(&settings).expect("valid settings");
     Discovery::new("127.0.0.1:1".parse().expect("an address"), &settings, 7)
 }
 
@@ -196,7 +196,7 @@
     let mut settings: serde_json::Value =
         serde_json::from_str(include_str!("../../tests/settings.json")).expect("JSON");
     settings["registryMode"] = "on_request".into();
-    let settings = Settings::read(&settings).expect("valid settings");
+    let settings = Settings::from_json(&settings).expect("valid settings");
     let event_loop = EventLoop::<TurnInputs>::try_new().expect("an event loop");
     let (handle, mut ids, now) = (event_loop.handle(), ConnIds::default(), 100 * SECOND);
     let listen = || TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -11,7 +11,7 @@
 
 fn settings() -> Settings {
     let settings = serde_json::from_str(include_str!("../../tests/settings.json")).expect("JSON");
-    Settings::read(&settings).expect("valid settings")
+    Settings::from_json(&settings).expect("valid settings")
 }
 
 fn dispatcher_with_one_endpoint() -> Dispatcher {
--- a/crates/proxy/src/feature_settings/tests.rs
+++ b/crates/proxy/src/feature_settings/tests.rs
@@ -10,7 +10,7 @@
     let mut value: serde_json::Value =
         serde_json::from_str(include_str!("../../tests/settings.json")).expect("JSON");
     value["specifics"]["backVotes"] = rollback_quorum.into();
-    Settings::read(&value).expect("valid settings")
+    Settings::from_json(&value).expect("valid settings")
 }
 
 #[test]
--- a/crates/proxy/src/process_settings.rs
+++ b/crates/proxy/src/process_settings.rs
@@ -192,7 +192,7 @@
         let listen = address_setting(&variable, LISTEN_VARIABLE, "listen", file.listen)?;
         let discovery = address_setting(&variable, DISCOVERY_VARIABLE, "discovery", file.discovery)?;
         let seed = parse_seed(&file.seed)?;
-        let settings = Settings::read(&file.settings).map_err(InvalidSetting::Deployment)?;
+        let settings = Settings::from_json(&file.settings).map_err(InvalidSetting::Deployment)?;
         Ok(ProcessSettings {
             name: variable(NAME_VARIABLE).or(file.name).unwrap_or_else(|| DEFAULT_NAME.to_owned()),
             listen,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// A key is missing or its value is invalid. The error names the key's path.
-    pub fn read(json: &serde_json::Value) -> Result<Self, SettingsError> {
+    pub fn from_json(json: &serde_json::Value) -> Result<Self, SettingsError> {
         let raw: RawSettings = serde_path_to_error::deserialize(json)?;
         Settings::try_from(raw)
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn times_are_converted_to_microseconds_and_missing_keys_get_defaults() {
-    let settings = Settings::read(&minimal_settings()).expect("valid settings were rejected");
+    let settings = Settings::from_json(&minimal_settings()).expect("valid settings were rejected");
     assert_eq!(settings.config.classes[0].latency_objective, 400_000);
     assert_eq!((settings.config.zone, settings.config.retry_after), (ZoneId(1), Some(900_000)));
     assert_eq!(settings.config.rollout.exposure_caps, [0.2, 1.0]);
@@ -43,7 +43,7 @@
     ] {
         let mut invalid = minimal_settings();
         *invalid.pointer_mut(pointer).expect("the settings lack the key") = value;
-        let message = Settings::read(&invalid).expect_err(pointer).to_string();
+        let message = Settings::from_json(&invalid).expect_err(pointer).to_string();
         assert!(message.contains(expected_path), "message {message:?} does not contain {expected_path:?}");
     }
 }
@@ -53,7 +53,8 @@
     let mut settings = minimal_settings();
     let class = settings["grades"][0].clone();
     settings["grades"].as_array_mut().expect("grades is not a list").push(class);
-    let message = Settings::read(&settings).expect_err("duplicate class names were accepted").to_string();
+    let message =
+        Settings::from_json(&settings).expect_err("duplicate class names were accepted").to_string();
     assert!(message.contains("grades[1].name"), "{message}");
 }
 
@@ -84,7 +85,7 @@
 
 #[test]
 fn every_key_of_the_settings_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
+    let settings = Settings::from_json(&full_settings()).expect("valid settings were rejected");
     let config = &settings.config;
     assert_eq!((config.instance_count, config.instance_index, config.zone), (7, 3, ZoneId(1)));
     assert_eq!(
@@ -111,7 +112,7 @@
 
 #[test]
 fn every_key_of_a_class_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
+    let settings = Settings::from_json(&full_settings()).expect("valid settings were rejected");
     let [look, book, pay] = &settings.config.classes[..] else { panic!("expected three classes") };
     assert_eq!(
         (look.name.as_str(), look.idempotency, look.streamed),
@@ -126,7 +127,7 @@
 
 #[test]
 fn every_key_of_the_rollout_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
+    let settings = Settings::from_json(&full_settings()).expect("valid settings were rejected");
     let rollout = &settings.config.rollout;
     assert_eq!((rollout.mode, rollout.replacement), (VoteMode::InstanceCount, ReplacementMode::SideBySide));
     assert_eq!((&rollout.stages[..], &rollout.exposure_caps[..]), (&[0.1, 1.0][..], &[0.2, 1.0][..]));
