--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -43,7 +43,7 @@
     /// Value of one request (or of one unit of work), 0 or more.
     pub priority_weight: f64,
     /// Fraction of that value that a response after the latency objective earns, 0 to 1.
-    pub late_priority_weight: f64,
+    pub late_response_value: f64,
     /// Whether responses are streamed.
     pub streamed: bool,
 }
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone)]
 pub struct Tenant {
     /// Fraction of the service that is the tenant's, 0 to 1.
-    pub share: f64,
+    pub service_share: f64,
     /// Quota in requests per second, over all instances.
     pub quota_per_s: f64,
 }
@@ -105,7 +105,7 @@
     /// Price of an attempt at an endpoint in another zone.
     pub cross_zone_price: f64,
     /// Whether the ratings of endpoints are a measure of their sizes.
-    pub rated: bool,
+    pub ratings_compare_sizes: bool,
     /// Settings of rollouts.
     pub rollout: Rollout,
 }
--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -106,7 +106,7 @@
             self.concurrency.record_latency(ratio);
         }
         if matches!(outcome, Outcome::Success | Outcome::TimedOut) {
-            self.traffic.record_answer(request.class, request.tenant, ratio >= 1.0);
+            self.traffic.record_response(request.class, request.tenant, ratio >= 1.0);
         }
     }
 
@@ -116,9 +116,9 @@
         let update = if !updates_baseline {
             BaselineUpdate::Skip
         } else if self.rollout.build_on_trial().is_some() {
-            BaselineUpdate::LearnUntilKnown
+            BaselineUpdate::UpdateUntilKnown
         } else {
-            BaselineUpdate::Learn
+            BaselineUpdate::Update
         };
         let kind = completed.record.kind;
         self.latency.slowdown(self.now, completed.request, kind, completed.latency, update)
@@ -132,14 +132,14 @@
         comparable: Option<f64>,
     ) {
         let sample = OutcomeSample {
-            at: self.now,
+            recorded_at: self.now,
             outcome: completed.outcome,
             slowdown: comparable,
-            excess: self.excess_over_zone(completed, slowdown),
+            excess_over_zone: self.excess_over_zone(completed, slowdown),
             endpoint: completed.attempt.endpoint,
         };
         let attempt = completed.attempt;
-        self.build_record(attempt.build).add(completed.request.class, sample, attempt.sent);
+        self.build_record(attempt.build).add(completed.request.class, sample, attempt.sent_at);
     }
 
     /// Returns how much slower an attempt at a build on trial was than the released builds in its zone at
@@ -167,7 +167,7 @@
         if let Some(suspicion) = &mut record.suspicion
             && let Some(slowdown) = comparable
         {
-            suspicion.add(attempt.sent, attempt.endpoint, slowdown);
+            suspicion.add(attempt.sent_at, attempt.endpoint, slowdown);
         }
     }
 
--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -25,7 +25,7 @@
 /// explain them.
 const CONCLUSIVE_ERRORS: f64 = 3.0;
 /// Age up to which an outcome is valid for a comparison with current ones.
-pub(crate) const COMPARISON_WINDOW: Micros = 4 * SECOND;
+pub(crate) const MAX_COMPARISON_AGE: Micros = 4 * SECOND;
 
 /// Margin over the earlier build's failure ratio above which a build fails, for a ratio over 20 outcomes.
 const FAILURE_MARGIN: f64 = 0.1;
@@ -51,8 +51,8 @@
 }
 
 impl Policy {
-    /// Updates the record of the newest build: its assessments, failure timers and state. Runs once per tick;
-    /// an assessment at every outcome would produce more false positives.
+    /// Updates the record of the newest build: its assessments, failure timers and state. Part of the
+    /// periodic work; an assessment at every outcome would produce more false positives.
     pub(crate) fn assess_newest_build(&mut self) {
         let Some(status) = self.rollout.active_status() else { return };
         let build = status.build;
@@ -134,7 +134,7 @@
         earlier: Option<&BuildRecord>,
         criterion: Criterion,
     ) -> Assessment {
-        let comparable = earlier.is_some_and(|e| e.last_outcome_at + COMPARISON_WINDOW > self.now);
+        let comparable = earlier.is_some_and(|e| e.last_outcome_at + MAX_COMPARISON_AGE > self.now);
         let is_error = |s: &OutcomeSample| s.outcome == Outcome::Error;
         let is_timeout = |s: &OutcomeSample| comparable && s.outcome == Outcome::TimedOut;
         let is_failure = |s: &OutcomeSample| is_error(s) || is_timeout(s);
@@ -177,15 +177,15 @@
     }
 
     /// Assesses a build's latency over all classes together. Each outcome counts by its
-    /// [`OutcomeSample::excess`]: the logarithm of its latency relative to the baseline of its class and kind
-    /// of endpoint, and to the released builds in its zone at that time.
+    /// [`OutcomeSample::excess_over_zone`]: the logarithm of its latency relative to the baseline of its
+    /// class and kind of endpoint, and to the released builds in its zone at that time.
     ///
     /// Without it, a build that is slow but returns no errors would pass until it overloads the fleet.
     fn assess_latency(&self, record: &BuildRecord) -> Assessment {
         let excesses = record
             .samples
             .iter()
-            .filter_map(|s| Some(EndpointValue { endpoint: s.endpoint, value: s.excess? }));
+            .filter_map(|s| Some(EndpointValue { endpoint: s.endpoint, value: s.excess_over_zone? }));
         let excesses: Vec<EndpointValue> = excesses.collect();
         let summary = SampleSummary::of(&excesses);
         if summary.count < self.min_samples(RECENT_OUTCOMES) {
--- a/crates/policy/src/build_health/build_record.rs
+++ b/crates/policy/src/build_health/build_record.rs
@@ -109,12 +109,12 @@
         }
     }
 
-    /// Adds the outcome of an attempt sent at `sent`, unless the record was created later.
-    pub(crate) fn add(&mut self, class: ClassId, sample: OutcomeSample, sent: Micros) {
-        if sent < self.created_at {
+    /// Adds the outcome of an attempt sent at `sent_at`, unless the record was created later.
+    pub(crate) fn add(&mut self, class: ClassId, sample: OutcomeSample, sent_at: Micros) {
+        if sent_at < self.created_at {
             return;
         }
-        self.last_outcome_at = sample.at;
+        self.last_outcome_at = sample.recorded_at;
         for samples in [&mut self.samples_by_class[class.0], &mut self.samples] {
             samples.push_back(sample);
             if samples.len() > RETAINED_OUTCOMES {
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -18,7 +18,7 @@
 use crate::units::MILLISECOND;
 
 /// Interval of the periodic work, such as the assessment of the build, votes and the concurrency limit.
-pub(crate) const TICK: Micros = 25 * MILLISECOND;
+pub(crate) const PERIODIC_WORK_INTERVAL: Micros = 25 * MILLISECOND;
 
 /// Mean number of instances that log an event which all instances of the tier see.
 const MEAN_SHARED_EVENT_LOGGERS: f64 = 8.0;
@@ -95,27 +95,32 @@
             Event::Timer(_) => self.run_periodic_work(),
             Event::RolloutUpdated(status) => self.on_rollout_updated(status),
             Event::VoteCompleted(result, status) => self.on_vote_completed(result, status),
-            Event::AnswerFlagged { endpoint, class, age } => self.on_answer_flagged(endpoint, class, age),
+            Event::ResponseFlagged { endpoint, class, age } => self.on_response_flagged(endpoint, class, age),
             // Part of the interface, but not used: no measurement has shown a need for them so far.
-            Event::Tally { .. } | Event::HealthCheckCompleted { .. } | Event::GossipReceived { .. } => {}
+            Event::BuildTally { .. } | Event::HealthCheckCompleted { .. } | Event::GossipReceived { .. } => {}
         }
         out.append(&mut self.actions);
     }
 
     /// Records an error of the endpoint's build: a client reported a wrong response that looked successful.
-    fn on_answer_flagged(&mut self, endpoint: EndpointId, class: ClassId, age: Micros) {
+    fn on_response_flagged(&mut self, endpoint: EndpointId, class: ClassId, age: Micros) {
         let Some(build) = self.endpoints.get(endpoint).map(|e| e.record.build) else { return };
-        let sample =
-            OutcomeSample { at: self.now, outcome: Outcome::Error, slowdown: None, excess: None, endpoint };
-        let sent = self.now.saturating_sub(age);
-        self.build_record(build).add(class, sample, sent);
+        let sample = OutcomeSample {
+            recorded_at: self.now,
+            outcome: Outcome::Error,
+            slowdown: None,
+            excess_over_zone: None,
+            endpoint,
+        };
+        let sent_at = self.now.saturating_sub(age);
+        self.build_record(build).add(class, sample, sent_at);
     }
 
     fn run_periodic_work(&mut self) {
         self.set_timer();
         self.update_served_loads();
         self.assess_newest_build();
-        self.cast_vote();
+        self.cast_vote_if_due();
         self.request_watch_if_due();
         self.count_overdue_attempts();
         let endpoint_count = self.endpoints.active_count();
@@ -124,7 +129,7 @@
     }
 
     fn set_timer(&mut self) {
-        self.actions.push(Action::SetTimer { after: TICK, token: 0 });
+        self.actions.push(Action::SetTimer { after: PERIODIC_WORK_INTERVAL, token: 0 });
     }
 
     /// Logs a line about what this instance alone has seen or decided.
--- a/crates/policy/src/load_balancing/latency.rs
+++ b/crates/policy/src/load_balancing/latency.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::api::{ClassId, KindId, Micros, Request, ZoneId};
-use crate::build_health::{COMPARISON_WINDOW, MIN_OUTCOMES, MIN_SAMPLES};
+use crate::build_health::{MAX_COMPARISON_AGE, MIN_OUTCOMES, MIN_SAMPLES};
 use crate::units::MILLISECOND;
 
 /// Number of outcomes after which a baseline is no longer updated while a build is on trial.
@@ -39,7 +39,7 @@
 
     /// Returns whether the last value is recent enough for a comparison.
     fn is_recent(&self, now: Micros) -> bool {
-        self.updated_at + COMPARISON_WINDOW > now
+        self.updated_at + MAX_COMPARISON_AGE > now
     }
 }
 
@@ -49,10 +49,10 @@
     /// No update.
     Skip,
     /// An update.
-    Learn,
+    Update,
     /// An update only while a baseline has too few samples: a build is on trial, and its effect on the fleet
     /// must not become part of the baseline.
-    LearnUntilKnown,
+    UpdateUntilKnown,
 }
 
 /// The class and kind of endpoint of a baseline.
@@ -129,8 +129,8 @@
         let baseline = self.baselines.entry(key).or_default();
         let updates_baseline = match update {
             BaselineUpdate::Skip => false,
-            BaselineUpdate::Learn => true,
-            BaselineUpdate::LearnUntilKnown => baseline.count < BASELINE_SAMPLES,
+            BaselineUpdate::Update => true,
+            BaselineUpdate::UpdateUntilKnown => baseline.count < BASELINE_SAMPLES,
         };
         if updates_baseline {
             baseline.add(now, value, 0.5 / f64::from(BASELINE_SAMPLES), Micros::MAX);
@@ -140,7 +140,7 @@
 
     pub(crate) fn add_to_zone(&mut self, now: Micros, zone: ZoneId, slowdown: f64) {
         let estimate = self.zones.entry(zone).or_default();
-        estimate.add(now, slowdown, ZONE_SMOOTHING, COMPARISON_WINDOW);
+        estimate.add(now, slowdown, ZONE_SMOOTHING, MAX_COMPARISON_AGE);
     }
 
     /// Returns the recent slowdown of a zone; 0 without recent values, so that a slow zone is tried again.
--- a/crates/policy/src/request_lifecycle.rs
+++ b/crates/policy/src/request_lifecycle.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) build: Build,
-    pub(crate) sent: Micros,
+    pub(crate) sent_at: Micros,
     /// Slow-start factor of the endpoint when the attempt was sent; none if it was not warming up.
     pub(crate) slow_start_factor: Option<f64>,
     /// Whether the attempt was open for its latency objective and has been counted as overdue.
@@ -73,7 +73,7 @@
     fn mark_overdue(&mut self, now: Micros, latency_objective: Micros) -> i32 {
         let mut newly_overdue = 0;
         for attempt in &mut self.attempts {
-            if attempt.is_open() && !attempt.counted_overdue && now >= attempt.sent + latency_objective {
+            if attempt.is_open() && !attempt.counted_overdue && now >= attempt.sent_at + latency_objective {
                 attempt.counted_overdue = true;
                 newly_overdue += 1;
             }
@@ -94,7 +94,7 @@
     pub(crate) fn on_request(&mut self, request: Request) {
         self.exposure.requests.add(self.now, request.class);
         self.latency.add_request(self.now, &request);
-        self.retry_budget.earn();
+        self.retry_budget.deposit();
         self.traffic.record_request(request.class, request.tenant);
         let id = request.id;
         let admitted = self.admits(&request);
@@ -125,7 +125,7 @@
             NextAction::Finish => self.finish_request(id),
             NextAction::Wait => {}
             NextAction::Retry => {
-                self.retry_budget.spend();
+                self.retry_budget.withdraw();
                 self.forward(id);
             }
             NextAction::GiveUp => self.give_up(id),
@@ -174,7 +174,7 @@
         in_flight.attempts.push(Attempt {
             endpoint: id,
             build: record.build,
-            sent: now,
+            sent_at: now,
             slow_start_factor: self.slow_start_factor(&record),
             counted_overdue: false,
             outcome: None,
@@ -189,7 +189,7 @@
     fn attempt_timeout(&self, in_flight: &InFlightRequest) -> Option<Micros> {
         let class = &self.config.classes[in_flight.request.class.0];
         let deadline = in_flight.request.deadline;
-        let useful_until = if class.late_priority_weight > 0.0 {
+        let useful_until = if class.late_response_value > 0.0 {
             deadline
         } else {
             in_flight.arrived + class.latency_objective
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -27,7 +27,7 @@
         tenants: raw
             .tenants
             .iter()
-            .map(|tenant| Tenant { share: tenant.share, quota_per_s: tenant.quota_per_s })
+            .map(|tenant| Tenant { service_share: tenant.service_share, quota_per_s: tenant.quota_per_s })
             .collect(),
         priority_by_work: raw.priority_by == VALUE_BY_WORK,
         over_quota_weight: raw.over_quota_weight,
@@ -46,7 +46,7 @@
         overload_multiple: raw.safety.overload_multiple,
         overload_window: micros_from_ms(raw.safety.overload_window),
         cross_zone_price: raw.prices.cross_zone,
-        rated: raw.weights != NO_WEIGHTS,
+        ratings_compare_sizes: raw.weights != NO_WEIGHTS,
         rollout: rollout(&raw.rollout),
     }
 }
@@ -58,7 +58,7 @@
         latency_objective: micros_from_ms(raw.latency_objective),
         deadline: micros_from_ms(raw.deadline),
         priority_weight: raw.priority_weight,
-        late_priority_weight: raw.late_priority_weight,
+        late_response_value: raw.late_response_value,
         streamed: raw.streamed,
     }
 }
@@ -85,7 +85,7 @@
     Rollout {
         mode: match raw.vote_mode {
             RawVoteMode::Any => VoteMode::Any,
-            RawVoteMode::Share => VoteMode::Share,
+            RawVoteMode::InstanceCount => VoteMode::InstanceCount,
             RawVoteMode::Timer => VoteMode::Timer,
         },
         replacement: match raw.replacement {
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -83,7 +83,7 @@
     #[serde(rename = "credit", default = "default_credit")]
     pub(crate) priority_weight: f64,
     #[serde(rename = "lateShare", default)]
-    pub(crate) late_priority_weight: f64,
+    pub(crate) late_response_value: f64,
     #[serde(rename = "dedupScope", default)]
     pub(crate) key_scope: RawKeyScope,
     #[serde(rename = "repeatWindow", default)]
@@ -221,7 +221,8 @@
 #[serde(rename_all = "lowercase")]
 pub(crate) enum RawVoteMode {
     Any,
-    Share,
+    #[serde(rename = "share")]
+    InstanceCount,
     Timer,
 }
 
@@ -231,7 +232,7 @@
 pub(crate) struct RawTenant {
     pub(crate) name: String,
     #[serde(rename = "portion", default)]
-    pub(crate) share: f64,
+    pub(crate) service_share: f64,
     #[serde(rename = "quotaRps", default)]
     pub(crate) quota_per_s: f64,
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn times_are_converted_to_microseconds_and_missing_keys_get_defaults() {
-    let settings = Settings::read(&minimal_settings()).expect("valid settings were rejected");
+    let settings = Settings::from_json(&minimal_settings()).expect("valid settings were rejected");
     assert_eq!(settings.config.classes[0].latency_objective, 400_000);
     assert_eq!((settings.config.zone, settings.config.retry_after), (ZoneId(1), Some(900_000)));
     assert_eq!(settings.config.rollout.exposure_caps, [0.2, 1.0]);
@@ -43,7 +43,7 @@
     ] {
         let mut invalid = minimal_settings();
         *invalid.pointer_mut(pointer).expect("the settings lack the key") = value;
-        let message = Settings::read(&invalid).expect_err(pointer).to_string();
+        let message = Settings::from_json(&invalid).expect_err(pointer).to_string();
         assert!(message.contains(expected_path), "message {message:?} does not contain {expected_path:?}");
     }
 }
@@ -53,7 +53,8 @@
     let mut settings = minimal_settings();
     let class = settings["grades"][0].clone();
     settings["grades"].as_array_mut().expect("grades is not a list").push(class);
-    let message = Settings::read(&settings).expect_err("duplicate class names were accepted").to_string();
+    let message =
+        Settings::from_json(&settings).expect_err("duplicate class names were accepted").to_string();
     assert!(message.contains("grades[1].name"), "{message}");
 }
 
@@ -84,7 +85,7 @@
 
 #[test]
 fn every_key_of_the_settings_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
+    let settings = Settings::from_json(&full_settings()).expect("valid settings were rejected");
     let config = &settings.config;
     assert_eq!((config.instance_count, config.instance_index, config.zone), (7, 3, ZoneId(1)));
     assert_eq!(
@@ -95,9 +96,9 @@
         (&settings.zones[..], &settings.tenants[..]),
         (&["south".to_owned(), "north".to_owned()][..], &["acme".to_owned()][..])
     );
-    assert!(config.poll_endpoints && config.priority_by_work && config.rated);
+    assert!(config.poll_endpoints && config.priority_by_work && config.ratings_compare_sizes);
     assert_eq!((config.over_quota_weight, config.cross_zone_price), (0.25, 0.125));
-    assert_eq!((config.tenants[0].share, config.tenants[0].quota_per_s), (0.75, 12.5));
+    assert_eq!((config.tenants[0].service_share, config.tenants[0].quota_per_s), (0.75, 12.5));
     assert!(config.cancellation && config.hedging && config.gossip && config.health_checks);
     assert_eq!((config.retry_after, config.max_attempts, config.resolution), (Some(900_000), 3, 5_000));
     assert_eq!((config.poll_timeout, config.drain_grace), (6_000_000, 500_000));
@@ -111,24 +112,24 @@
 
 #[test]
 fn every_key_of_a_class_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
+    let settings = Settings::from_json(&full_settings()).expect("valid settings were rejected");
     let [look, book, pay] = &settings.config.classes[..] else { panic!("expected three classes") };
     assert_eq!(
         (look.name.as_str(), look.idempotency, look.streamed),
         ("look", Idempotency::Idempotent, true)
     );
     assert_eq!((look.latency_objective, look.deadline), (400_000, 1_000_000));
-    assert_eq!((look.priority_weight, look.late_priority_weight), (2.5, 0.5));
+    assert_eq!((look.priority_weight, look.late_response_value), (2.5, 0.5));
     let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: 3_000_000 };
     assert_eq!((book.idempotency, book.priority_weight, book.streamed), (keyed, 1.0, false));
-    assert_eq!((pay.idempotency, pay.late_priority_weight), (Idempotency::NonIdempotent, 0.0));
+    assert_eq!((pay.idempotency, pay.late_response_value), (Idempotency::NonIdempotent, 0.0));
 }
 
 #[test]
 fn every_key_of_the_rollout_sets_its_value() {
-    let settings = Settings::read(&full_settings()).expect("valid settings were rejected");
+    let settings = Settings::from_json(&full_settings()).expect("valid settings were rejected");
     let rollout = &settings.config.rollout;
-    assert_eq!((rollout.mode, rollout.replacement), (VoteMode::Share, ReplacementMode::SideBySide));
+    assert_eq!((rollout.mode, rollout.replacement), (VoteMode::InstanceCount, ReplacementMode::SideBySide));
     assert_eq!((&rollout.stages[..], &rollout.exposure_caps[..]), (&[0.1, 1.0][..], &[0.2, 1.0][..]));
     assert_eq!((rollout.exposure_window, rollout.exposure_allowance), (3_000_000, 2.0));
     assert!(rollout.exposure_by_class && rollout.forward_only_keys);
