--- a/crates/agent/src/peer_protocol/tests.rs
+++ b/crates/agent/src/peer_protocol/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn hellos_from_non_agents_duplicates_and_for_other_instances_are_rejected() {
+fn hellos_from_non_agents_or_duplicates_or_for_another_instance_are_rejected() {
     let hello = Hello {
         magic: MAGIC,
         version: VERSION,
--- a/crates/cli/tests/golden_json.rs
+++ b/crates/cli/tests/golden_json.rs
@@ -522,8 +522,8 @@
     let with_entries = run_inspect(&["ledger", "--json", "inspect", path, "--entries"]);
     let entries = with_entries["entries"].clone();
     assert_eq!(with_entries, golden(Value::Null, entries.clone()));
-    // Each row has index, term and text. The text is compared up to the command here and in full by
-    // `inspect_shows_the_fields_of_a_command`.
+    // Each row has index, term and text. Here the text is compared up to the command;
+    // `inspect_shows_the_fields_of_a_command` compares the rows that show a command in full.
     let rows: Vec<[String; 3]> = serde_json::from_value(entries).expect("each row has three texts");
     let expected = [
         ["2", "2", "(a leader's first)"],
--- a/crates/consensus/tests/handover.rs
+++ b/crates/consensus/tests/handover.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn short_and_overlapping_freezes_cause_no_violation() {
+fn freezes_shorter_than_an_election_and_overlapping_freezes_cause_no_violation() {
     assert_no_violations(3, |_| freezes(3, 7, 9));
     assert_no_violations(5, |_| freezes(5, 50, 20));
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn arbitrary_input_never_exceeds_the_body_limit() {
+fn arbitrary_input_is_read_or_rejected_and_stays_within_the_rings() {
     let parts: [&[u8]; 14] = [
         b"GET / HTTP/1.1\r\n",
         b"POST /x HTTP/1.1\r\n",
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_restart_of_an_endpoint_is_reported_and_draining_is_not() {
+fn a_restart_marks_idle_connections_as_unusable_and_draining_does_not() {
     let mut discovery = discovery();
     apply(
         &mut discovery,
--- a/crates/proxy/src/downstream/tests.rs
+++ b/crates/proxy/src/downstream/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the client connections, with a socket on which the test writes every byte and a clock of its own.
+//! Tests of the client connections. The test writes every byte of the other side and sets the time of each
+//! call.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/proxy/src/feature_settings/tests.rs
+++ b/crates/proxy/src/feature_settings/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_error_names_its_key_and_consensus_requires_a_quorum_of_one() {
+fn an_error_names_its_key_and_consensus_requires_a_rollback_quorum_of_one() {
     let parse = |text: &str| FeatureSettings::parse(text, &settings(1));
     assert_eq!(parse("{}").expect("all keys are optional"), FeatureSettings::default());
     let features = parse(r#"{"agreement":{"agent":"127.0.0.1:7101"}}"#).expect("valid features");
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the connections to one endpoint, with sockets on which the test writes every byte and a clock of
-//! its own.
+//! Tests of the connections to one endpoint. The test writes every byte of the other side and sets the time
+//! of each call.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -1,5 +1,6 @@
-//! Guards against lost or partial batches and against corrupt data that reaches callers. The device has power
-//! cuts at each operation (unsynced writes are lost, kept or torn), failed syncs, no space or flipped bits.
+//! Tests that no batch is lost or partial and that no corrupt data reaches a caller. The simulated device
+//! loses power at each operation, with unsynced writes lost, kept or torn; it also fails syncs, fills up or
+//! flips bits.
 
 use garnetcrank_store::{
     Batch, HardState, LogEntry, OwnerIdentity, PersistedState, Snapshot, Store, StoreError,
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn flipped_bits_never_change_the_data_that_is_read() {
+fn flipped_bits_never_change_the_data_read_and_many_are_reported_as_corrupt() {
     let disk = FaultyDisk::new();
     run_workload(&disk).unwrap();
     let expected = expected_states().pop().unwrap();
--- a/crates/test-support/tests/virtual_fleet.rs
+++ b/crates/test-support/tests/virtual_fleet.rs
@@ -17,7 +17,11 @@
 fn hundreds_of_instances_overload_no_endpoint_in_slow_start() {
     for seed in 1..=3 {
         let load = assert_no_overload(FleetPlan { seed, ..FleetPlan::default() });
-        assert!(load.forwarded_share > 0.7, "only {:.2} of the requests forwarded", load.forwarded_share);
+        assert!(
+            load.forwarded_share > 0.7,
+            "only {:.2} of the requests forwarded, more than 0.7 expected",
+            load.forwarded_share
+        );
     }
 }
 
