--- a/crates/consensus/src/build_verdicts.rs
+++ b/crates/consensus/src/build_verdicts.rs
@@ -19,7 +19,7 @@
 pub const MAX_PROXIES: usize = 1024;
 /// Range of build numbers below the newest condemned build in which condemned builds are retained; older ones
 /// are retired. Build numbers increase over time.
-pub const MAX_CONDEMNED_BUILDS: u64 = 256;
+pub const CONDEMNED_BUILD_RANGE: u64 = 256;
 /// Publications of a notice within one TTL of a verdict, so that two may be lost before the verdict expires.
 const PUBLICATIONS_PER_TTL: u64 = 3;
 /// Number of TTLs without a verdict after which a proxy is removed, so that another one can be recorded.
@@ -164,7 +164,7 @@
             }
             self.pending_condemnations.insert(build, now);
             commands.push(Command::Decide { subject, value: self.id.0.to_le_bytes().to_vec() });
-            if let Some(below) = build.checked_sub(MAX_CONDEMNED_BUILDS) {
+            if let Some(below) = build.checked_sub(CONDEMNED_BUILD_RANGE) {
                 commands.push(Command::RetireSubjects { space: CONDEMNED_SPACE.to_owned(), below });
             }
         }
--- a/crates/consensus/tests/build_verdicts.rs
+++ b/crates/consensus/tests/build_verdicts.rs
@@ -1,7 +1,7 @@
 //! Tests that the verdicts of proxies and instances on a build are combined into a single vote.
 
 use garnetcrank_consensus::build_verdicts::{
-    BuildVerdict, BuildVerdicts, MAX_CONDEMNED_BUILDS, MAX_PROXIES, TooManyProxies, VerdictKind,
+    BuildVerdict, BuildVerdicts, CONDEMNED_BUILD_RANGE, MAX_PROXIES, TooManyProxies, VerdictKind,
     condemned_builds,
 };
 use garnetcrank_consensus::ids::{Index, InstanceId, Sequence, SessionId, Ticks};
@@ -118,13 +118,13 @@
 #[test]
 fn old_condemned_builds_are_retired_and_the_number_of_proxies_is_bounded() {
     let (mut cluster, mut first_instance) = (Cluster::new(), BuildVerdicts::new(InstanceId(1), 100));
-    for build in [42, 42 + MAX_CONDEMNED_BUILDS + 8] {
+    for build in [42, 42 + CONDEMNED_BUILD_RANGE + 8] {
         first_instance
             .record_verdict(Ticks(0), "a", verdict(build, 0, VerdictKind::RollBack))
             .expect("the verdict is recorded");
         cluster.apply(first_instance.proposals(Ticks(0), &cluster.state));
     }
-    assert_eq!(condemned_builds(&cluster.state).collect::<Vec<_>>(), [42 + MAX_CONDEMNED_BUILDS + 8]);
+    assert_eq!(condemned_builds(&cluster.state).collect::<Vec<_>>(), [42 + CONDEMNED_BUILD_RANGE + 8]);
     for n in 0..MAX_PROXIES - 1 {
         assert!(
             first_instance
--- a/crates/store/src/store/commit.rs
+++ b/crates/store/src/store/commit.rs
@@ -10,13 +10,13 @@
 
 /// Maximum size of a snapshot chunk, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
-/// Base limit for the number of entries covered by the snapshot that a commit of entries removes;
-/// [`COMPACTED_PER_WRITTEN_ENTRY`] adds to it. The removal is spread over several commits because removing
-/// all covered entries with the snapshot itself delayed a busy instance by 250 ms at 10,000 entries.
-const BASE_COMPACTED_ENTRIES: usize = 16;
-/// Increase of the limit for each entry that the commit writes. The value is above 1 so that covered entries
-/// are removed soon, even while the log grows.
-const COMPACTED_PER_WRITTEN_ENTRY: usize = 3;
+/// Base number of old entries, covered by the snapshot, that a commit of entries also removes;
+/// [`REMOVED_PER_WRITTEN_ENTRY`] more for each entry written. The removal is spread over several commits
+/// because removing all covered entries with the snapshot itself would delay a busy instance.
+const BASE_REMOVED_ENTRIES: usize = 16;
+/// Number of old entries removed in addition for each entry that the commit writes. The value is above 1 so
+/// that covered entries are removed soon, even while the log grows.
+const REMOVED_PER_WRITTEN_ENTRY: usize = 3;
 
 impl Store {
     /// Writes a batch atomically. Once this returns `Ok`, the batch is durable.
@@ -154,7 +154,7 @@
         log.insert(entry.index, encode_entry(entry).as_slice())?;
     }
     // More entries are removed than written, so that the removal completes.
-    for _ in 0..BASE_COMPACTED_ENTRIES + COMPACTED_PER_WRITTEN_ENTRY * entries.len() {
+    for _ in 0..BASE_REMOVED_ENTRIES + REMOVED_PER_WRITTEN_ENTRY * entries.len() {
         if log.first()?.is_none_or(|(index, _)| index.value() > snapshot_index) {
             break;
         }
