--- a/crates/agent/src/engine/votes.rs
+++ b/crates/agent/src/engine/votes.rs
@@ -97,7 +97,10 @@
             // The platform has no notion of epochs, so there is no fencing gate that must observe this one
             // first. A vote cast by a deposed holder counts as that instance's own vote at the platform.
             Some(LeaseAction::ObserveEpoch(epoch)) => {
-                info!(%epoch, "lease on the platform's vote acquired");
+                info!(
+                    %epoch,
+                    "lease on the platform's vote acquired: this instance casts it for all instances"
+                );
                 increment(&counters.leases_acquired);
                 self.lease.on_epoch_observed(epoch);
             }
@@ -112,7 +115,10 @@
         if self.proposals.submit(proposal.owner, proposal.command).is_ok() {
             return;
         }
-        warn!(owner = ?proposal.owner, "engine proposal dropped: the proposal queue is full");
+        warn!(
+            owner = ?proposal.owner,
+            "engine proposal dropped: {MAX_ENGINE_PROPOSALS} proposals are already queued"
+        );
         if proposal.owner == ProposalOwner::Lease {
             self.lease.on_answer(now, &Answer::Busy);
         }
--- a/crates/agent/src/storage_writer.rs
+++ b/crates/agent/src/storage_writer.rs
@@ -77,7 +77,7 @@
             "free space on the device, then restart the agent: no committed data is lost"
         }
         StoreError::Corrupt(_) => {
-            "the device is unreliable: remove this member, give it an empty store and add it again"
+            "the device may be unreliable: remove this member, give it an empty store and add it again"
         }
         StoreError::UnsupportedSchema { .. } => "use the program version that wrote the store",
         StoreError::WrongOwner { .. } => "the configuration names the store of another instance",
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -98,7 +98,7 @@
     #[error("too many requests are pending at this agent, so nothing was proposed")]
     Busy,
     /// Agent's store that accepts no new entries.
-    #[error("the agent's store is nearly full and accepts no new entries: free space in it")]
+    #[error("the agent's store is nearly full and accepts no new entries: make space in it")]
     StoreFull,
     /// Proposal whose outcome is unknown.
     #[error("no answer in time: the command may still take effect; repeat it to learn the outcome")]
--- a/crates/cli/src/ledger/mod.rs
+++ b/crates/cli/src/ledger/mod.rs
@@ -69,7 +69,7 @@
         /// Proposed value.
         value: String,
     },
-    /// Delete the subjects of a space below a number. They can't be decided any more.
+    /// Delete the subjects of a space below a number. Numbers below it can't be decided any more.
     Retire {
         /// Space of the subjects.
         space: String,
