--- a/crates/agent/examples/freeze/main.rs
+++ b/crates/agent/examples/freeze/main.rs
@@ -2,7 +2,8 @@
 //!
 //! Build the agent first with `cargo build --release -p garnetcrank-agent`. The options are
 //! `--rounds N [--agents A] [--seed S]`. The last line of the output gives the figures of the run. The exit
-//! code is 0, or 1 if a subject was decided twice or a decision was lost; each such violation is printed.
+//! code is 1 if there was a violation, such as a subject decided twice or a lost decision, and else 0. Each
+//! violation is printed.
 
 mod load;
 
--- a/crates/agent/src/api.rs
+++ b/crates/agent/src/api.rs
@@ -77,7 +77,7 @@
     pub holder: Option<String>,
     /// The lease's epoch.
     pub epoch: Epoch,
-    /// Log index of the holder's last renewal.
+    /// Log index of the acquisition, renewal or release that came last.
     #[serde(rename = "renewed")]
     pub renewed_at: Index,
 }
@@ -235,7 +235,7 @@
 /// The body of every error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// A description of the error.
+    /// A description of the error and, where possible, of what to do.
     pub error: String,
 }
 
@@ -256,7 +256,7 @@
 /// Parses an instance's id from hexadecimal digits.
 ///
 /// # Errors
-/// The text is not 1 to 16 hexadecimal digits, or the id is zero, which is reserved.
+/// The text is not 1 to 16 hexadecimal digits, or the id is zero, which no instance has.
 pub fn parse_instance_id(text: &str) -> Result<InstanceId, ParseInstanceIdError> {
     match u64::from_str_radix(text, 16) {
         Ok(id) if id != 0 && text.len() <= MAX_INSTANCE_ID_DIGITS => Ok(InstanceId(id)),
--- a/crates/agent/src/engine/mod.rs
+++ b/crates/agent/src/engine/mod.rs
@@ -58,7 +58,7 @@
     /// An error that the Raft node can't recover from.
     #[error("{0}")]
     Node(#[from] RaftNodeError),
-    /// The end of the thread that owns the store.
+    /// The thread that owns the store has ended.
     #[error("the storage writer has ended")]
     WriterEnded,
 }
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -11,7 +11,7 @@
 use garnetcrank_store::StoreError;
 use tracing_subscriber::filter::ParseError;
 
-/// Exit code for an address, store or engine that can't be used.
+/// Exit code for every error other than an invalid configuration or command line.
 const EXIT_FAILURE: u8 = 1;
 /// Exit code for an invalid configuration; `clap` uses the same code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
--- a/crates/agent/src/peer_transport/connection.rs
+++ b/crates/agent/src/peer_transport/connection.rs
@@ -18,7 +18,7 @@
 
 /// The reason for the end of a connection.
 pub(super) enum ConnectionEnd {
-    /// The end of the queue's sender, after which no further messages can follow.
+    /// The queue's sender was dropped, so no further messages follow.
     SenderDropped,
     /// A failure of the connection.
     Failed(PeerProtocolError),
--- a/crates/agent/src/peer_transport/outbound.rs
+++ b/crates/agent/src/peer_transport/outbound.rs
@@ -18,7 +18,7 @@
 use crate::engine_input::EngineInput;
 use crate::peer_protocol::{self, Hello, HelloReply, MAGIC, MAX_HELLO_BYTES, PeerProtocolError, VERSION};
 
-/// Shortest delay before a reconnection.
+/// Delay before the first reconnection, without jitter. It doubles with each failure up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(30);
 /// Longest delay before a reconnection, without jitter.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
--- a/crates/consensus/src/lease_client.rs
+++ b/crates/consensus/src/lease_client.rs
@@ -11,8 +11,8 @@
 /// Renewals within one TTL of the lease, so that two may be lost before the lease expires. An unanswered
 /// request to the fencing gate is repeated at the same interval.
 const RENEWALS_PER_TTL: u64 = 3;
-/// Divisor of the lease's TTL that gives the delay, plus one tick, after which a failed renewal is proposed
-/// again.
+/// Divisor of the lease's TTL: a failed renewal is proposed again after one tick plus the TTL divided by this
+/// number.
 const RETRIES_PER_TTL: u64 = 10;
 
 /// An action that the lease client's caller has to take.
--- a/crates/consensus/src/raft_node/proposals.rs
+++ b/crates/consensus/src/raft_node/proposals.rs
@@ -8,7 +8,7 @@
 use crate::replicated_state::{Command, Proposal};
 
 /// Number of low bits of a nonce that contain the counter. An incarnation can generate 2^40 nonces before
-/// they may collide with those of another.
+/// they may collide with those of another incarnation.
 const NONCE_COUNTER_BITS: u32 = 40;
 
 impl RaftNode {
--- a/crates/consensus/src/replicated_state/lease.rs
+++ b/crates/consensus/src/replicated_state/lease.rs
@@ -26,7 +26,8 @@
 }
 
 impl Lease {
-    /// Ends the current epoch, so that its holder can no longer act.
+    /// Ends the current epoch, so that its holder can no longer act, and makes `successor` the holder, if
+    /// there is one.
     pub(super) fn end_epoch(&mut self, successor: Option<InstanceId>) {
         self.epoch.0 += 1;
         self.holder = successor;
--- a/crates/proxy/src/agent_client.rs
+++ b/crates/proxy/src/agent_client.rs
@@ -35,7 +35,8 @@
     /// Votes that were sent and have no response yet.
     pending: PendingCalls<Vote>,
     router: VoteRouter,
-    /// Number of times that the watch stream was lost.
+    /// Number of times that the watch stream was lost or could not be established. A disconnect after an
+    /// expired vote is not counted.
     pub(crate) reconnects: u64,
     /// Number of votes that the agent has forwarded to the cluster.
     pub(crate) verdicts_forwarded: u64,
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Whether no vote is pending and no reconnect is due.
+    /// Returns whether no vote is pending and the watch stream is connected, so that the client only waits
+    /// for updates.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.watch.is_connected()
     }
--- a/crates/proxy/src/classify.rs
+++ b/crates/proxy/src/classify.rs
@@ -94,7 +94,8 @@
         return Err(ClassifyError::NoRequestId);
     }
     let tenant = tenant(settings, headers)?;
-    // The timeout is limited to the deadline of the class, as capacity is reserved for that long.
+    // The timeout is limited to the deadline of the class, since an unanswered request occupies memory and
+    // connections until its timeout.
     let timeout = timeout(headers)?.min(settings.config.classes[class.0].deadline);
     let work_hint = work_hint(headers)?;
     let is_retry = match header(headers, "client-retry")? {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Whether no poll is pending and no reconnect is due.
+    /// Returns whether no poll is pending and the watch stream, if it is to be kept open, is connected.
     pub(crate) fn is_idle(&self) -> bool {
         let reconnect_needed = self.watch_mode == WatchMode::On && !self.watch.is_connected();
         self.poll.is_none() && !reconnect_needed
--- a/crates/proxy/src/http_exchange.rs
+++ b/crates/proxy/src/http_exchange.rs
@@ -53,12 +53,12 @@
         HttpExchange { stage: ExchangeStage::Sending, reader }
     }
 
-    /// Whether the last byte of the request has been sent.
+    /// Returns whether the last byte of the request has been sent.
     pub(crate) fn request_sent(&self) -> bool {
         self.stage == ExchangeStage::Receiving
     }
 
-    /// Whether the connection is established.
+    /// Returns whether the connection is established.
     pub(crate) fn connected(&self) -> bool {
         self.stage != ExchangeStage::Connecting
     }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -19,8 +19,8 @@
 /// Maximum time to finish requests in flight after the last client was accepted. Requests are answered by
 /// then; only a response that is being streamed can take longer.
 const MAX_DRAIN_DURATION: Micros = 10 * SECOND;
-/// Time that the platform grants before it may kill the process, counted from the stop signal and in addition
-/// to the longest request deadline, of which at most [`MAX_COUNTED_DEADLINE`] counts.
+/// Time from the stop signal until the platform may kill the process, in addition to the longest request
+/// deadline. Of that deadline at most [`MAX_COUNTED_DEADLINE`] counts.
 const KILL_GRACE: Micros = 700 * MS;
 /// Maximum part of the longest request deadline that the platform adds to [`KILL_GRACE`].
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
--- a/crates/proxy/src/proxy/budgets.rs
+++ b/crates/proxy/src/proxy/budgets.rs
@@ -58,7 +58,7 @@
         let in_flight_requests = configured_requests.min(affordable_requests);
         Budgets {
             descriptors,
-            // Clients may not take half of the descriptors that requests in flight may need for endpoints.
+            // Half of the descriptors that requests in flight may need for endpoints is kept free of clients.
             // The other half is freed on demand by evicting clients without a request.
             clients: descriptors - in_flight_requests / 2,
             in_flight_requests,
--- a/crates/proxy/src/proxy/sweep.rs
+++ b/crates/proxy/src/proxy/sweep.rs
@@ -9,8 +9,8 @@
 /// Interval between sweeps, which check for silent watch streams, idle connections and lifecycle transitions.
 const SWEEP_INTERVAL: Micros = 20 * MS;
 /// Interval between sweeps while nothing is in flight and the control plane is connected. With thousands of
-/// idle instances on a host, each wake-up costs CPU time. No timeout that such a sweep enforces is under a
-/// second.
+/// idle instances on a host, each wake-up costs CPU time. The fixed timeouts that such a sweep enforces and
+/// the agent's silence timeout are 300 ms or longer.
 const IDLE_SWEEP_INTERVAL: Micros = 100 * MS;
 
 /// Schedule of the next sweep.
--- a/crates/proxy/src/release_controller.rs
+++ b/crates/proxy/src/release_controller.rs
@@ -127,7 +127,8 @@
         events
     }
 
-    /// Whether no vote is pending and no reconnect is due.
+    /// Returns whether no vote is pending and the watch stream is connected, so that the client only waits
+    /// for updates.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.watch.is_connected()
     }
--- a/crates/proxy/src/watch_stream.rs
+++ b/crates/proxy/src/watch_stream.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Whether a connection is open and a line has arrived on it.
+    /// Returns whether a connection is open and a line has arrived on it.
     pub(crate) fn is_connected(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.line_received)
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -62,7 +62,8 @@
         /// Error of the operating system.
         source: io::Error,
     },
-    /// The device or redb failed. The store must be opened again, which recovers it from the file.
+    /// The device or redb failed. An instance that runs on the store has to end; opening the store again
+    /// recovers it from the file.
     #[error("the store has failed: {0}")]
     Device(#[source] Box<redb::Error>),
     /// An earlier commit failed, so the store accepts no more commits until it is opened again.
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -47,7 +47,7 @@
         self.start_count
     }
 
-    /// Returns unused space of the file to the file system. The duration grows with the number of pages.
+    /// Gives unused space of the file back to the file system. The duration grows with the number of pages.
     /// Returns whether the file was compacted.
     ///
     /// # Errors
--- a/crates/test-support/src/load_generator.rs
+++ b/crates/test-support/src/load_generator.rs
@@ -25,7 +25,8 @@
     drop(started.expect("the thread starts"));
 }
 
-/// Reads a message: its head into `head`, its body into nothing. Returns false at the end of the connection.
+/// Reads a message, stores its head in `head` and drops its body. Returns false at the end of the connection
+/// or on an error.
 fn read_message(input: &mut BufReader<TcpStream>, head: &mut String) -> bool {
     head.clear();
     loop {
@@ -109,8 +110,9 @@
     }
 }
 
-/// Runs `count` clients for a while, each with one connection and one request at a time. A client starts a
-/// request every `interval`, or without one as soon as it has a response.
+/// Runs `count` clients for a while, each with one connection and one request at a time. With an `interval`,
+/// a client starts one request per interval. Without an interval, it starts the next one as soon as it has a
+/// response.
 pub fn run_clients(
     proxy: SocketAddr,
     count: usize,
