--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -111,7 +111,7 @@
         self.traffic_fraction += (f64::from(u8::from(in_group)) - self.traffic_fraction) * TRAFFIC_SMOOTHING;
     }
 
-    fn record_answer(&mut self, missed: bool) {
+    fn record_response(&mut self, missed: bool) {
         self.miss_ratio += (f64::from(u8::from(missed)) - self.miss_ratio) * MISS_SMOOTHING;
     }
 }
@@ -141,9 +141,9 @@
 
     /// Records a response, or a time-out, and whether it missed the latency objective.
     pub(crate) fn record_response(&mut self, class: ClassId, tenant: Option<TenantId>, missed: bool) {
-        self.classes[class.0].record_answer(missed);
+        self.classes[class.0].record_response(missed);
         if let Some(tenant) = tenant {
-            self.tenants[tenant.0].record_answer(missed);
+            self.tenants[tenant.0].record_response(missed);
         }
     }
 
--- a/crates/policy/src/load_balancing/latency.rs
+++ b/crates/policy/src/load_balancing/latency.rs
@@ -16,7 +16,7 @@
 /// Weight of the newest request in the mean work.
 const WORK_SMOOTHING: f64 = 0.01;
 /// Assumed work of a request without a hint or a known latency, in microseconds.
-const DEFAULT_WORK: f64 = 50.0 * MILLISECOND as f64;
+const DEFAULT_WORK_MICROS: f64 = 50.0 * MILLISECOND as f64;
 
 /// Exponentially smoothed mean that starts as the arithmetic mean of the first values.
 #[derive(Default)]
@@ -91,7 +91,7 @@
         }
         let baseline =
             self.baselines.get(&BaselineKey { class: request.class, kind: None }).filter(|b| b.count > 0);
-        baseline.map_or(DEFAULT_WORK, |b| b.mean.exp())
+        baseline.map_or(DEFAULT_WORK_MICROS, |b| b.mean.exp())
     }
 
     pub(crate) fn add_request(&mut self, now: Micros, request: &Request) {
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -9,7 +9,7 @@
 /// Maximum of the doubled duration: the endpoint may have recovered.
 const MAX_EJECTION: Micros = 4 * SECOND;
 /// Minimum duration of an ejection as a multiple of the time since the endpoint's previous outcome.
-const EJECTION_IDLE_MULTIPLE: Micros = 2;
+const EJECTION_IDLE_MULTIPLE: u64 = 2;
 /// Weight of the newest outcome in an endpoint's slowdown and fault ratio.
 const OUTCOME_SMOOTHING: f64 = 0.15;
 /// Half-life of a slowdown, which decays so that a slow endpoint is tried again.
@@ -48,7 +48,7 @@
 impl EndpointHealth {
     /// Returns the slowdown of the endpoint, which decays so that a slow endpoint is tried again.
     pub(crate) fn slowdown(&self, now: Micros) -> f64 {
-        self.slowdown * slowdown_decay(now.saturating_sub(self.updated_at))
+        self.slowdown * slowdown_fraction_left(now.saturating_sub(self.updated_at))
     }
 
     pub(crate) fn fault_ratio(&self) -> f64 {
@@ -104,7 +104,7 @@
     /// Time-outs always have the normal weight, because an overloaded fleet causes them, too.
     fn update_fault_ratio(&mut self, outcome: Outcome, idle: Micros) {
         let smoothing = match outcome {
-            Outcome::Success | Outcome::Error => OUTCOME_SMOOTHING.max(1.0 - slowdown_decay(idle)),
+            Outcome::Success | Outcome::Error => OUTCOME_SMOOTHING.max(1.0 - slowdown_fraction_left(idle)),
             _ => OUTCOME_SMOOTHING,
         };
         let sample = if outcome == Outcome::Success { 0.0 } else { 1.0 };
@@ -125,7 +125,7 @@
 }
 
 /// Returns the fraction of a slowdown that is left after `duration` without an outcome, 0 to 1.
-fn slowdown_decay(duration: Micros) -> f64 {
+fn slowdown_fraction_left(duration: Micros) -> f64 {
     0.5_f64.powf(duration as f64 / SLOWDOWN_HALF_LIFE as f64)
 }
 
--- a/crates/policy/src/rollout_vote.rs
+++ b/crates/policy/src/rollout_vote.rs
@@ -8,9 +8,9 @@
 use crate::units::{MILLISECOND, SECOND};
 
 /// Mean wait after the first vote that was not counted; doubled after each further one.
-const BACKOFF_INITIAL: Micros = 250 * MILLISECOND;
+const INITIAL_VOTE_BACKOFF: Micros = 250 * MILLISECOND;
 /// Upper limit of that wait; all instances share the release controller's rate limit.
-const BACKOFF_MAX: Micros = 2 * SECOND;
+const MAX_VOTE_BACKOFF: Micros = 2 * SECOND;
 /// Longest interval at which a valid vote is renewed; a short vote TTL requires an earlier renewal.
 const MAX_RENEWAL_INTERVAL: Micros = 4 * SECOND;
 
@@ -42,13 +42,13 @@
 
 impl VoteState {
     pub(crate) fn new() -> Self {
-        VoteState { counted: None, pending: None, next_vote_at: 0, backoff: BACKOFF_INITIAL }
+        VoteState { counted: None, pending: None, next_vote_at: 0, backoff: INITIAL_VOTE_BACKOFF }
     }
 
     /// Delays the next vote by a random 0.5 to 1.5 times the current backoff, and doubles the backoff.
     fn back_off(&mut self, now: Micros, rng: &mut Rng) {
         self.next_vote_at = now + self.backoff / 2 + rng.u64(0..self.backoff);
-        self.backoff = (self.backoff * 2).min(BACKOFF_MAX);
+        self.backoff = (self.backoff * 2).min(MAX_VOTE_BACKOFF);
     }
 
     /// Returns the counted vote, unless it has expired.
@@ -153,11 +153,11 @@
         if let Some(cast) = self.votes.pending.take() {
             match result {
                 VoteResult::Counted => {
-                    self.votes.backoff = BACKOFF_INITIAL;
+                    self.votes.backoff = INITIAL_VOTE_BACKOFF;
                     self.votes.counted = (cast.vote.verdict != Verdict::Abstain).then_some(cast);
                 }
                 // The stage has changed since; the next vote waits for the new status, which arrives shortly.
-                VoteResult::Obsolete => self.votes.next_vote_at = self.now + BACKOFF_MAX / 2,
+                VoteResult::Obsolete => self.votes.next_vote_at = self.now + MAX_VOTE_BACKOFF / 2,
                 VoteResult::RateLimited | VoteResult::Failed | VoteResult::Unknown => {
                     self.votes.back_off(self.now, &mut self.rng);
                 }
--- a/crates/policy/tests/build_health.rs
+++ b/crates/policy/tests/build_health.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn obvious_errors_hold_a_build_before_any_class_has_enough_outcomes() {
+fn conclusive_errors_hold_a_build_before_any_class_has_enough_outcomes() {
     let mut harness = second_stage_trial(fleet_with_new(&[8, 9]));
     let mut outcomes = 0;
     let mut requests = 0;
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn unusual_but_valid_events_do_not_panic() {
+fn a_request_is_forwarded_after_unusual_but_valid_events() {
     let mut single_class = config();
     single_class.classes.truncate(1);
     single_class.tenants.clear();
--- a/crates/policy/tests/rollout_vote.rs
+++ b/crates/policy/tests/rollout_vote.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_instance_without_a_judged_class_does_not_vote() {
+fn an_instance_without_an_assessed_class_does_not_vote() {
     let mut harness = trial_with_vote_mode(VoteMode::Any);
     for _ in 0..400 {
         assert!(harness.tick(25).is_empty());
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -7,7 +7,7 @@
 use garnetcrank_policy::api::{Config, EndpointRecord, Event, Outcome, Request, RequestId};
 
 #[test]
-fn the_budget_of_a_warming_endpoint_follows_the_load_of_warm_endpoints() {
+fn the_budget_of_a_warming_endpoint_is_limited_by_the_load_that_a_warm_one_serves() {
     let mut harness = Harness::on_trial(config(), vec![endpoint_record(1, OLD)]);
     // One request of 100 ms every 200 ms: this instance uses half a core of the warm endpoint.
     for _ in 0..100 {
