--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -14,11 +14,11 @@
 const LIMIT_ADJUSTMENT: f64 = 0.01;
 /// Minimum limit per endpoint, over all instances: some outcomes are needed to measure the latency.
 const MIN_LIMIT_PER_ENDPOINT: f64 = 2.0;
-/// Minimum limit of one instance, as a multiple of its attempts in flight without overload.
+/// Minimum limit of one instance, as a multiple of its normal number of attempts in flight.
 const MIN_LIMIT_NORMAL_MULTIPLE: f64 = 2.0;
-/// Maximum limit, from which it can still fall fast enough.
+/// Maximum limit, in attempts in flight, from which it can still fall fast enough.
 const MAX_LIMIT: f64 = 1e6;
-/// Time constant of the mean number of attempts in flight without overload.
+/// Time constant of the normal number of attempts in flight.
 const NORMAL_IN_FLIGHT_TIME_CONSTANT: Micros = 5 * SECOND;
 
 /// Fraction of the limit available to requests of priority 0; the highest priority can use all of it.
@@ -43,7 +43,7 @@
     limit: f64,
     /// Smoothed ratio of latency to objective, over all outcomes.
     latency_ratio: f64,
-    /// Smoothed number of attempts in flight while the latency is low.
+    /// Smoothed number of attempts in flight, updated while `latency_ratio` is below [`HEADROOM_RATIO`].
     normal_in_flight: f64,
 }
 
@@ -102,7 +102,8 @@
 struct TrafficStats {
     /// Smoothed fraction of all requests, 0 to 1.
     traffic_fraction: f64,
-    /// Smoothed fraction of its attempts that missed their latency objective, 0 to 1.
+    /// Smoothed fraction of its attempts that missed the latency objective, 0 to 1; only successes and
+    /// time-outs count.
     miss_ratio: f64,
 }
 
@@ -158,7 +159,8 @@
     }
 }
 
-/// Returns whether a class or tenant mostly misses its objective while another one rarely does.
+/// Returns whether the miss ratio of a class or tenant is above [`MOSTLY_FAILING_MISS_RATIO`] while that of
+/// another one is below half of that bound.
 ///
 /// Guards against requests that wait for a dependency of their own and occupy the concurrency limit until all
 /// classes miss their objectives. Clients that give up too early look the same. The cost is the rejection of
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,6 +1,6 @@
 //! The types that go into and come out of [`Policy`](crate::Policy): settings, events and actions.
 //!
-//! All times and durations are integral microseconds of the caller's clock ([`Micros`]). The types carry no
+//! All times and durations are whole microseconds of the caller's clock ([`Micros`]). The types carry no
 //! behaviour beyond small predicates on their own value.
 
 mod action;
--- a/crates/policy/src/api/config.rs
+++ b/crates/policy/src/api/config.rs
@@ -51,7 +51,7 @@
 /// A tenant and its part of the service.
 #[derive(Debug, Clone)]
 pub struct Tenant {
-    /// Fraction of the service that is the tenant's, 0 to 1.
+    /// The tenant's fraction of the service, 0 to 1.
     pub service_share: f64,
     /// Quota in requests per second, over all instances.
     pub quota_per_s: f64,
--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -25,7 +25,8 @@
         self.attempt.slow_start_factor.is_none()
     }
 
-    /// Returns how slow the attempt was (natural logarithm), if the outcome depends on the endpoint.
+    /// Returns how slow the attempt was (natural logarithm); none if the baseline is not known yet, or if the
+    /// outcome says nothing about the endpoint's speed.
     fn slowdown(&self, over_baseline: &Slowdown) -> Option<f64> {
         match self.outcome {
             Outcome::Success | Outcome::TimedOut => over_baseline.over_kind,
--- a/crates/policy/src/build_health.rs
+++ b/crates/policy/src/build_health.rs
@@ -19,7 +19,8 @@
 const RECENT_OUTCOMES: usize = 20;
 /// Fewest outcomes needed to assess a class; with fewer, the result would be down to chance.
 pub(crate) const MIN_OUTCOMES: usize = 10;
-/// Fewest outcomes, or comparable latencies, needed for any assessment, whatever the rollback quorum.
+/// Lower bound of the number of outcomes, or comparable latencies, needed for an assessment, whatever the
+/// rollback quorum. [`CONCLUSIVE_ERRORS`] errors suffice without it.
 pub(crate) const MIN_SAMPLES: usize = 4;
 /// Number of errors that suffices to assess a class with fewer than [`MIN_OUTCOMES`], as chance does not
 /// explain them.
--- a/crates/policy/src/build_health/build_record.rs
+++ b/crates/policy/src/build_health/build_record.rs
@@ -81,7 +81,7 @@
     pub(super) cleared_at_stage: Option<usize>,
     /// Mean slowdown of the fleet (natural logarithm) while the build's share was too small to affect it.
     pub(super) baseline_slowdown: f64,
-    /// Whether some class has enough outcomes to be assessed.
+    /// Whether some class has been assessed, or all classes together if a rollback takes several votes.
     pub(crate) has_assessed_class: bool,
     /// Attempts sent to the build within the exposure window.
     pub(crate) attempts: SlidingWindow,
@@ -202,7 +202,8 @@
     }
 
     /// Returns whether a build is used only if no other is available, because it has failed or is withheld.
-    /// Requests of a class that has not failed for long enough are still sent to it.
+    /// While a class is failing, but the failure is not yet sustained, its requests are still sent to the
+    /// build.
     pub(crate) fn is_avoided(&self, build: Build) -> bool {
         let Some(record) = self.builds.get(&build) else { return false };
         let withheld = record.suspicion.as_ref().is_some_and(|suspicion| suspicion.is_withheld(self.now));
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -45,7 +45,8 @@
     endpoints: BTreeMap<EndpointId, Endpoint>,
     /// Endpoints that serve, in the order of the latest random draws.
     active: Vec<EndpointId>,
-    /// Time at which an endpoint last became active or inactive.
+    /// Time of the last delta that activated or deactivated an endpoint, or of a later snapshot with an
+    /// active one. Every such snapshot counts, because it first deactivates all endpoints.
     pub(crate) changed_at: Micros,
 }
 
--- a/crates/policy/src/load_balancing.rs
+++ b/crates/policy/src/load_balancing.rs
@@ -11,7 +11,8 @@
 
 /// Minimum number of endpoints sampled for an attempt: enough to tell whether most are in good health.
 const CANDIDATE_SAMPLE_SIZE: usize = 8;
-/// Natural logarithm of the latency ratio to the fastest zone above which a zone is left out.
+/// Maximum difference between a zone's slowdown and the fastest zone's (natural logarithm). Slower zones are
+/// left out.
 const MAX_ZONE_SLOWDOWN: f64 = 0.8;
 /// Factor on the load of endpoints in other zones, where attempts across zones have a price.
 const CROSS_ZONE_LOAD_FACTOR: f64 = 2.5;
--- a/crates/policy/src/load_balancing/latency.rs
+++ b/crates/policy/src/load_balancing/latency.rs
@@ -143,7 +143,8 @@
         estimate.add(now, slowdown, ZONE_SMOOTHING, MAX_COMPARISON_AGE);
     }
 
-    /// Returns the recent slowdown of a zone; 0 without recent values, so that a slow zone is tried again.
+    /// Returns the recent slowdown of a zone; 0 with too few or no recent values, so that a slow zone is
+    /// tried again.
     pub(crate) fn zone_slowdown(&self, now: Micros, zone: ZoneId) -> f64 {
         let estimate = self.zones.get(&zone);
         let known = estimate.filter(|e| e.count >= MIN_SAMPLES as u32 && e.is_recent(now));
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -8,7 +8,8 @@
 const INITIAL_EJECTION: Micros = SECOND;
 /// Maximum of the doubled duration: the endpoint may have recovered.
 const MAX_EJECTION: Micros = 4 * SECOND;
-/// Minimum duration of an ejection as a multiple of the time since the endpoint's previous outcome.
+/// Minimum duration of a failing endpoint's ejection, as a multiple of the time since its previous outcome.
+/// That time counts up to [`SLOWDOWN_HALF_LIFE`].
 const EJECTION_IDLE_MULTIPLE: u64 = 2;
 /// Weight of the newest outcome in an endpoint's slowdown and fault ratio.
 const OUTCOME_SMOOTHING: f64 = 0.15;
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Returns whether an endpoint fails more often than its build by a margin at which requests that must
-    /// not run twice avoid it.
+    /// Returns whether an endpoint's fault ratio exceeds its build's error ratio by more than half of
+    /// [`EJECTION_FAULT_RATIO`]. Requests that must not run twice then avoid it.
     pub(crate) fn is_suspect(&self, fault_ratio: f64, build: Build) -> bool {
         fault_ratio > EJECTION_FAULT_RATIO / 2.0 + self.error_ratio(build)
     }
--- a/crates/policy/src/request_lifecycle.rs
+++ b/crates/policy/src/request_lifecycle.rs
@@ -184,8 +184,9 @@
         self.actions.push(Action::Forward { id: in_flight.request.id, endpoint: id, timeout });
     }
 
-    /// Returns the time-out of an attempt, if it ends before the client's deadline. An attempt whose late
-    /// answer would be worthless is not waited for, since its work is better spent on other requests.
+    /// Returns the time-out of an attempt if it ends before the client's deadline; none for streamed classes.
+    /// An attempt whose late answer would be worthless is not waited for, since its work is better spent on
+    /// other requests.
     fn attempt_timeout(&self, in_flight: &InFlightRequest) -> Option<Micros> {
         let class = &self.config.classes[in_flight.request.class.0];
         let deadline = in_flight.request.deadline;
@@ -198,8 +199,8 @@
         ends_early.then(|| useful_until.saturating_sub(self.now).max(MILLISECOND))
     }
 
-    /// Answers a request that no endpoint will answer: with a rejection and a time to retry after if the
-    /// request may safely be sent again, else with a failure.
+    /// Answers a request that no endpoint will answer. If the request is safe to send again, the answer is a
+    /// rejection, with a retry time if the settings allow one. Otherwise it is a failure.
     fn give_up(&mut self, id: RequestId) {
         let Some(in_flight) = self.requests.get(&id) else { return };
         let may_have_run = in_flight.may_have_run();
--- a/crates/policy/src/rollout_vote.rs
+++ b/crates/policy/src/rollout_vote.rs
@@ -156,7 +156,8 @@
                     self.votes.backoff = INITIAL_VOTE_BACKOFF;
                     self.votes.counted = (cast.vote.verdict != Verdict::Abstain).then_some(cast);
                 }
-                // The stage has changed since; the next vote waits for the new status, which arrives shortly.
+                // The vote is not repeated at once: the stage has changed, and the new status should arrive
+                // within this delay.
                 VoteResult::Obsolete => self.votes.next_vote_at = self.now + MAX_VOTE_BACKOFF / 2,
                 VoteResult::RateLimited | VoteResult::Failed | VoteResult::Unknown => {
                     self.votes.back_off(self.now, &mut self.rng);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -25,7 +25,8 @@
 /// Load from this instance that a warm endpoint of a kind serves on average, in cores.
 #[derive(Default)]
 struct ServedLoad {
-    /// Work that all warm endpoints of the kind have served since the last update, in microseconds.
+    /// Work from this instance that all warm endpoints of the kind have served since the last update, in
+    /// microseconds.
     served_work: f64,
     mean: f64,
 }
@@ -90,7 +91,8 @@
 pub(crate) struct SlowStartBudget {
     /// Work sent in the last overload window.
     recent_work: VecDeque<SentWork>,
-    /// Capacity of the endpoint that this instance may use when it is warm, in cores.
+    /// Part of the warm endpoint's capacity, in cores, on which this instance's slow-start budget is based.
+    /// It limits nothing once the endpoint has warmed up.
     usable_cores: f64,
     /// Accrued allowance at which the work sent so far is covered.
     covered_at_accrued: f64,
@@ -105,7 +107,7 @@
     /// request at the same time. If the part is less than one request, a request is allowed only in this
     /// instance's slots; the slots of all instances are spread evenly. A slot that is not used soon is lost.
     /// Otherwise all instances would save one and use it when a drain or a partition elsewhere ends. The cost
-    /// is that busy instances use the budget up slowly.
+    /// is that a busy instance can use its part of the budget only slowly.
     fn admits(&mut self, now: Micros, window: Micros, allowance: &Allowance, work: f64, cycle: f64) -> bool {
         while self.recent_work.pop_front_if(|sent| now - sent.at > window).is_some() {}
         let budget = allowance.in_window;
@@ -145,7 +147,8 @@
         }
     }
 
-    /// Returns the capacity of a starting endpoint that this instance may use when it is warm, in cores.
+    /// Returns the part of a starting endpoint's full capacity, in cores, on which this instance bases its
+    /// budget.
     ///
     /// It is the load from this instance that a warm endpoint of the kind serves, so that all instances'
     /// parts add up to a load that such endpoints are known to handle. An instance that has measured less
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -37,7 +37,8 @@
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Config::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones, including the instance's own, at the positions that zone ids refer to.
+    /// Names of the zones, including the instance's own. A zone's id is its position in this list; a zone that is not
+    /// listed gets a later id.
     pub zones: Vec<String>,
     /// Names of the endpoint kinds.
     pub kinds: Vec<String>,
@@ -48,7 +49,7 @@
 /// Settings of connections, in-flight requests and load reports.
 #[derive(Debug, Clone)]
 pub struct Transport {
-    /// Idle time after which an endpoint has closed a connection at the latest.
+    /// Longest time that an endpoint keeps an idle connection open.
     pub idle_timeout: Micros,
     /// Time limit for establishing a connection.
     pub connect_timeout: Micros,
--- a/crates/shared-policy/src/lib.rs
+++ b/crates/shared-policy/src/lib.rs
@@ -1,9 +1,9 @@
 //! One policy shared by several worker threads.
 //!
 //! The state of the policy (caps, budgets, ejections, the vote) is exact because all threads share one policy
-//! under a lock. The lock does not cover the time between a decision and its execution, when the thread may
-//! be suspended for any time. A decision therefore carries a [`DecisionStamp`], which is checked before the
-//! first byte is sent.
+//! under a lock. The lock does not cover the time between a decision and its execution. The thread may be
+//! suspended there for any length of time. A decision therefore carries a [`DecisionStamp`], which is checked
+//! before the first byte is sent.
 //!
 //! No I/O and no clock: times are passed in, in microseconds of the caller's clock.
 
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -27,7 +27,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // A closed standard error leaves nowhere to report the failed write.
+            // If standard error is closed, the error can't be reported.
             let _ = writeln!(io::stderr(), "garnetcrank-sim-adapter: {error}");
             ExitCode::FAILURE
         }
--- a/crates/sim-adapter/src/protocol.rs
+++ b/crates/sim-adapter/src/protocol.rs
@@ -36,7 +36,8 @@
     /// End of the batch; the simulator waits for the reply.
     #[serde(rename = "yourTurn")]
     BatchEnd {},
-    /// Endpoint list that later lines of the batch refer to by `list_id`. It replaces an earlier one of that number.
+    /// Endpoint list that later lines refer to by `list_id`, in later batches as well. It replaces an earlier one
+    /// of that number.
     #[serde(rename = "directory")]
     EndpointList {
         #[serde(rename = "rosterId")]
@@ -115,7 +116,7 @@
         #[serde(rename = "usage", default)]
         load_report: Option<Vec<f64>>,
     },
-    /// Disconnect of the client before its request was finished.
+    /// Disconnect of the client that sent the request.
     #[serde(rename = "aborted")]
     ClientDisconnected {
         #[serde(rename = "front")]
@@ -306,7 +307,7 @@
         #[serde(rename = "roundNo")]
         attempt: usize,
     },
-    /// Final answer to a rejected request, which did not run and may be retried.
+    /// Final answer that rejects a request, which is safe to send again.
     #[serde(rename = "turnAway")]
     Reject {
         #[serde(rename = "front")]
--- a/crates/vote-router/src/router.rs
+++ b/crates/vote-router/src/router.rs
@@ -66,8 +66,8 @@
         if forwarded {
             return Some(RouterAction::VoteCompleted(VoteResult::Counted));
         }
-        // A vote that was resent after the agent's return has had its result before, so it is not cast if a
-        // later one has replaced it.
+        // A vote that a later one has replaced, such as one resent on the agent's return, is not cast: the
+        // policy no longer waits for its result.
         let is_latest = self.own_vote == Some(vote);
         is_latest.then_some(RouterAction::CastVote(vote, VoteOrigin::Own))
     }
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Returns whether half of the TTL of a vote is over, after which it is renewed.
+    /// Returns whether a vote is due for renewal, which is after half of its TTL.
     fn is_renewal_due(&self, cluster_vote: ClusterVote, now: Micros) -> bool {
         now >= cluster_vote.cast_at + self.vote_ttl / 2
     }
