--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -87,12 +87,12 @@
     );
     assert!(
         count_forwarded(&mut harness, 100, READ, &book_times_out) >= 95,
-        "requests of another class were rejected"
+        "fewer than 95 of 100 requests of another class were forwarded"
     );
     count_forwarded(&mut harness, 600, BOOK, &|_| Outcome::Success);
     assert!(
         count_forwarded(&mut harness, 100, BOOK, &|_| Outcome::Success) >= 95,
-        "requests of the recovered class were rejected"
+        "fewer than 95 of 100 requests of the recovered class were forwarded"
     );
 }
 
--- a/crates/policy/tests/build_health.rs
+++ b/crates/policy/tests/build_health.rs
@@ -44,7 +44,8 @@
     let mut outcomes = 0;
     let mut requests = 0;
     while outcomes < 12 {
-        // Four outcomes of each class at the new endpoints; a class is judged from ten outcomes on.
+        // Four outcomes of each class at the new endpoints; without conclusive errors, assessing a class takes
+        // ten.
         let class = ClassId(outcomes / 4);
         let outcome_of =
             |endpoint: EndpointId| if endpoint.0 >= 8 { Outcome::Error } else { Outcome::Success };
--- a/crates/policy/tests/fleet_health.rs
+++ b/crates/policy/tests/fleet_health.rs
@@ -131,8 +131,8 @@
     if endpoint.0 >= 8 { 150 * MS } else { 40 * MS }
 }
 
-/// Guards against the release of a slow build: each instance of a large tier has too few outcomes to judge it
-/// alone.
+/// Guards against the release of a slow build: each instance of a large tier has too few outcomes to assess
+/// it alone.
 #[test]
 fn few_latencies_suffice_for_a_vote_with_a_large_quorum() {
     let mut large_quorum = large_tier_trial(large_tier_config(300, 15));
--- a/crates/policy/tests/request_lifecycle.rs
+++ b/crates/policy/tests/request_lifecycle.rs
@@ -37,7 +37,7 @@
                 answers += count_unsuccessful_answers(&harness.tick(25));
             }
             assert_eq!(answers, 1, "{class:?} {outcome:?}");
-            assert!(attempt <= 4, "{attempt} attempts, allowed are 4");
+            assert!(attempt <= 4, "{attempt} attempts, at most 4 are allowed");
         }
     }
 }
@@ -86,5 +86,8 @@
     let mut harness = Harness::on_trial(with_retry_after, Vec::new());
     let (_, actions) = harness.request(READ);
     let [Action::Reject { retry_after: Some(after), .. }] = actions[..] else { panic!("{actions:?}") };
-    assert!(after < 200 * MS, "{after} us is not below half of the latency objective");
+    assert!(
+        after < 200 * MS,
+        "retry_after is {after} us, must be less than 200000 us (half of the latency objective)"
+    );
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -66,7 +66,7 @@
             assert_eq!(
                 actions,
                 [Action::Fail(id)],
-                "answered by a rejection, which promises that the request did not run"
+                "answered by a rejection, which promises that the request is safe to send again"
             );
         }
     }
--- a/crates/policy/tests/rollout_vote.rs
+++ b/crates/policy/tests/rollout_vote.rs
@@ -195,7 +195,7 @@
 }
 
 /// Guards against the release of a build whose requests time out: each of hundreds of instances has only a
-/// few outcomes per stage, too few to judge a class.
+/// few outcomes per stage, too few to assess a class.
 #[test]
 fn few_outcomes_suffice_for_a_vote_with_a_large_quorum() {
     let times_out_at_new = |endpoint| if is_new(endpoint) { Outcome::TimedOut } else { Outcome::Success };
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -85,6 +85,6 @@
     }
     assert!(
         (1..=20).contains(&forwarded),
-        "{forwarded} requests of 50 ms forwarded within the one-second budget of one core that is half warm"
+        "{forwarded} of 200 requests of 50 ms were forwarded at once, expected 1 to 20"
     );
 }
--- a/crates/sim-adapter/tests/transcripts.rs
+++ b/crates/sim-adapter/tests/transcripts.rs
@@ -110,7 +110,7 @@
     assert!(with_command(&replies, "fail").is_empty() && with_command(&replies, "turnAway").is_empty());
 }
 
-/// Failure: an update gets a later endpoint list, as a batch may define one list id twice.
+/// Guards against an update that uses the wrong endpoint list: a batch may define one list id twice.
 #[test]
 fn an_endpoint_list_id_refers_to_the_latest_list_before_the_update() {
     let update = "{\"cmd\":\"fleet\",\"front\":3,\"index\":2,\"how\":\"FULL\",\"rosterId\":5}\n";
--- a/crates/vote-router/tests/vote_router.rs
+++ b/crates/vote-router/tests/vote_router.rs
@@ -31,7 +31,7 @@
     assert_eq!((router.on_tick(9 * SECOND), router.on_agent_lost(9 * SECOND)), (None, vec![]));
     assert!(
         router.on_agent_update(SECOND, update(false, CastAssignment::OtherProxy)).is_empty(),
-        "an update without a quorum causes no action"
+        "an update without a quorum caused actions"
     );
     assert_eq!(
         router.on_vote(vote(42, Verdict::Advance)),
@@ -50,18 +50,18 @@
     assert_eq!(cast, [RouterAction::CastVote(hold, VoteOrigin::Cluster)]);
     assert!(
         router.on_agent_update(3 * SECOND, update(true, CastAssignment::ThisProxy(Some(hold)))).is_empty(),
-        "the vote is cast already and not due for renewal"
+        "a vote that is not due for renewal was cast again"
     );
     assert_eq!(
         router.on_tick(4 * SECOND),
         Some(RouterAction::CastVote(hold, VoteOrigin::Cluster)),
-        "the vote is renewed before it expires"
+        "the vote was not renewed before it expired"
     );
     let withdrawal = vote(42, Verdict::Abstain);
     assert_eq!(
         router.on_agent_update(5 * SECOND, update(true, CastAssignment::OtherProxy)),
         [RouterAction::CastVote(withdrawal, VoteOrigin::Cluster)],
-        "the vote is withdrawn, as another proxy casts it"
+        "the vote was not withdrawn although another proxy casts it"
     );
     assert!(router.on_agent_update(6 * SECOND, update(true, CastAssignment::OtherProxy)).is_empty());
 }
@@ -77,7 +77,7 @@
         Some(RouterAction::CastVote(roll_back, VoteOrigin::Own))
     );
     router.on_vote(vote(42, Verdict::Abstain));
-    assert_eq!(router.on_agent_response(roll_back, false), None, "a replaced vote is not cast");
+    assert_eq!(router.on_agent_response(roll_back, false), None, "a replaced vote was cast");
 }
 
 #[test]
@@ -88,12 +88,12 @@
     router.on_vote(hold);
     router.on_agent_response(hold, true);
     assert_eq!(router.on_agent_lost(2 * SECOND), [RouterAction::CastVote(hold, VoteOrigin::Cluster)]);
-    assert!(router.on_agent_lost(3 * SECOND).is_empty(), "the vote is cast only once");
+    assert!(router.on_agent_lost(3 * SECOND).is_empty(), "the vote was cast twice");
     assert_eq!(router.on_vote(hold), RouterAction::CastVote(hold, VoteOrigin::Own));
     assert_eq!(
         router.on_agent_update(4 * SECOND, update(true, CastAssignment::OtherProxy)),
         [RouterAction::SendToAgent(hold)],
-        "the vote is resent when the agent is available again"
+        "the vote was not resent on the agent's return"
     );
 }
 
@@ -110,7 +110,7 @@
         3 * SECOND,
         update(true, CastAssignment::ThisProxy(Some(vote(42, Verdict::RollBack)))),
     );
-    assert!(router.on_agent_lost(9 * SECOND).is_empty(), "an expired vote needs no withdrawal");
+    assert!(router.on_agent_lost(9 * SECOND).is_empty(), "an expired vote was withdrawn");
 }
 
 #[test]
@@ -138,6 +138,6 @@
     assert_eq!(
         router.on_rollout_update(7 * SECOND, status(42, RolloutPhase::OnTrial, 0.6)).exposure_cap,
         0.0,
-        "the build stays condemned"
+        "the build is no longer condemned"
     );
 }
