--- a/crates/policy/src/load_balancing/latency.rs
+++ b/crates/policy/src/load_balancing/latency.rs
@@ -16,7 +16,7 @@
 /// Weight of the newest request in the mean work.
 const WORK_SMOOTHING: f64 = 0.01;
 /// Assumed work of a request without a hint or a known latency, in microseconds.
-const DEFAULT_WORK: f64 = 50.0 * MILLISECOND as f64;
+const DEFAULT_WORK_MICROS: f64 = 50.0 * MILLISECOND as f64;
 
 /// Exponentially smoothed mean that starts as the arithmetic mean of the first values.
 #[derive(Default)]
@@ -91,7 +91,7 @@
         }
         let baseline =
             self.baselines.get(&BaselineKey { class: request.class, kind: None }).filter(|b| b.count > 0);
-        baseline.map_or(DEFAULT_WORK, |b| b.mean.exp())
+        baseline.map_or(DEFAULT_WORK_MICROS, |b| b.mean.exp())
     }
 
     pub(crate) fn add_request(&mut self, now: Micros, request: &Request) {
@@ -143,7 +143,8 @@
         estimate.add(now, slowdown, ZONE_SMOOTHING, MAX_COMPARISON_AGE);
     }
 
-    /// Returns the recent slowdown of a zone; 0 without recent values, so that a slow zone is tried again.
+    /// Returns the recent slowdown of a zone; 0 with too few or no recent values, so that a slow zone is
+    /// tried again.
     pub(crate) fn zone_slowdown(&self, now: Micros, zone: ZoneId) -> f64 {
         let estimate = self.zones.get(&zone);
         let known = estimate.filter(|e| e.count >= MIN_SAMPLES as u32 && e.is_recent(now));
--- a/crates/policy/tests/rollout_vote.rs
+++ b/crates/policy/tests/rollout_vote.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_instance_without_a_judged_class_does_not_vote() {
+fn an_instance_without_an_assessed_class_does_not_vote() {
     let mut harness = trial_with_vote_mode(VoteMode::Any);
     for _ in 0..400 {
         assert!(harness.tick(25).is_empty());
@@ -195,7 +195,7 @@
 }
 
 /// Guards against the release of a build whose requests time out: each of hundreds of instances has only a
-/// few outcomes per stage, too few to judge a class.
+/// few outcomes per stage, too few to assess a class.
 #[test]
 fn few_outcomes_suffice_for_a_vote_with_a_large_quorum() {
     let times_out_at_new = |endpoint| if is_new(endpoint) { Outcome::TimedOut } else { Outcome::Success };
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -7,7 +7,7 @@
 use garnetcrank_policy::api::{Config, EndpointRecord, Event, Outcome, Request, RequestId};
 
 #[test]
-fn the_budget_of_a_warming_endpoint_follows_the_load_of_warm_endpoints() {
+fn the_budget_of_a_warming_endpoint_is_limited_by_the_load_that_a_warm_one_serves() {
     let mut harness = Harness::on_trial(config(), vec![endpoint_record(1, OLD)]);
     // One request of 100 ms every 200 ms: this instance uses half a core of the warm endpoint.
     for _ in 0..100 {
@@ -85,6 +85,6 @@
     }
     assert!(
         (1..=20).contains(&forwarded),
-        "{forwarded} requests of 50 ms forwarded within the one-second budget of one core that is half warm"
+        "{forwarded} of 200 requests of 50 ms were forwarded at once, expected 1 to 20"
     );
 }
