--- a/crates/proxy/tests/proxy/limits.rs
+++ b/crates/proxy/tests/proxy/limits.rs
@@ -1,11 +1,17 @@
 //! Limits on descriptors and idle connections.
 
+use std::time::Duration;
+
 use garnetcrank_test_support::scripted_servers::{
     EndpointBehavior, RunningProxy, ScriptedEndpoint, TestClient, request, wait_until,
 };
 
 use crate::common::{proxy_setup, respond_ok};
 
+/// Longer than the 50 ms after which the proxy may evict a silent client, shorter than the 2.5 s after which it
+/// closes one anyway.
+const SILENT_CLIENT_AGE: Duration = Duration::from_millis(200);
+
 #[test]
 fn without_free_descriptors_requests_are_rejected_until_some_are_free() {
     let endpoint = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
@@ -71,6 +77,8 @@
     assert!(idle_clients.iter_mut().all(TestClient::is_closed), "an idle connection was not closed");
 }
 
+/// Guards against requests that get 503 because silent clients keep their descriptors: 31 clients are as many as
+/// the proxy accepts with 64 descriptors, and the rest is too few for 15 connections to the endpoint.
 #[test]
 fn silent_clients_are_evicted_for_upstream_connections() {
     let endpoint = ScriptedEndpoint::start(EndpointBehavior::WaitForRelease);
@@ -78,6 +86,7 @@
     setup.descriptor_limit = 64;
     let proxy = RunningProxy::start(&setup);
     let _silent_clients: Vec<TestClient> = (0..31).map(|_| proxy.client()).collect();
+    std::thread::sleep(SILENT_CLIENT_AGE);
     let mut active_clients: Vec<TestClient> = (0..15).map(|_| proxy.client()).collect();
     for client in &mut active_clients {
         client.send(&request("GET", "/look", 25_000, ""));
